--- a/internal/daemon/leasing.go
+++ b/internal/daemon/leasing.go
@@ -138,9 +138,9 @@
 		case err == nil:
 			s.Wrote(now, a, object.Version)
 		case errors.As(err, &conflict):
-			s.Lost(now, a, lease.ObservationOf(conflict.Current))
+			s.WriteConflict(now, a, lease.ObservationOf(conflict.Current))
 		default:
-			s.Unsure(now, a)
+			s.WriteAmbiguous(now, a)
 		}
 	})
 }
@@ -209,7 +209,7 @@
 	if p.shard < 0 {
 		return 0
 	}
-	p.duty.ask(func(now time.Time, s *lease.Set) { wait = s.Lease(p.shard).WaitOut(now) })
+	p.duty.ask(func(now time.Time, s *lease.Set) { wait = s.Lease(p.shard).UnfencedWait(now) })
 	return wait
 }
 
--- a/internal/lease/answer.go
+++ b/internal/lease/answer.go
@@ -69,7 +69,7 @@
 // failure up to Renew: quick enough to save a lease after a lost answer, and
 // in an outage no more calls than in quiet.
 func (l *Lease) pause() time.Duration {
-	mean := min(l.config.Retry<<min(l.failures, maxDoublings), l.config.Renew)
+	mean := min(l.config.RetryDelay<<min(l.failures, maxDoublings), l.config.RenewInterval)
 	l.failures++
 	return around(l.random, mean, 0.5)
 }
@@ -94,7 +94,7 @@
 		return // an answer that was overtaken
 	}
 	first := l.readAt.IsZero()
-	if l.followed.IsZero() || (l.candidate && now.Sub(l.readAt) > 2*l.config.Observe) {
+	if l.followed.IsZero() || (l.candidate && now.Sub(l.readAt) > 2*l.config.ObserveInterval) {
 		l.followed = now
 	}
 	l.unsure, l.failures = false, 0
@@ -146,7 +146,7 @@
 	}
 	l.held = true
 	l.since = w.at
-	l.renewAt = w.at.Add(around(l.random, l.config.Renew, 0.2))
+	l.renewAt = w.at.Add(around(l.random, l.config.RenewInterval, 0.2))
 }
 
 // waitTo returns when orders of the holder before must have ended. Its lease
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -11,35 +11,35 @@
 	// who waits for it. It covers the difference in rate between two clocks
 	// over Duration: 500 parts in a million are 10 ms in 20 s.
 	Margin time.Duration
-	// Renew is the mean time between renewals, drawn from 0.8 to 1.2 of it.
-	Renew time.Duration
-	// Retry is the mean time before a call is repeated that failed.
-	Retry time.Duration
+	// RenewInterval is the mean time between renewals, drawn from 0.8 to 1.2 of it.
+	RenewInterval time.Duration
+	// RetryDelay is the mean time before a call is repeated that failed.
+	RetryDelay time.Duration
 	// CallTimeout is how long a call is waited for before it counts as lost.
 	CallTimeout time.Duration
-	// LongestOrder is the longest that an order may be under way. Who gives
+	// OrderTimeout is the longest that an order may be under way. Who gives
 	// orders must end each by Lease.Deadline.
-	LongestOrder time.Duration
+	OrderTimeout time.Duration
 	// Candidates is how many daemons, best ranks first, observe a shard that
 	// another one holds.
 	Candidates int
-	// Observe is the mean time between a candidate's looks at its shards.
-	Observe time.Duration
-	// Sweep is the mean time between looks of all other daemons, for the case
+	// ObserveInterval is the mean time between a candidate's looks at its shards.
+	ObserveInterval time.Duration
+	// SweepInterval is the mean time between looks of all other daemons, for the case
 	// that no candidate reaches the store.
-	Sweep time.Duration
+	SweepInterval time.Duration
 	// RankDelay is how much longer each further rank waits before it takes a
 	// lease. It exceeds Observe, so that a better rank looks first.
 	RankDelay time.Duration
-	// Settle is how long a holder that isn't the preferred one keeps a lease
+	// HandoverDelay is how long a holder that isn't the preferred one keeps a lease
 	// before it hands it over: long enough for a restarted fleet to gather.
-	Settle time.Duration
+	HandoverDelay time.Duration
 	// StartSpread is the time over which daemons that start together look for
 	// the first time.
 	StartSpread time.Duration
-	// ListOver is the number of shards above which one list of all shards
+	// ListThreshold is the number of shards above which one list of all shards
 	// takes the place of a read for each.
-	ListOver int
+	ListThreshold int
 }
 
 // DefaultConfig leaves a crashed holder's shard without one for about half a
@@ -47,15 +47,15 @@
 var DefaultConfig = Config{
 	Duration:     20 * time.Second,
 	Margin:       time.Second,
-	Renew:        6 * time.Second,
-	Retry:        500 * time.Millisecond,
+	RenewInterval:        6 * time.Second,
+	RetryDelay:        500 * time.Millisecond,
 	CallTimeout:  3 * time.Second,
-	LongestOrder: 5 * time.Second,
+	OrderTimeout: 5 * time.Second,
 	Candidates:   3,
-	Observe:      6 * time.Second,
-	Sweep:        5 * time.Minute,
+	ObserveInterval:      6 * time.Second,
+	SweepInterval:        5 * time.Minute,
 	RankDelay:    8 * time.Second,
-	Settle:       time.Minute,
+	HandoverDelay:       time.Minute,
 	StartSpread:  5 * time.Second,
-	ListOver:     4,
+	ListThreshold:     4,
 }
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -123,7 +123,7 @@
 	c.members = c.members[3:]
 	c.tell()
 	took := c.untilHeld(t, 64)
-	assert.Assert(t, took > DefaultConfig.Duration-DefaultConfig.Renew-DefaultConfig.Margin, "after %s", took)
+	assert.Assert(t, took > DefaultConfig.Duration-DefaultConfig.RenewInterval-DefaultConfig.Margin, "after %s", took)
 }
 
 // A daemon that leaves gives its shards up once its orders have ended, and
@@ -137,7 +137,7 @@
 		leaver.set.Lease(i).MayOrder(c.now)
 	}
 	leaver.set.Leave()
-	c.run(DefaultConfig.LongestOrder - time.Second)
+	c.run(DefaultConfig.OrderTimeout - time.Second)
 	assert.Assert(t, !leaver.set.Left(c.now))
 	c.run(2 * time.Second)
 	assert.Assert(t, leaver.set.Left(c.now))
@@ -173,7 +173,7 @@
 	c := newCrowd(20, 8, 1)
 	c.untilHeld(t, 8)
 	c.members = slices.DeleteFunc(c.members, func(m *member) bool { return m.set.ranks[0] < DefaultConfig.Candidates })
-	c.run(3 * DefaultConfig.Sweep)
+	c.run(3 * DefaultConfig.SweepInterval)
 	_, held := c.holders()
 	assert.Equal(t, held, 8)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -68,19 +68,19 @@
 // state was read. An order that a paused process sends after its check still
 // arrives: keep reading the state, and order again where it isn't as wanted.
 func (l *Lease) MayOrderUnfenced(now time.Time) bool {
-	if l.WaitOut(now) > 0 {
+	if l.UnfencedWait(now) > 0 {
 		return false
 	}
 	_, ok := l.MayOrder(now)
 	return ok
 }
 
-// WaitOut returns how long orders to endpoints without fencing must wait: the
+// UnfencedWait returns how long orders to endpoints without fencing must wait: the
 // longest order that the last holder may have sent before its lease ran out.
-func (l *Lease) WaitOut(now time.Time) time.Duration { return max(l.waitTo.Sub(now), 0) }
+func (l *Lease) UnfencedWait(now time.Time) time.Duration { return max(l.waitTo.Sub(now), 0) }
 
 // Deadline returns when an order that leaves now must have ended.
-func (l *Lease) Deadline(now time.Time) time.Time { return now.Add(l.config.LongestOrder) }
+func (l *Lease) Deadline(now time.Time) time.Time { return now.Add(l.config.OrderTimeout) }
 
 // Held reports what MayOrder would, without allowing an order; it is for
 // status. A lease that is being given up isn't held any more: the write that
--- a/internal/lease/memory_test.go
+++ b/internal/lease/memory_test.go
@@ -66,7 +66,7 @@
 		d.set.ReadFailed(now, a.Shard)
 	case Write:
 		m.writes++
-		d.set.Unsure(now, a)
+		d.set.WriteAmbiguous(now, a)
 	}
 }
 
@@ -74,10 +74,10 @@
 	result, took := m.write(a)
 	switch {
 	case lost:
-		d.set.Unsure(now, a)
+		d.set.WriteAmbiguous(now, a)
 	case took:
 		d.set.Wrote(now, a, result.Version)
 	default:
-		d.set.Lost(now, a, result)
+		d.set.WriteConflict(now, a, result)
 	}
 }
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -111,11 +111,11 @@
 	case c.action.Kind == Read:
 		set.Observed(now, 0, c.result)
 	case lose:
-		set.Unsure(now, c.action)
+		set.WriteAmbiguous(now, c.action)
 	case c.took:
 		set.Wrote(now, c.action, c.result.Version)
 	default:
-		set.Lost(now, c.action, c.result)
+		set.WriteConflict(now, c.action, c.result)
 	}
 }
 
@@ -133,7 +133,7 @@
 		t.Fatalf("order with fencing number %d after one with %d", fencing, m.highest)
 	}
 	m.highest = fencing
-	m.orders = append(m.orders, order{daemon: i, end: m.time + l.config.LongestOrder})
+	m.orders = append(m.orders, order{daemon: i, end: m.time + l.config.OrderTimeout})
 }
 
 // checkUnfenced fails when another daemon's order is still under way.
--- a/internal/lease/set.go
+++ b/internal/lease/set.go
@@ -40,7 +40,7 @@
 		s.leases[i] = newLease(&s.config, self, i, random)
 	}
 	s.observeAt = now.Add(time.Duration(random.Float64() * float64(config.StartSpread)))
-	s.sweepAt = now.Add(around(random, config.Sweep, 0.5))
+	s.sweepAt = now.Add(around(random, config.SweepInterval, 0.5))
 	return s
 }
 
@@ -108,15 +108,15 @@
 		return out
 	}
 	if !now.Before(s.sweepAt) {
-		s.sweepAt = now.Add(around(s.random, s.config.Sweep, 0.5))
+		s.sweepAt = now.Add(around(s.random, s.config.SweepInterval, 0.5))
 		return s.list(now, out)
 	}
 	if now.Before(s.observeAt) {
 		return out
 	}
-	s.observeAt = now.Add(around(s.random, s.config.Observe, 0.1))
+	s.observeAt = now.Add(around(s.random, s.config.ObserveInterval, 0.1))
 	follow := s.followed()
-	if len(follow) > s.config.ListOver {
+	if len(follow) > s.config.ListThreshold {
 		return s.list(now, out)
 	}
 	for _, i := range follow {
@@ -171,10 +171,10 @@
 	s.leases[a.Shard].wrote(now, a.State.Write, version)
 }
 
-// Lost takes the answer that a Write lost its condition, with what stands.
-func (s *Set) Lost(now time.Time, a Action, current Observation) {
+// WriteConflict takes the answer that a Write lost its condition, with what stands.
+func (s *Set) WriteConflict(now time.Time, a Action, current Observation) {
 	s.leases[a.Shard].lost(now, a.State.Write, current)
 }
 
-// Unsure notes that a Write had no answer, or one that proves nothing.
-func (s *Set) Unsure(now time.Time, a Action) { s.leases[a.Shard].unanswered(now, a.State.Write) }
+// WriteAmbiguous notes that a Write had no answer, or one that proves nothing.
+func (s *Set) WriteAmbiguous(now time.Time, a Action) { s.leases[a.Shard].unanswered(now, a.State.Write) }
--- a/internal/lease/step.go
+++ b/internal/lease/step.go
@@ -56,7 +56,7 @@
 // must be recent, so that a daemon that seldom looks doesn't write on a
 // version that is long gone.
 func (l *Lease) takeable(now time.Time, rank int) bool {
-	if l.readAt.IsZero() || now.Sub(l.readAt) > l.config.Observe {
+	if l.readAt.IsZero() || now.Sub(l.readAt) > l.config.ObserveInterval {
 		return false
 	}
 	if l.afterGap(now, rank) || now.Before(l.doubtTo) {
@@ -107,14 +107,14 @@
 // lease to who is. Each time that it comes back, because the preferred one
 // didn't take it, the wait doubles.
 func (l *Lease) handoverDue(now time.Time, rank int) bool {
-	settle := l.config.Settle << min(l.handovers, 6)
-	return rank > 0 && now.Sub(l.rankSince) >= settle && now.Sub(l.since) < l.config.Renew
+	settle := l.config.HandoverDelay << min(l.handovers, 6)
+	return rank > 0 && now.Sub(l.rankSince) >= settle && now.Sub(l.since) < l.config.RenewInterval
 }
 
 // release gives the lease up once all orders have ended: after it another
 // daemon may order at once.
 func (l *Lease) release(now time.Time) (Action, bool) {
-	if now.Before(l.lastOrder.Add(l.config.LongestOrder)) {
+	if now.Before(l.lastOrder.Add(l.config.OrderTimeout)) {
 		if now.Before(l.renewAt) {
 			return Action{}, false
 		}
@@ -127,7 +127,7 @@
 	return State{
 		Holder:         l.self,
 		DurationMillis: l.config.Duration.Milliseconds(),
-		OrderMillis:    l.config.LongestOrder.Milliseconds(),
+		OrderMillis:    l.config.OrderTimeout.Milliseconds(),
 		Fencing:        fencing,
 	}
 }
--- a/internal/lease/takeover_test.go
+++ b/internal/lease/takeover_test.go
@@ -90,8 +90,8 @@
 	l := other.set.Lease(0)
 	_, ok := l.MayOrder(at(when))
 	assert.Assert(t, ok)
-	assert.Assert(t, !l.MayOrderUnfenced(at(when+DefaultConfig.LongestOrder-1)))
-	assert.Assert(t, l.MayOrderUnfenced(at(when+DefaultConfig.LongestOrder)))
+	assert.Assert(t, !l.MayOrderUnfenced(at(when+DefaultConfig.OrderTimeout-1)))
+	assert.Assert(t, l.MayOrderUnfenced(at(when+DefaultConfig.OrderTimeout)))
 }
 
 // The answer to the write that won a lease is lost. Reading back shows that it
@@ -101,10 +101,10 @@
 	when, a := firstWrite(m, d, 0)
 	m.answer(at(when), d, a, true)
 	assert.Assert(t, !d.set.Lease(0).Held(at(when)))
-	for t := when; t < when+DefaultConfig.Retry*2; t += 100 * time.Millisecond {
+	for t := when; t < when+DefaultConfig.RetryDelay*2; t += 100 * time.Millisecond {
 		m.step(at(t), d, 0, rand.New(rand.NewPCG(1, 1)))
 	}
-	assert.Assert(t, d.set.Lease(0).Held(at(when+DefaultConfig.Retry*2)))
+	assert.Assert(t, d.set.Lease(0).Held(at(when+DefaultConfig.RetryDelay*2)))
 	assert.Equal(t, m.writes, 1)
 }
 
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -59,17 +59,17 @@
 	return lease.Config{
 		Duration:     length,
 		Margin:       length / 10,
-		Renew:        length / 3,
-		Retry:        150 * time.Millisecond,
+		RenewInterval:        length / 3,
+		RetryDelay:        150 * time.Millisecond,
 		CallTimeout:  length / 3,
-		LongestOrder: time.Second,
+		OrderTimeout: time.Second,
 		Candidates:   3,
-		Observe:      length / 4,
-		Sweep:        3 * length,
+		ObserveInterval:      length / 4,
+		SweepInterval:        3 * length,
 		RankDelay:    length * 3 / 10,
-		Settle:       20 * time.Second,
+		HandoverDelay:       20 * time.Second,
 		StartSpread:  100 * time.Millisecond,
-		ListOver:     4,
+		ListThreshold:     4,
 	}
 }
 
@@ -216,11 +216,11 @@
 	case err == nil:
 		d.lease.Wrote(now, a, o.Revision)
 	case errors.Is(err, objects.ErrConflict) && o.Revision != 0:
-		d.lease.Lost(now, a, observation(o))
+		d.lease.WriteConflict(now, a, observation(o))
 	case errors.Is(err, objects.ErrNotFound):
-		d.lease.Lost(now, a, lease.Observation{})
+		d.lease.WriteConflict(now, a, lease.Observation{})
 	default:
-		d.lease.Unsure(now, a)
+		d.lease.WriteAmbiguous(now, a)
 	}
 }
 
