--- a/internal/lease/answer.go
+++ b/internal/lease/answer.go
@@ -13,25 +13,25 @@
 		return // given up before; the read-back finds it
 	}
 	l.pending = nil
-	l.took(now, w, version)
+	l.confirm(now, w, version)
 }
 
-// lost takes the answer that a write lost its condition, with what stands.
-func (l *Lease) lost(now time.Time, number uint64, current Observation) {
+// writeConflict takes the answer that a write writeConflict its condition, with what stands.
+func (l *Lease) writeConflict(now time.Time, number uint64, current Observation) {
 	if l.pending == nil || l.pending.number != number {
 		return
 	}
 	l.pending = nil
 	if current.Version == 0 {
-		l.vanished(now)
+		l.noteDeleted(now)
 		return
 	}
 	l.observe(now, current)
 }
 
-// vanished notes that the object was deleted, by hand or by a store that came
+// noteDeleted notes that the object was deleted, by hand or by a store that came
 // back empty. Whoever held the lease may go on until it runs out.
-func (l *Lease) vanished(now time.Time) {
+func (l *Lease) noteDeleted(now time.Time) {
 	l.seen.Version = 0
 	l.seenAt, l.readAt = now, now
 	l.drop()
@@ -44,41 +44,41 @@
 	l.releasing = l.leaving
 }
 
-// unanswered takes it that a write had no answer that proves anything.
-func (l *Lease) unanswered(now time.Time, number uint64) {
+// writeAmbiguous takes it that a write had no answer that proves anything.
+func (l *Lease) writeAmbiguous(now time.Time, number uint64) {
 	if l.pending != nil && l.pending.number == number {
-		l.unsureAt(now)
+		l.noteAmbiguous(now)
 	}
 }
 
-// unsureAt notes that a write may or may not have taken effect.
-func (l *Lease) unsureAt(now time.Time) {
+// noteAmbiguous notes that a write may or may not have taken effect.
+func (l *Lease) noteAmbiguous(now time.Time) {
 	l.pending = nil
-	l.unsure = true
-	l.retryAt = now.Add(l.pause())
+	l.ambiguous = true
+	l.retryAt = now.Add(l.backoff())
 }
 
 // readFailed notes that a read had no answer.
 func (l *Lease) readFailed(now time.Time) {
 	l.reading = false
-	l.followed = time.Time{}
-	l.retryAt = now.Add(l.pause())
+	l.followedSince = time.Time{}
+	l.retryAt = now.Add(l.backoff())
 }
 
-// pause draws the time before a failed call is repeated. It doubles with each
+// backoff draws the time before a failed call is repeated. It doubles with each
 // failure up to Renew: quick enough to save a lease after a lost answer, and
 // in an outage no more calls than in quiet.
-func (l *Lease) pause() time.Duration {
+func (l *Lease) backoff() time.Duration {
 	mean := min(l.config.RetryDelay<<min(l.failures, maxDoublings), l.config.RenewInterval)
 	l.failures++
-	return around(l.random, mean, 0.5)
+	return jitter(l.random, mean, 0.5)
 }
 
 // maxDoublings keeps the shift from running over.
 const maxDoublings = 20
 
-// observed takes the object as read at some moment before now.
-func (l *Lease) observed(now time.Time, o Observation) {
+// readDone takes the object as read at some moment before now.
+func (l *Lease) readDone(now time.Time, o Observation) {
 	l.reading = false
 	if l.pending != nil {
 		return // its answer tells more
@@ -94,35 +94,35 @@
 		return // an answer that was overtaken
 	}
 	first := l.readAt.IsZero()
-	if l.followed.IsZero() || (l.candidate && now.Sub(l.readAt) > 2*l.config.ObserveInterval) {
-		l.followed = now
+	if l.followedSince.IsZero() || (l.candidate && now.Sub(l.readAt) > 2*l.config.ObserveInterval) {
+		l.followedSince = now
 	}
-	l.unsure, l.failures = false, 0
+	l.ambiguous, l.failures = false, 0
 	l.readAt = now
 	if o.Version == l.seen.Version && !first {
 		return
 	}
-	l.doubt(now, o)
-	if w := l.own(o); w != nil && (l.held || !now.Before(l.doubtTo)) {
-		l.took(now, w, o.Version)
+	l.noteRestore(now, o)
+	if w := l.ownWrite(o); w != nil && (l.held || !now.Before(l.restoreWaitEnd)) {
+		l.confirm(now, w, o.Version)
 		return
 	}
 	l.seen, l.seenAt = o, now
 	l.drop()
 }
 
-// doubt notes that the store has come back from an older copy. Failure: who took
+// noteRestore notes that the store has come back from an older copy. Failure: who took
 // the lease in the seconds that are lost still believes that it holds it, and the
 // copy shows nobody, or who held it before. Symptom: two daemons act in turns. Who
 // isn't a holder by its own clock waits for as long as one may go on.
-func (l *Lease) doubt(now time.Time, o Observation) {
+func (l *Lease) noteRestore(now time.Time, o Observation) {
 	if l.seen.Version != 0 && objects.EraOf(o.Version) > objects.EraOf(l.seen.Version) {
-		l.doubtTo = now.Add(l.config.Duration + l.config.Margin)
+		l.restoreWaitEnd = now.Add(l.config.Duration + l.config.Margin)
 	}
 }
 
-// own returns the write of this daemon that an observation shows, if any.
-func (l *Lease) own(o Observation) *sentWrite {
+// ownWrite returns the write of this daemon that an observation shows, if any.
+func (l *Lease) ownWrite(o Observation) *sentWrite {
 	w := l.sent.find(o.State.Write)
 	if w == nil || w.state != o.State {
 		return nil
@@ -130,30 +130,30 @@
 	return w
 }
 
-// took notes that a write took effect as a version. The lease counts from
+// confirm notes that a write confirm effect as a version. The lease counts from
 // before the write left: the store may have taken it at once, and others count
 // from then.
-func (l *Lease) took(now time.Time, w *sentWrite, version uint64) {
-	l.unsure, l.failures = false, 0
+func (l *Lease) confirm(now time.Time, w *sentWrite, version uint64) {
+	l.ambiguous, l.failures = false, 0
 	l.seen, l.seenAt, l.readAt = Observation{Version: version, State: w.state}, now, now
 	switch w.kind {
 	case acquire:
 		l.fencing = version
-		l.waitTo = waitTo(now, w.prior)
+		l.unfencedFrom = priorOrdersEnd(now, w.prior)
 	case release:
 		l.drop()
 		return
 	}
 	l.held = true
-	l.since = w.at
-	l.renewAt = w.at.Add(around(l.random, l.config.RenewInterval, 0.2))
+	l.termStart = w.sentAt
+	l.renewAt = w.sentAt.Add(jitter(l.random, l.config.RenewInterval, 0.2))
 }
 
-// waitTo returns when orders of the holder before must have ended. Its lease
+// priorOrdersEnd returns when orders of the holder before must have ended. Its lease
 // has run out by now; an order that left at its very end may not have.
-func waitTo(now time.Time, prior Observation) time.Time {
+func priorOrdersEnd(now time.Time, prior Observation) time.Time {
 	if prior.Version == 0 || prior.State.Released {
 		return now
 	}
-	return now.Add(prior.State.longestOrder())
+	return now.Add(prior.State.orderTimeout())
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,28 +16,28 @@
 
 	seen      Observation // newest version that was read or written
 	seenAt    time.Time   // when an answer first showed that version
-	doubtTo   time.Time   // until then a holder that isn't seen may be there
+	restoreWaitEnd   time.Time   // until then a holder that isn't seen may be there
 	readAt    time.Time   // when an answer last showed it; zero: nothing is known
-	followed  time.Time   // since when looks came without a gap; zero: the last one failed
+	followedSince  time.Time   // since when looks came without a gap; zero: the last one failed
 	candidate bool        // by rank, at the last tick
 
 	held    bool
 	fencing uint64
-	since   time.Time // when the newest proven write of the lease was sent
+	termStart   time.Time // when the newest proven write of the lease was sent
 	renewAt time.Time
-	waitTo  time.Time // orders to endpoints without fencing wait until then
+	unfencedFrom  time.Time // orders to endpoints without fencing wait until then
 
 	releasing bool      // no more orders; the lease is given up when all have ended
 	leaving   bool      // the daemon stops; the lease isn't taken again
 	lastOrder time.Time // last time that MayOrder allowed one
-	rankSince time.Time // since when this daemon isn't the preferred one; zero: it is
+	notPreferredSince time.Time // since when this daemon isn't the preferred one; zero: it is
 	handovers int
 
 	sent     sentWrites
 	pending  *sentWrite // write without an answer yet
 	reading  bool       // a read-back has no answer yet
-	callEnd  time.Time  // when the call without an answer counts as lost
-	unsure   bool       // a write's outcome must be read back
+	callDeadline  time.Time  // when the call without an answer counts as lost
+	ambiguous   bool       // a write's outcome must be read back
 	retryAt  time.Time
 	failures int // calls without an answer in a row
 }
@@ -77,7 +77,7 @@
 
 // UnfencedWait returns how long orders to endpoints without fencing must wait: the
 // longest order that the last holder may have sent before its lease ran out.
-func (l *Lease) UnfencedWait(now time.Time) time.Duration { return max(l.waitTo.Sub(now), 0) }
+func (l *Lease) UnfencedWait(now time.Time) time.Duration { return max(l.unfencedFrom.Sub(now), 0) }
 
 // Deadline returns when an order that leaves now must have ended.
 func (l *Lease) Deadline(now time.Time) time.Time { return now.Add(l.config.OrderTimeout) }
@@ -107,7 +107,7 @@
 }
 
 func (l *Lease) valid(now time.Time) bool {
-	return l.held && elapsed(l.since, now) < l.config.Duration-l.config.Margin
+	return l.held && elapsed(l.termStart, now) < l.config.Duration-l.config.Margin
 }
 
 // elapsed returns the time from a moment to now by whichever clock of this
--- a/internal/lease/sent.go
+++ b/internal/lease/sent.go
@@ -15,19 +15,19 @@
 type sentWrite struct {
 	number uint64
 	kind   writeKind
-	at     time.Time // before it left
+	sentAt     time.Time // before it left
 	state  State
 	prior  Observation // what it replaces
 }
 
-// rememberedWrites bounds the writes that a late effect is recognised of. A
+// maxSentWrites bounds the writes that a late effect is recognised of. A
 // write on the same version is only sent again after a read-back, so more
 // than a few can't be on their way at once.
-const rememberedWrites = 8
+const maxSentWrites = 8
 
 // sentWrites is the last writes, by number.
 type sentWrites struct {
-	ring [rememberedWrites]sentWrite
+	ring [maxSentWrites]sentWrite
 	last uint64
 }
 
@@ -36,16 +36,16 @@
 	s.last++
 	w.number = s.last
 	w.state.Write = s.last
-	at := &s.ring[s.last%rememberedWrites]
-	*at = w
-	return at
+	slot := &s.ring[s.last%maxSentWrites]
+	*slot = w
+	return slot
 }
 
 // find returns the write with a number, nil when it is too old.
 func (s *sentWrites) find(number uint64) *sentWrite {
-	at := &s.ring[number%rememberedWrites]
-	if number == 0 || at.number != number {
+	slot := &s.ring[number%maxSentWrites]
+	if number == 0 || slot.number != number {
 		return nil
 	}
-	return at
+	return slot
 }
--- a/internal/lease/set.go
+++ b/internal/lease/set.go
@@ -22,7 +22,7 @@
 	observeAt time.Time // next look at the shards that this daemon is a candidate for
 	sweepAt   time.Time // next look at all shards
 	listing   bool
-	listEnd   time.Time // when a list without an answer counts as lost
+	listDeadline   time.Time // when a list without an answer counts as lost
 }
 
 // NewSet returns the shards of a duty, at now, with self alone alive. Only a
@@ -40,7 +40,7 @@
 		s.leases[i] = newLease(&s.config, self, i, random)
 	}
 	s.observeAt = now.Add(time.Duration(random.Float64() * float64(config.StartSpread)))
-	s.sweepAt = now.Add(around(random, config.SweepInterval, 0.5))
+	s.sweepAt = now.Add(jitter(random, config.SweepInterval, 0.5))
 	return s
 }
 
@@ -91,7 +91,7 @@
 // Tick returns the calls that are due. A few times a second is often enough.
 func (s *Set) Tick(now time.Time) []Action {
 	var out []Action
-	if s.listing && !now.Before(s.listEnd) {
+	if s.listing && !now.Before(s.listDeadline) {
 		s.ListFailed()
 	}
 	for i, l := range s.leases {
@@ -99,27 +99,27 @@
 			out = append(out, a)
 		}
 	}
-	return s.look(now, out)
+	return s.appendReads(now, out)
 }
 
-// look adds the reads by which a daemon follows leases that it doesn't hold.
-func (s *Set) look(now time.Time, out []Action) []Action {
+// appendReads adds the reads by which a daemon follows leases that it doesn't hold.
+func (s *Set) appendReads(now time.Time, out []Action) []Action {
 	if s.listing {
 		return out
 	}
 	if !now.Before(s.sweepAt) {
-		s.sweepAt = now.Add(around(s.random, s.config.SweepInterval, 0.5))
+		s.sweepAt = now.Add(jitter(s.random, s.config.SweepInterval, 0.5))
 		return s.list(now, out)
 	}
 	if now.Before(s.observeAt) {
 		return out
 	}
-	s.observeAt = now.Add(around(s.random, s.config.ObserveInterval, 0.1))
-	follow := s.followed()
-	if len(follow) > s.config.ListThreshold {
+	s.observeAt = now.Add(jitter(s.random, s.config.ObserveInterval, 0.1))
+	candidates := s.candidateShards()
+	if len(candidates) > s.config.ListThreshold {
 		return s.list(now, out)
 	}
-	for _, i := range follow {
+	for _, i := range candidates {
 		out = append(out, s.leases[i].readBack(now))
 	}
 	return out
@@ -127,13 +127,13 @@
 
 func (s *Set) list(now time.Time, out []Action) []Action {
 	s.listing = true
-	s.listEnd = now.Add(s.config.CallTimeout)
+	s.listDeadline = now.Add(s.config.CallTimeout)
 	return append(out, Action{Kind: List})
 }
 
-// followed returns the shards that this daemon is a candidate for and doesn't
+// candidateShards returns the shards that this daemon is a candidate for and doesn't
 // hold, as far as no call for them is under way.
-func (s *Set) followed() []int {
+func (s *Set) candidateShards() []int {
 	var out []int
 	for i, l := range s.leases {
 		busy := l.held || l.leaving || l.pending != nil || l.reading
@@ -145,7 +145,7 @@
 }
 
 // Observed takes the answer to a Read.
-func (s *Set) Observed(now time.Time, shard int, o Observation) { s.leases[shard].observed(now, o) }
+func (s *Set) Observed(now time.Time, shard int, o Observation) { s.leases[shard].readDone(now, o) }
 
 // ReadFailed notes that a Read had no answer.
 func (s *Set) ReadFailed(now time.Time, shard int) { s.leases[shard].readFailed(now) }
@@ -154,7 +154,7 @@
 func (s *Set) Listed(now time.Time, all []Observation) {
 	s.listing = false
 	for i, o := range all {
-		s.leases[i].observed(now, o)
+		s.leases[i].readDone(now, o)
 	}
 }
 
@@ -162,7 +162,7 @@
 func (s *Set) ListFailed() {
 	s.listing = false
 	for _, l := range s.leases {
-		l.followed = time.Time{}
+		l.followedSince = time.Time{}
 	}
 }
 
@@ -173,8 +173,8 @@
 
 // WriteConflict takes the answer that a Write lost its condition, with what stands.
 func (s *Set) WriteConflict(now time.Time, a Action, current Observation) {
-	s.leases[a.Shard].lost(now, a.State.Write, current)
+	s.leases[a.Shard].writeConflict(now, a.State.Write, current)
 }
 
 // WriteAmbiguous notes that a Write had no answer, or one that proves nothing.
-func (s *Set) WriteAmbiguous(now time.Time, a Action) { s.leases[a.Shard].unanswered(now, a.State.Write) }
+func (s *Set) WriteAmbiguous(now time.Time, a Action) { s.leases[a.Shard].writeAmbiguous(now, a.State.Write) }
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -20,7 +20,7 @@
 
 func (s State) duration() time.Duration { return time.Duration(s.DurationMillis) * time.Millisecond }
 
-func (s State) longestOrder() time.Duration { return time.Duration(s.OrderMillis) * time.Millisecond }
+func (s State) orderTimeout() time.Duration { return time.Duration(s.OrderMillis) * time.Millisecond }
 
 // Observation is a lease's object as it was read. Version 0 is no object.
 type Observation struct {
--- a/internal/lease/step.go
+++ b/internal/lease/step.go
@@ -10,13 +10,13 @@
 	switch {
 	case l.pending != nil || l.reading || now.Before(l.retryAt):
 		return Action{}, false
-	case l.unsure:
+	case l.ambiguous:
 		return l.readBack(now), true
 	case l.held && l.releasing:
 		return l.release(now)
 	case l.held:
 		return l.renew(now, rank)
-	case !l.leaving && l.takeable(now, rank):
+	case !l.leaving && l.mayAcquire(now, rank):
 		return l.acquire(now), true
 	}
 	return Action{}, false
@@ -27,39 +27,39 @@
 	if l.held && !l.valid(now) {
 		l.drop()
 	}
-	if l.pending != nil && !now.Before(l.callEnd) {
-		l.unsureAt(now)
+	if l.pending != nil && !now.Before(l.callDeadline) {
+		l.noteAmbiguous(now)
 	}
-	if l.reading && !now.Before(l.callEnd) {
+	if l.reading && !now.Before(l.callDeadline) {
 		l.readFailed(now)
 	}
 }
 
 func (l *Lease) noteRank(now time.Time, rank int) {
-	l.candidate = rank < l.config.Candidates || l.gaveUp()
+	l.candidate = rank < l.config.Candidates || l.handedOver()
 	switch {
 	case rank == 0:
-		l.rankSince, l.handovers = time.Time{}, 0
-	case l.rankSince.IsZero():
-		l.rankSince = now
+		l.notPreferredSince, l.handovers = time.Time{}, 0
+	case l.notPreferredSince.IsZero():
+		l.notPreferredSince = now
 	}
 }
 
-// gaveUp reports whether this daemon handed the lease over and nobody has
+// handedOver reports whether this daemon handed the lease over and nobody has
 // taken it yet. It then follows the lease whatever its rank: who is preferred
 // may be alive and cut off from the store.
-func (l *Lease) gaveUp() bool {
+func (l *Lease) handedOver() bool {
 	return l.seen.State.Released && l.seen.State.Holder == l.self
 }
 
-// takeable reports whether the lease may be taken from what was seen. A look
+// mayAcquire reports whether the lease may be taken from what was seen. A look
 // must be recent, so that a daemon that seldom looks doesn't write on a
 // version that is long gone.
-func (l *Lease) takeable(now time.Time, rank int) bool {
+func (l *Lease) mayAcquire(now time.Time, rank int) bool {
 	if l.readAt.IsZero() || now.Sub(l.readAt) > l.config.ObserveInterval {
 		return false
 	}
-	if l.afterGap(now, rank) || now.Before(l.doubtTo) {
+	if l.defersAfterGap(now, rank) || now.Before(l.restoreWaitEnd) {
 		return false
 	}
 	wait := l.rankWait(rank)
@@ -75,11 +75,11 @@
 	return time.Duration(min(rank, l.config.Candidates)) * l.config.RankDelay
 }
 
-// afterGap reports whether a daemon must let better ranks go first after the
+// defersAfterGap reports whether a daemon must let better ranks go first after the
 // store was out of reach: by then each has seen the old version unchanged for
 // long enough, and all would write at once.
-func (l *Lease) afterGap(now time.Time, rank int) bool {
-	return now.Sub(l.followed) < l.rankWait(rank)
+func (l *Lease) defersAfterGap(now time.Time, rank int) bool {
+	return now.Sub(l.followedSince) < l.rankWait(rank)
 }
 
 // free reports whether nobody else can hold the lease that was last seen. An
@@ -108,7 +108,7 @@
 // didn't take it, the wait doubles.
 func (l *Lease) handoverDue(now time.Time, rank int) bool {
 	settle := l.config.HandoverDelay << min(l.handovers, 6)
-	return rank > 0 && now.Sub(l.rankSince) >= settle && now.Sub(l.since) < l.config.RenewInterval
+	return rank > 0 && now.Sub(l.notPreferredSince) >= settle && now.Sub(l.termStart) < l.config.RenewInterval
 }
 
 // release gives the lease up once all orders have ended: after it another
@@ -133,13 +133,13 @@
 }
 
 func (l *Lease) write(now time.Time, kind writeKind, state State) Action {
-	l.pending = l.sent.add(sentWrite{kind: kind, at: now, state: state, prior: l.seen})
-	l.callEnd = now.Add(l.config.CallTimeout)
+	l.pending = l.sent.add(sentWrite{kind: kind, sentAt: now, state: state, prior: l.seen})
+	l.callDeadline = now.Add(l.config.CallTimeout)
 	return Action{Kind: Write, Shard: l.shard, IfVersion: l.seen.Version, State: l.pending.state}
 }
 
 func (l *Lease) readBack(now time.Time) Action {
 	l.reading = true
-	l.callEnd = now.Add(l.config.CallTimeout)
+	l.callDeadline = now.Add(l.config.CallTimeout)
 	return Action{Kind: Read, Shard: l.shard}
 }
