--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -11,22 +11,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// crowd is a fleet that shares the shards of one duty.
-type crowd struct {
-	store   *memory
+// cluster is a fleet that shares the shards of one duty.
+type cluster struct {
+	store   *memStore
 	members []*member
 	random  *rand.Rand
 	now     time.Time
-	lose    float64
-	born    int
+	lossRate    float64
+	started    int
 }
 
 // tickEvery is the time between two ticks of a daemon.
 const tickEvery = 250 * time.Millisecond
 
-func newCrowd(daemons, shards int, seed uint64) *crowd {
-	c := &crowd{
-		store:  newMemory(shards),
+func newCluster(daemons, shards int, seed uint64) *cluster {
+	c := &cluster{
+		store:  newMemStore(shards),
 		random: rand.New(rand.NewPCG(seed, 2)),
 		now:    time.Date(2026, 1, 31, 0, 0, 0, 0, time.UTC),
 	}
@@ -35,19 +35,19 @@
 }
 
 // restart replaces all daemons by new ones, which know each other.
-func (c *crowd) restart(daemons, shards int) {
+func (c *cluster) restart(daemons, shards int) {
 	c.members = nil
 	for range daemons {
-		c.born++
-		id := fleet.DaemonID(fmt.Sprintf("daemon-%d", c.born))
-		random := rand.New(rand.NewPCG(uint64(c.born), 3))
+		c.started++
+		id := fleet.DaemonID(fmt.Sprintf("daemon-%d", c.started))
+		random := rand.New(rand.NewPCG(uint64(c.started), 3))
 		c.members = append(c.members, &member{id: id, set: NewSet(DefaultConfig, id, Shards("duty", shards), random, c.now)})
 	}
-	c.tell()
+	c.updateMembership()
 }
 
-// tell gives every daemon the alive ones.
-func (c *crowd) tell() {
+// updateMembership gives every daemon the alive ones.
+func (c *cluster) updateMembership() {
 	ids := make([]fleet.DaemonID, len(c.members))
 	for i, m := range c.members {
 		ids[i] = m.id
@@ -58,13 +58,13 @@
 }
 
 // run lets time pass and returns the most writes and reads of any second.
-func (c *crowd) run(d time.Duration) (writes, reads int) {
+func (c *cluster) run(d time.Duration) (writes, reads int) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		w, r := c.store.writes, c.store.reads
 		for range time.Second / tickEvery {
 			c.now = c.now.Add(tickEvery)
 			for _, m := range c.members {
-				c.store.step(c.now, m, c.lose, c.random)
+				c.store.step(c.now, m, c.lossRate, c.random)
 			}
 		}
 		writes, reads = max(writes, c.store.writes-w), max(reads, c.store.reads-r)
@@ -73,7 +73,7 @@
 }
 
 // holders returns how many shards each daemon holds, and how many are held.
-func (c *crowd) holders() (most, held int) {
+func (c *cluster) holders() (most, held int) {
 	for _, m := range c.members {
 		own := 0
 		for i := range m.set.shards {
@@ -87,7 +87,7 @@
 }
 
 // untilHeld runs until every shard is held and returns the time that took.
-func (c *crowd) untilHeld(t testing.TB, shards int) time.Duration {
+func (c *cluster) untilHeld(t testing.TB, shards int) time.Duration {
 	start := c.now
 	for c.now.Sub(start) < 10*time.Minute {
 		if _, held := c.holders(); held == shards {
@@ -102,12 +102,12 @@
 // The first daemon up finds no other and takes every shard. When the rest are
 // up, shards must go over to the daemons that are preferred for them.
 func TestShardsSpreadAfterOneDaemonTookAll(t *testing.T) {
-	c := newCrowd(1, 64, 1)
+	c := newCluster(1, 64, 1)
 	c.untilHeld(t, 64)
 	first := c.members[0]
 	c.restart(8, 64)
 	c.members = append(c.members, first)
-	c.tell()
+	c.updateMembership()
 	c.run(5 * time.Minute)
 	most, held := c.holders()
 	assert.Equal(t, held, 64)
@@ -116,12 +116,12 @@
 
 // A third of the fleet vanishes without a word; its shards must find new
 // holders, none before the old leases ran out.
-func TestShardsMoveOnWhenHoldersVanish(t *testing.T) {
-	c := newCrowd(9, 64, 1)
-	c.lose = 0.2
+func TestShardsAreTakenOverWhenHoldersCrash(t *testing.T) {
+	c := newCluster(9, 64, 1)
+	c.lossRate = 0.2
 	c.untilHeld(t, 64)
 	c.members = c.members[3:]
-	c.tell()
+	c.updateMembership()
 	took := c.untilHeld(t, 64)
 	assert.Assert(t, took > DefaultConfig.Duration-DefaultConfig.RenewInterval-DefaultConfig.Margin, "after %s", took)
 }
@@ -129,8 +129,8 @@
 // A daemon that leaves gives its shards up once its orders have ended, and
 // others have them before its leases would have run out. It isn't to give up
 // one with an order under way: the next holder orders at once.
-func TestLeavingDaemonGivesShardsUp(t *testing.T) {
-	c := newCrowd(2, 8, 1)
+func TestLeavingDaemonReleasesItsShards(t *testing.T) {
+	c := newCluster(2, 8, 1)
 	c.untilHeld(t, 8)
 	leaver := c.members[0]
 	for i := range leaver.set.shards {
@@ -142,15 +142,15 @@
 	c.run(2 * time.Second)
 	assert.Assert(t, leaver.set.Left(c.now))
 	c.members = c.members[1:]
-	c.tell()
+	c.updateMembership()
 	assert.Assert(t, c.untilHeld(t, 8) < DefaultConfig.Duration)
 }
 
 // The store is down for minutes. All leases run out and no daemon orders;
 // when the store is back all shards are held again, and neither in the outage
 // nor after it do calls grow to a multiple of those in quiet.
-func TestOutageEndsWithoutACrowdOfCalls(t *testing.T) {
-	c := newCrowd(9, 64, 1)
+func TestOutageCausesNoBurstOfCalls(t *testing.T) {
+	c := newCluster(9, 64, 1)
 	c.untilHeld(t, 64)
 	c.run(time.Minute)
 	quietWrites, quietReads := c.run(time.Minute)
@@ -170,7 +170,7 @@
 // All candidates of a shard are alive to their peers but cut off from the
 // store. Another daemon must take the shard, though it seldom looks.
 func TestShardWhoseCandidatesAreCutOffFindsAHolder(t *testing.T) {
-	c := newCrowd(20, 8, 1)
+	c := newCluster(20, 8, 1)
 	c.untilHeld(t, 8)
 	c.members = slices.DeleteFunc(c.members, func(m *member) bool { return m.set.ranks[0] < DefaultConfig.Candidates })
 	c.run(3 * DefaultConfig.SweepInterval)
@@ -193,10 +193,10 @@
 	}
 }
 
-func benchFleet(b *testing.B, daemons int, lose float64) {
+func benchFleet(b *testing.B, daemons int, lossRate float64) {
 	const shards, quiet = 64, 5 * time.Minute
-	c := newCrowd(daemons, shards, 1)
-	c.lose = lose
+	c := newCluster(daemons, shards, 1)
+	c.lossRate = lossRate
 	c.untilHeld(b, shards)
 	c.run(time.Minute)
 	w, r := c.store.writes, c.store.reads
@@ -225,13 +225,13 @@
 	b.ReportMetric(float64(writes), "restart-peak-writes/s")
 	b.ReportMetric(float64(reads), "restart-peak-reads/s")
 	c.members = c.members[daemons/11+1:] // a data centre
-	c.tell()
+	c.updateMembership()
 	b.ReportMetric(c.untilHeld(b, shards).Seconds(), "s-until-held")
 }
 
 // BenchmarkTick is what a duty of 64 shards costs a daemon of a quiet fleet.
 func BenchmarkTick(b *testing.B) {
-	c := newCrowd(340, 64, 1)
+	c := newCluster(340, 64, 1)
 	c.untilHeld(b, 64)
 	set := c.members[0].set
 	b.ReportAllocs()
@@ -242,7 +242,7 @@
 
 // BenchmarkAlive is what a change of membership costs a daemon.
 func BenchmarkAlive(b *testing.B) {
-	c := newCrowd(340, 64, 1)
+	c := newCluster(340, 64, 1)
 	ids := make([]fleet.DaemonID, 0, 340)
 	for _, m := range c.members {
 		ids = append(ids, m.id)
--- a/internal/lease/memory_test.go
+++ b/internal/lease/memory_test.go
@@ -7,8 +7,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// memory is a store of leases with conditional writes, which counts calls.
-type memory struct {
+// memStore is a store of leases with conditional writes, which counts calls.
+type memStore struct {
 	version uint64
 	objects []Observation
 	reads   int
@@ -16,10 +16,10 @@
 	down    bool // no call is answered or has an effect
 }
 
-func newMemory(shards int) *memory { return &memory{objects: make([]Observation, shards)} }
+func newMemStore(shards int) *memStore { return &memStore{objects: make([]Observation, shards)} }
 
 // write returns the new version, or the current object and false.
-func (m *memory) write(a Action) (Observation, bool) {
+func (m *memStore) write(a Action) (Observation, bool) {
 	m.writes++
 	current := m.objects[a.Shard]
 	if current.Version != a.IfVersion {
@@ -38,11 +38,11 @@
 
 // step ticks a daemon and answers its calls at once, losing a share of the
 // answers to writes.
-func (m *memory) step(now time.Time, d *member, lose float64, random *rand.Rand) {
+func (m *memStore) step(now time.Time, d *member, lossRate float64, random *rand.Rand) {
 	for _, a := range d.set.Tick(now) {
 		switch {
 		case m.down:
-			m.fail(now, d, a)
+			m.failCall(now, d, a)
 		case a.Kind == List:
 			m.reads++
 			d.set.Listed(now, m.objects)
@@ -50,13 +50,13 @@
 			m.reads++
 			d.set.Observed(now, a.Shard, m.objects[a.Shard])
 		case a.Kind == Write:
-			m.answer(now, d, a, random.Float64() < lose)
+			m.answer(now, d, a, random.Float64() < lossRate)
 		}
 	}
 }
 
-// fail counts a call that has no answer.
-func (m *memory) fail(now time.Time, d *member, a Action) {
+// failCall counts a call that has no answer.
+func (m *memStore) failCall(now time.Time, d *member, a Action) {
 	switch a.Kind {
 	case List:
 		m.reads++
@@ -70,12 +70,12 @@
 	}
 }
 
-func (m *memory) answer(now time.Time, d *member, a Action, lost bool) {
-	result, took := m.write(a)
+func (m *memStore) answer(now time.Time, d *member, a Action, lost bool) {
+	result, applied := m.write(a)
 	switch {
 	case lost:
 		d.set.WriteAmbiguous(now, a)
-	case took:
+	case applied:
 		d.set.Wrote(now, a, result.Version)
 	default:
 		d.set.WriteConflict(now, a, result)
--- a/internal/lease/return_test.go
+++ b/internal/lease/return_test.go
@@ -9,36 +9,36 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// copies is a store of one lease that can come back from an older copy: its
+// backup is a store of one lease that can come back from an older copy: its
 // counter goes back and its numbers are given out again.
-type copies struct {
+type backup struct {
 	era   uint64
-	saved memory
+	saved memStore
 }
 
-// save makes a copy.
-func (m *model) save() {
-	m.copies.saved = memory{version: m.store.version, objects: append([]Observation(nil), m.store.objects...)}
+// saveCopy makes a copy.
+func (m *model) saveCopy() {
+	m.backup.saved = memStore{version: m.store.version, objects: append([]Observation(nil), m.store.objects...)}
 }
 
-// comeBack brings the copy back. All that is in it is of the new era.
-func (m *model) comeBack() {
-	c := &m.copies
-	if len(c.saved.objects) == 0 {
+// restoreCopy brings the copy back. All that is in it is of the new era.
+func (m *model) restoreCopy() {
+	b := &m.backup
+	if len(b.saved.objects) == 0 {
 		return
 	}
-	c.era++
-	m.store.version = objects.RevisionIn(c.era, max(objects.CounterOf(c.saved.version), 1))
-	o := c.saved.objects[0]
-	o.Version = objects.RevisionIn(c.era, objects.CounterOf(o.Version))
+	b.era++
+	m.store.version = objects.RevisionIn(b.era, max(objects.CounterOf(b.saved.version), 1))
+	o := b.saved.objects[0]
+	o.Version = objects.RevisionIn(b.era, objects.CounterOf(o.Version))
 	m.store.objects = []Observation{o}
-	m.save()
+	m.saveCopy()
 }
 
-// known reports whether each daemon has seen the lease once. One that has never
+// allObserved reports whether each daemon has seen the lease once. One that has never
 // looked relies on the others' word that they hold it, which is told beside the
 // store.
-func (m *model) known() bool {
+func (m *model) allObserved() bool {
 	for _, d := range m.daemons {
 		if d.set.Lease(0).seen.Version == 0 {
 			return false
@@ -51,34 +51,34 @@
 // number of times, beside pauses, late calls and lost answers. What it shows of
 // the lease is older than what its holder knows: nobody, or the holder before.
 // Never may two daemons order at once, nor a fencing number fall.
-func TestNeverTwoHoldersThoughTheStoreForgets(t *testing.T) {
-	held, returns := 0, 0
+func TestNeverTwoHoldersAfterStoreRestore(t *testing.T) {
+	held, restores := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(500, 1500).Draw(t, "steps") {
-			m.random(t)
+			m.randomStep(t)
 			held += m.checkHolders(t)
 			switch rapid.IntRange(0, 99).Draw(t, "copy") {
 			case 0, 1:
-				m.save()
+				m.saveCopy()
 			case 2:
-				if m.known() {
-					m.comeBack()
-					returns++
+				if m.allObserved() {
+					m.restoreCopy()
+					restores++
 				}
 			}
 		}
 	})
-	if held == 0 || returns == 0 {
+	if held == 0 || restores == 0 {
 		t.Fatal("nothing was checked")
 	}
 }
 
 // After the store's return somebody holds the lease again, within twice its
 // length.
-func TestLeaseIsHeldAgainAfterTheStoresReturn(t *testing.T) {
+func TestLeaseIsHeldAgainAfterStoreRestore(t *testing.T) {
 	for _, daemons := range []int{6, 80, 195} {
-		c := newCrowd(daemons, 1, 1)
+		c := newCluster(daemons, 1, 1)
 		c.untilHeld(t, 1)
 		c.run(time.Minute)
 		before := *c.store
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -14,15 +14,15 @@
 type call struct {
 	daemon int
 	action Action
-	done   bool // the store has taken it; its answer is under way
+	arrived   bool // the store has taken it; its answer is under way
 	result Observation
-	took   bool
+	written   bool
 }
 
 // model is three daemons that all believe to be preferred for one shard, and
 // a store whose calls may arrive at any later time, or whose answers get lost.
 type model struct {
-	store   *memory
+	store   *memStore
 	daemons []*member
 	paused  []bool
 	drift   []float64 // of each clock's rate
@@ -30,7 +30,7 @@
 	calls   []call
 	orders  []order
 	highest uint64 // fencing number of the newest order
-	copies  copies
+	backup  backup
 }
 
 // order is an order that left, with its end in the model's time.
@@ -43,21 +43,21 @@
 const maxDrift = 500e-6
 
 func newModel(t *rapid.T) *model {
-	m := &model{store: newMemory(1), paused: make([]bool, 3)}
+	m := &model{store: newMemStore(1), paused: make([]bool, 3)}
 	config := DefaultConfig
 	config.StartSpread = 0
 	for i := range 3 {
 		id := fleet.DaemonID(fmt.Sprintf("daemon-%d", i))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		m.drift = append(m.drift, rapid.Float64Range(-maxDrift, maxDrift).Draw(t, "drift"))
-		set := NewSet(config, id, Shards("duty", 1), random, m.local(i))
+		set := NewSet(config, id, Shards("duty", 1), random, m.localTime(i))
 		m.daemons = append(m.daemons, &member{id: id, set: set})
 	}
 	return m
 }
 
-// local returns a daemon's clock: they differ by years, and in their rate.
-func (m *model) local(i int) time.Time {
+// localTime returns a daemon's clock: they differ by years, and in their rate.
+func (m *model) localTime(i int) time.Time {
 	epoch := time.Date(2000+i*7, 1, 1, 0, 0, 0, 0, time.UTC)
 	return epoch.Add(m.time + time.Duration(m.drift[i]*float64(m.time)))
 }
@@ -69,16 +69,16 @@
 		if m.paused[i] {
 			continue
 		}
-		for _, a := range d.set.Tick(m.local(i)) {
+		for _, a := range d.set.Tick(m.localTime(i)) {
 			m.calls = append(m.calls, call{daemon: i, action: a})
 		}
 	}
 }
 
-// move takes a call one step further: into the store, then back or lost.
-func (m *model) move(i int, lose bool) {
+// deliver takes a call one step further: into the store, then back or lost.
+func (m *model) deliver(i int, lose bool) {
 	c := m.calls[i]
-	if !c.done {
+	if !c.arrived {
 		m.calls[i] = m.arrive(c)
 		return
 	}
@@ -90,9 +90,9 @@
 }
 
 func (m *model) arrive(c call) call {
-	c.done = true
+	c.arrived = true
 	if c.action.Kind == Write {
-		c.result, c.took = m.store.write(c.action)
+		c.result, c.written = m.store.write(c.action)
 	} else {
 		c.result = m.store.objects[0]
 	}
@@ -100,7 +100,7 @@
 }
 
 func (m *model) answer(c call, lose bool) {
-	set, now := m.daemons[c.daemon].set, m.local(c.daemon)
+	set, now := m.daemons[c.daemon].set, m.localTime(c.daemon)
 	switch {
 	case c.action.Kind == List && lose:
 		set.ListFailed()
@@ -112,16 +112,16 @@
 		set.Observed(now, 0, c.result)
 	case lose:
 		set.WriteAmbiguous(now, c.action)
-	case c.took:
+	case c.written:
 		set.Wrote(now, c.action, c.result.Version)
 	default:
 		set.WriteConflict(now, c.action, c.result)
 	}
 }
 
-// order lets a daemon order if it may, and checks what endpoints would see.
-func (m *model) order(t *rapid.T, i int) {
-	l, now := m.daemons[i].set.Lease(0), m.local(i)
+// sendOrder lets a daemon sendOrder if it may, and checks what endpoints would see.
+func (m *model) sendOrder(t *rapid.T, i int) {
+	l, now := m.daemons[i].set.Lease(0), m.localTime(i)
 	if l.MayOrderUnfenced(now) {
 		m.checkUnfenced(t, i)
 	}
@@ -149,7 +149,7 @@
 // paused ones included.
 func (m *model) checkHolders(t *rapid.T) (holders int) {
 	for i, d := range m.daemons {
-		if d.set.Lease(0).Held(m.local(i)) {
+		if d.set.Lease(0).Held(m.localTime(i)) {
 			holders++
 		}
 	}
@@ -168,7 +168,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(1000, 2000).Draw(t, "steps") {
-			m.random(t)
+			m.randomStep(t)
 			held += m.checkHolders(t)
 		}
 	})
@@ -177,21 +177,21 @@
 	}
 }
 
-// steps are the kinds of random step, the likely ones more often.
-var steps = []string{
+// stepKinds are the kinds of random step, the likely ones more often.
+var stepKinds = []string{
 	"advance", "advance", "advance", "advance", "settle", "settle", "settle", "settle",
 	"move", "move", "pause", "hand over",
 }
 
-// pauses are lengths of time around the bounds of DefaultConfig, in ms.
-var pauses = []int{100, 250, 250, 250, 1000, 1000, 2500, 6000, 12000, 18500, 19500, 20500, 22000}
+// advanceMillis are lengths of time around the bounds of DefaultConfig, in ms.
+var advanceMillis = []int{100, 250, 250, 250, 1000, 1000, 2500, 6000, 12000, 18500, 19500, 20500, 22000}
 
-// random does one random step.
-func (m *model) random(t *rapid.T) {
+// randomStep does one randomStep step.
+func (m *model) randomStep(t *rapid.T) {
 	daemon := rapid.IntRange(0, 2)
-	switch rapid.SampledFrom(steps).Draw(t, "step") {
+	switch rapid.SampledFrom(stepKinds).Draw(t, "step") {
 	case "advance":
-		m.advance(time.Duration(rapid.SampledFrom(pauses).Draw(t, "ms")) * time.Millisecond)
+		m.advance(time.Duration(rapid.SampledFrom(advanceMillis).Draw(t, "ms")) * time.Millisecond)
 	case "pause":
 		i := daemon.Draw(t, "pause")
 		m.paused[i] = !m.paused[i]
@@ -200,14 +200,14 @@
 	case "move":
 		if len(m.calls) > 0 {
 			i := rapid.IntRange(0, len(m.calls)-1).Draw(t, "call")
-			m.move(i, rapid.Bool().Draw(t, "lose"))
+			m.deliver(i, rapid.Bool().Draw(t, "lose"))
 		}
 	case "settle":
 		m.settle()
 	}
 	for i := range m.daemons {
 		if !m.paused[i] && rapid.Bool().Draw(t, "order") {
-			m.order(t, i)
+			m.sendOrder(t, i)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 func (m *model) settle() {
 	for range 2 {
 		for i := len(m.calls) - 1; i >= 0; i-- {
-			m.move(i, false)
+			m.deliver(i, false)
 		}
 	}
 }
--- a/internal/lease/takeover_test.go
+++ b/internal/lease/takeover_test.go
@@ -14,8 +14,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// alone returns a daemon that follows one shard from the start.
-func alone(id fleet.DaemonID) *member {
+// newMember returns a daemon that follows one shard from the start.
+func newMember(id fleet.DaemonID) *member {
 	config := DefaultConfig
 	config.StartSpread = 0
 	random := rand.New(rand.NewPCG(7, 7))
@@ -24,17 +24,17 @@
 
 // pair returns a store, a holder that won its lease at the start and ticks no
 // more, and a daemon that saw that at once.
-func pair() (*memory, *member, *member) {
-	m, holder, other := newMemory(1), alone("holder"), alone("other")
-	never := rand.New(rand.NewPCG(1, 1))
-	m.step(start, holder, 0, never)
-	m.step(start, holder, 0, never)
-	m.step(start, other, 0, never)
+func pair() (*memStore, *member, *member) {
+	m, holder, other := newMemStore(1), newMember("holder"), newMember("other")
+	random := rand.New(rand.NewPCG(1, 1))
+	m.step(start, holder, 0, random)
+	m.step(start, holder, 0, random)
+	m.step(start, other, 0, random)
 	return m, holder, other
 }
 
 // firstWrite ticks a daemon until it wants a write, and returns when and what.
-func firstWrite(m *memory, d *member, from time.Duration) (time.Duration, Action) {
+func firstWrite(m *memStore, d *member, from time.Duration) (time.Duration, Action) {
 	for t := from; t < time.Hour; t += 100 * time.Millisecond {
 		for _, a := range d.set.Tick(at(t)) {
 			if a.Kind == Write {
@@ -97,7 +97,7 @@
 // The answer to the write that won a lease is lost. Reading back shows that it
 // took effect; the daemon must not wait out its own lease, nor write again.
 func TestLostAnswerIsReadBack(t *testing.T) {
-	m, d := newMemory(1), alone("daemon")
+	m, d := newMemStore(1), newMember("daemon")
 	when, a := firstWrite(m, d, 0)
 	m.answer(at(when), d, a, true)
 	assert.Assert(t, !d.set.Lease(0).Held(at(when)))
@@ -110,7 +110,7 @@
 
 // Somebody deletes a lease's object. Its holder doesn't know and goes on, so a
 // daemon that finds the object gone must wait as if it were there.
-func TestVanishedObjectIsWaitedOut(t *testing.T) {
+func TestDeletedObjectIsWaitedOut(t *testing.T) {
 	m, _, other := pair()
 	when, a := firstWrite(m, other, 0)
 	m.objects[0] = Observation{}
@@ -122,8 +122,8 @@
 
 // In quiet no daemon writes on a version that is long gone: such a write has
 // no effect but counts against the platform's rate.
-func TestQuietFleetWritesRenewalsOnly(t *testing.T) {
-	c := newCrowd(9, 8, 1)
+func TestSteadyFleetWritesOnlyRenewals(t *testing.T) {
+	c := newCluster(9, 8, 1)
 	c.untilHeld(t, 8)
 	c.run(time.Minute)
 	writes, version := c.store.writes, c.store.version
@@ -134,22 +134,22 @@
 // After an outage, a daemon that seldom looks sees all leases lapsed at its
 // first look. It must leave them to the candidates, or its one look makes a
 // write for every shard; only if nobody takes one by its next look, it does.
-func TestDaemonThatSeldomLooksLeavesLapsedLeasesToCandidates(t *testing.T) {
+func TestNonCandidateLeavesLapsedLeasesToCandidates(t *testing.T) {
 	m, _, other := pair()
 	other.set.ranks[0] = DefaultConfig.Candidates
 	other.set.Tick(start)
 	other.set.ListFailed()
-	for _, look := range []struct {
+	for _, poll := range []struct {
 		after  time.Duration
 		writes int
 	}{{10 * time.Minute, 0}, {12 * time.Minute, 1}} {
-		other.set.Listed(at(look.after), m.objects)
+		other.set.Listed(at(poll.after), m.objects)
 		writes := 0
-		for _, a := range other.set.Tick(at(look.after)) {
+		for _, a := range other.set.Tick(at(poll.after)) {
 			if a.Kind == Write {
 				writes++
 			}
 		}
-		assert.Equal(t, writes, look.writes, "%s", look.after)
+		assert.Equal(t, writes, poll.writes, "%s", poll.after)
 	}
 }
