--- a/internal/lease/action.go
+++ b/internal/lease/action.go
@@ -1,10 +1,11 @@
 package lease
 
-// ActionKind is a call that a lease wants made.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
-// The kinds of action. A Read is answered by Lease.Observed or ReadFailed, a
-// List by Set.Listed or ListFailed, a Write by Lease.Wrote, Lost or Unsure.
+// The kinds of action, with the methods of Set that take their answers: Observed
+// or ReadFailed for a Read, Listed or ListFailed for a List, and Wrote,
+// WriteConflict or WriteAmbiguous for a Write.
 const (
 	Read  ActionKind = "read"
 	List  ActionKind = "list"
@@ -14,7 +15,7 @@
 // Action is one call of the object API that is due.
 type Action struct {
 	Kind      ActionKind
-	Shard     int    // index, where Read or Write
-	IfVersion uint64 // where Write; 0: only if the object doesn't exist
-	State     State  // where Write
+	Shard     int    // index, for Read and Write
+	IfVersion uint64 // for Write; 0: only if the object doesn't exist
+	State     State  // for Write
 }
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -13,12 +13,12 @@
 
 // cluster is a fleet that shares the shards of one duty.
 type cluster struct {
-	store   *memStore
-	members []*member
-	random  *rand.Rand
-	now     time.Time
-	lossRate    float64
-	started    int
+	store    *memStore
+	members  []*member
+	random   *rand.Rand
+	now      time.Time
+	lossRate float64
+	started  int
 }
 
 // tickEvery is the time between two ticks of a daemon.
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -12,11 +12,11 @@
 
 // call is a call of a daemon that is under way in the model.
 type call struct {
-	daemon int
-	action Action
-	arrived   bool // the store has taken it; its answer is under way
-	result Observation
-	written   bool
+	daemon  int
+	action  Action
+	arrived bool // the store has taken it; its answer is under way
+	result  Observation
+	written bool
 }
 
 // model is three daemons that all believe to be preferred for one shard, and
--- a/internal/lease/sent.go
+++ b/internal/lease/sent.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// writeKind is what a write of a lease is for.
+// writeKind is the purpose of a write to a lease's object.
 type writeKind uint8
 
 const (
@@ -11,27 +11,26 @@
 	release
 )
 
-// sentWrite is a write that was sent.
 type sentWrite struct {
 	number uint64
 	kind   writeKind
-	sentAt     time.Time // before it left
+	sentAt time.Time // before it was sent
 	state  State
-	prior  Observation // what it replaces
+	prior  Observation // what the write replaces
 }
 
-// maxSentWrites bounds the writes that a late effect is recognised of. A
-// write on the same version is only sent again after a read-back, so more
-// than a few can't be on their way at once.
+// maxSentWrites bounds the writes that are recognised when they take effect
+// late. A write on the same version is only sent again after a read-back, so no
+// more than a few can be in flight at once.
 const maxSentWrites = 8
 
-// sentWrites is the last writes, by number.
+// sentWrites holds the last maxSentWrites writes, by number.
 type sentWrites struct {
 	ring [maxSentWrites]sentWrite
 	last uint64
 }
 
-// add numbers a write from 1 and keeps it.
+// add gives a write the next number, from 1, and keeps it.
 func (s *sentWrites) add(w sentWrite) *sentWrite {
 	s.last++
 	w.number = s.last
@@ -41,7 +40,7 @@
 	return slot
 }
 
-// find returns the write with a number, nil when it is too old.
+// find returns the write with a number, nil when it was overwritten or never sent.
 func (s *sentWrites) find(number uint64) *sentWrite {
 	slot := &s.ring[number%maxSentWrites]
 	if number == 0 || slot.number != number {
--- a/internal/lease/set.go
+++ b/internal/lease/set.go
@@ -8,25 +8,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Set is one daemon's side of all shards of a duty. Each shard is preferred by
-// one of the alive daemons, by rendezvous hashing, so that shards spread
-// evenly and daemons don't contend for them. It isn't safe for concurrent use.
+// Set is one daemon's side of all shards of a duty. Rendezvous hashing ranks the
+// alive daemons for each shard, and the first is its preferred holder, so that
+// shards spread evenly and daemons don't contend for them. It isn't safe for
+// concurrent use.
 type Set struct {
 	config Config
 	self   fleet.DaemonID
 	random *rand.Rand
 	shards []Shard
 	leases []*Lease
-	ranks  []int
+	ranks  []int // this daemon's rank for each shard, from 0
 
-	observeAt time.Time // next look at the shards that this daemon is a candidate for
-	sweepAt   time.Time // next look at all shards
-	listing   bool
-	listDeadline   time.Time // when a list without an answer counts as lost
+	observeAt    time.Time // next read of the shards that this daemon is a candidate for
+	sweepAt      time.Time // next list of all shards
+	listing      bool      // a list is in flight
+	listDeadline time.Time // when the list in flight counts as lost
 }
 
-// NewSet returns the shards of a duty, at now, with self alone alive. Only a
-// daemon that knows its fleet should call Tick: alone, it prefers all shards.
+// NewSet returns the set of a duty's shards. Call Alive before Tick: until then
+// self ranks first for every shard.
 func NewSet(config Config, self fleet.DaemonID, shards []Shard, random *rand.Rand, now time.Time) *Set {
 	s := &Set{
 		config: config,
@@ -44,15 +45,15 @@
 	return s
 }
 
-// Alive takes the daemons that membership holds for alive, self among them or
-// not, in any order.
+// Alive sets the daemons that membership reports as alive, in any order, with or
+// without self.
 func (s *Set) Alive(daemons []fleet.DaemonID) {
 	for i, shard := range s.shards {
 		s.ranks[i] = rank(rendezvous.Key(shard.Object()), s.self, daemons)
 	}
 }
 
-// rank returns how many other daemons come before self for a key.
+// rank returns how many other daemons rank before self for a key.
 func rank(key uint64, self fleet.DaemonID, daemons []fleet.DaemonID) int {
 	own := rendezvous.Score(key, string(self))
 	before := 0
@@ -64,13 +65,13 @@
 	return before
 }
 
-// Lease returns a shard's lease, to ask before orders.
+// Lease returns a shard's lease, which decides whether orders may be sent.
 func (s *Set) Lease(shard int) *Lease { return s.leases[shard] }
 
 // Shards returns the shards, in order of their indexes.
 func (s *Set) Shards() []Shard { return s.shards }
 
-// Leave stops taking leases and gives up those that are held, each once its
+// Leave stops acquiring leases and releases those that are held, each once its
 // orders have ended.
 func (s *Set) Leave() {
 	for _, l := range s.leases {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Left reports whether no lease is held any more, after Leave.
+// Left reports, after Leave, whether no lease is held and no write is in flight.
 func (s *Set) Left(now time.Time) bool {
 	for _, l := range s.leases {
 		if l.valid(now) || l.pending != nil {
@@ -88,7 +89,7 @@
 	return true
 }
 
-// Tick returns the calls that are due. A few times a second is often enough.
+// Tick returns the calls that are due. Call it a few times a second.
 func (s *Set) Tick(now time.Time) []Action {
 	var out []Action
 	if s.listing && !now.Before(s.listDeadline) {
@@ -102,7 +103,8 @@
 	return s.appendReads(now, out)
 }
 
-// appendReads adds the reads by which a daemon follows leases that it doesn't hold.
+// appendReads adds the reads by which a daemon follows leases that it doesn't
+// hold.
 func (s *Set) appendReads(now time.Time, out []Action) []Action {
 	if s.listing {
 		return out
@@ -131,8 +133,8 @@
 	return append(out, Action{Kind: List})
 }
 
-// candidateShards returns the shards that this daemon is a candidate for and doesn't
-// hold, as far as no call for them is under way.
+// candidateShards returns the shards that this daemon is a candidate for and
+// doesn't hold, except those with a call in flight.
 func (s *Set) candidateShards() []int {
 	var out []int
 	for i, l := range s.leases {
@@ -147,7 +149,7 @@
 // Observed takes the answer to a Read.
 func (s *Set) Observed(now time.Time, shard int, o Observation) { s.leases[shard].readDone(now, o) }
 
-// ReadFailed notes that a Read had no answer.
+// ReadFailed takes the failure of a Read.
 func (s *Set) ReadFailed(now time.Time, shard int) { s.leases[shard].readFailed(now) }
 
 // Listed takes the answer to a List: the observation of each shard, by index.
@@ -158,7 +160,7 @@
 	}
 }
 
-// ListFailed notes that a List had no answer.
+// ListFailed takes the failure of a List.
 func (s *Set) ListFailed() {
 	s.listing = false
 	for _, l := range s.leases {
@@ -166,15 +168,19 @@
 	}
 }
 
-// Wrote takes the answer that a Write took effect as a version.
+// Wrote takes the answer that a Write took effect and which version it got.
 func (s *Set) Wrote(now time.Time, a Action, version uint64) {
 	s.leases[a.Shard].wrote(now, a.State.Write, version)
 }
 
-// WriteConflict takes the answer that a Write lost its condition, with what stands.
+// WriteConflict takes the answer that a Write's condition failed, with the
+// current object.
 func (s *Set) WriteConflict(now time.Time, a Action, current Observation) {
 	s.leases[a.Shard].writeConflict(now, a.State.Write, current)
 }
 
-// WriteAmbiguous notes that a Write had no answer, or one that proves nothing.
-func (s *Set) WriteAmbiguous(now time.Time, a Action) { s.leases[a.Shard].writeAmbiguous(now, a.State.Write) }
+// WriteAmbiguous takes the outcome that a Write may or may not have taken effect:
+// it had no answer, or one that doesn't show which.
+func (s *Set) WriteAmbiguous(now time.Time, a Action) {
+	s.leases[a.Shard].writeAmbiguous(now, a.State.Write)
+}
--- a/internal/lease/shard.go
+++ b/internal/lease/shard.go
@@ -6,11 +6,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Shard is a part of a control duty that one daemon at a time does.
+// Shard is a part of a control duty, which one daemon at a time does.
 type Shard struct {
 	Duty  string
 	Index int // from 0
-	Of    int // shards of the duty
+	Of    int // number of the duty's shards
 }
 
 // Shards returns the n shards of a duty.
@@ -22,9 +22,10 @@
 	return out
 }
 
-// ShardOf returns the index of the shard, of n, that a key belongs to.
+// ShardOf returns the index, from 0 to n-1, of the shard that a key belongs to.
 func ShardOf(key string, n int) int { return int(rendezvous.Key(key) % uint64(n)) }
 
-// Object returns the name of the shard's object. The count is in it: daemons
-// that were told another count must not share leases for other keys.
+// Object returns the name of the shard's object. It includes the number of
+// shards: daemons configured with different numbers map keys to shards
+// differently, and must not share leases.
 func (s Shard) Object() string { return fmt.Sprintf("%s-%d-of-%d", s.Duty, s.Index, s.Of) }
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -10,26 +10,27 @@
 
 // State is the value of a lease's object.
 type State struct {
-	Holder         fleet.DaemonID `json:"holder,omitempty"` // empty where Released
+	Holder         fleet.DaemonID `json:"holder,omitempty"` // the last one, if Released
 	Released       bool           `json:"released,omitempty"`
 	DurationMillis int64          `json:"durationMillis,omitempty"`
-	OrderMillis    int64          `json:"orderMillis,omitempty"` // the longest order the holder may have under way
-	Write          uint64         `json:"write"`                 // number of the holder's write, by which it knows its own
-	Fencing        uint64         `json:"fencing,omitempty"`     // after the first renewal: the version that won the lease
+	OrderMillis    int64          `json:"orderMillis,omitempty"` // the holder's Config.OrderTimeout
+	Write          uint64         `json:"write"`                 // number of the holder's write, by which it recognises its own
+	Fencing        uint64         `json:"fencing,omitempty"`     // from the first renewal on: the version of the acquisition
 }
 
 func (s State) duration() time.Duration { return time.Duration(s.DurationMillis) * time.Millisecond }
 
 func (s State) orderTimeout() time.Duration { return time.Duration(s.OrderMillis) * time.Millisecond }
 
-// Observation is a lease's object as it was read. Version 0 is no object.
+// Observation is a lease's object as it was read. Version 0 means that there is
+// none.
 type Observation struct {
 	Version uint64
 	State   State
 }
 
-// ObservationOf reads an object of Kind. A value that can't be read counts as
-// held by nobody known: it is waited out like any other.
+// ObservationOf decodes an object of Kind. One that can't be decoded counts as a
+// lease of an unknown holder, which others wait to expire as usual.
 func ObservationOf(object objectapi.Object) Observation {
 	out := Observation{Version: object.Version}
 	if object.Deleted {
--- a/internal/lease/step.go
+++ b/internal/lease/step.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tick returns the write or read-back that is due. Rank is this daemon's place
+// tick returns the write or read-back that is due. rank is this daemon's place
 // among the alive ones for the shard, 0 for the preferred.
 func (l *Lease) tick(now time.Time, rank int) (Action, bool) {
 	l.expire(now)
@@ -22,7 +22,7 @@
 	return Action{}, false
 }
 
-// expire ends a lapsed lease and calls whose answer never came.
+// expire ends an expired lease and calls whose answer is overdue.
 func (l *Lease) expire(now time.Time) {
 	if l.held && !l.valid(now) {
 		l.drop()
@@ -45,16 +45,16 @@
 	}
 }
 
-// handedOver reports whether this daemon handed the lease over and nobody has
-// taken it yet. It then follows the lease whatever its rank: who is preferred
-// may be alive and cut off from the store.
+// handedOver reports whether this daemon released the lease and none has acquired
+// it since. It then follows the lease whatever its rank: the preferred daemon may
+// be alive but cut off from the store.
 func (l *Lease) handedOver() bool {
 	return l.seen.State.Released && l.seen.State.Holder == l.self
 }
 
-// mayAcquire reports whether the lease may be taken from what was seen. A look
-// must be recent, so that a daemon that seldom looks doesn't write on a
-// version that is long gone.
+// mayAcquire reports whether what was observed allows this daemon to acquire the
+// lease. The last read must be recent, so that a daemon that reads rarely doesn't
+// write on a version that was replaced long ago.
 func (l *Lease) mayAcquire(now time.Time, rank int) bool {
 	if l.readAt.IsZero() || now.Sub(l.readAt) > l.config.ObserveInterval {
 		return false
@@ -69,21 +69,22 @@
 	return now.Sub(l.seenAt) >= wait
 }
 
-// rankWait returns how long better ranks go first. All that aren't candidates
-// wait alike: they look seldom and at different times.
+// rankWait returns how long a daemon leaves the lease to better ranks. All that
+// aren't candidates wait equally long: they read rarely and at different times.
 func (l *Lease) rankWait(rank int) time.Duration {
 	return time.Duration(min(rank, l.config.Candidates)) * l.config.RankDelay
 }
 
-// defersAfterGap reports whether a daemon must let better ranks go first after the
-// store was out of reach: by then each has seen the old version unchanged for
-// long enough, and all would write at once.
+// defersAfterGap reports whether a daemon must leave the lease to better ranks
+// after a gap in its reads. After an outage of the store all daemons have observed
+// the old version unchanged for long enough, and would write at once.
 func (l *Lease) defersAfterGap(now time.Time, rank int) bool {
 	return now.Sub(l.followedSince) < l.rankWait(rank)
 }
 
-// free reports whether nobody else can hold the lease that was last seen. An
-// object that vanished keeps the state it had, because its holder may not know.
+// free reports whether no other daemon can hold the lease, as last observed. A
+// deleted object keeps the state that it had, because its holder may go on until
+// the lease expires.
 func (l *Lease) free() bool {
 	state := l.seen.State
 	return l.seen == Observation{} || state.Released || state.Holder == l.self
@@ -103,16 +104,17 @@
 	return l.write(now, renew, l.stateHeld(l.fencing)), true
 }
 
-// handoverDue reports whether a holder that isn't preferred should give the
-// lease to who is. Each time that it comes back, because the preferred one
-// didn't take it, the wait doubles.
+// handoverDue reports whether a holder that isn't the preferred one should hand
+// the lease over: after a delay, and only soon after a renewal. The delay doubles
+// each time that this daemon acquires the lease again because the preferred one
+// didn't.
 func (l *Lease) handoverDue(now time.Time, rank int) bool {
 	settle := l.config.HandoverDelay << min(l.handovers, 6)
 	return rank > 0 && now.Sub(l.notPreferredSince) >= settle && now.Sub(l.termStart) < l.config.RenewInterval
 }
 
-// release gives the lease up once all orders have ended: after it another
-// daemon may order at once.
+// release writes the release once all orders have ended, since the next holder
+// may order at once. Until then it renews the lease.
 func (l *Lease) release(now time.Time) (Action, bool) {
 	if now.Before(l.lastOrder.Add(l.config.OrderTimeout)) {
 		if now.Before(l.renewAt) {
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -57,19 +57,19 @@
 // holders, so that two of them can't act in turns within it.
 func leaseConfig(length time.Duration) lease.Config {
 	return lease.Config{
-		Duration:     length,
-		Margin:       length / 10,
-		RenewInterval:        length / 3,
-		RetryDelay:        150 * time.Millisecond,
-		CallTimeout:  length / 3,
-		OrderTimeout: time.Second,
-		Candidates:   3,
-		ObserveInterval:      length / 4,
-		SweepInterval:        3 * length,
-		RankDelay:    length * 3 / 10,
-		HandoverDelay:       20 * time.Second,
-		StartSpread:  100 * time.Millisecond,
-		ListThreshold:     4,
+		Duration:        length,
+		Margin:          length / 10,
+		RenewInterval:   length / 3,
+		RetryDelay:      150 * time.Millisecond,
+		CallTimeout:     length / 3,
+		OrderTimeout:    time.Second,
+		Candidates:      3,
+		ObserveInterval: length / 4,
+		SweepInterval:   3 * length,
+		RankDelay:       length * 3 / 10,
+		HandoverDelay:   20 * time.Second,
+		StartSpread:     100 * time.Millisecond,
+		ListThreshold:   4,
 	}
 }
 
