--- a/internal/lease/answer.go
+++ b/internal/lease/answer.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// noteAmbiguous has the outcome of the write in flight read back.
+// noteAmbiguous ends the write in flight with an unknown outcome, to be read back.
 func (l *Lease) noteAmbiguous(now time.Time) {
 	l.pending = nil
 	l.ambiguous = true
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// cluster is a fleet that shares the shards of one duty.
+// cluster is a fleet of daemons that share the shards of one duty, and their
+// store.
 type cluster struct {
 	store    *memStore
 	members  []*member
@@ -21,7 +22,6 @@
 	started  int
 }
 
-// tickEvery is the time between two ticks of a daemon.
 const tickEvery = 250 * time.Millisecond
 
 func newCluster(daemons, shards int, seed uint64) *cluster {
@@ -34,7 +34,7 @@
 	return c
 }
 
-// restart replaces all daemons by new ones, which know each other.
+// restart replaces all daemons by new ones, each of which has all as members.
 func (c *cluster) restart(daemons, shards int) {
 	c.members = nil
 	for range daemons {
@@ -46,7 +46,7 @@
 	c.updateMembership()
 }
 
-// updateMembership gives every daemon the alive ones.
+// updateMembership sets the alive daemons at each of them.
 func (c *cluster) updateMembership() {
 	ids := make([]fleet.DaemonID, len(c.members))
 	for i, m := range c.members {
@@ -57,7 +57,8 @@
 	}
 }
 
-// run lets time pass and returns the most writes and reads of any second.
+// run lets time pass and returns the greatest number of writes and of reads in
+// any second.
 func (c *cluster) run(d time.Duration) (writes, reads int) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		w, r := c.store.writes, c.store.reads
@@ -72,7 +73,8 @@
 	return writes, reads
 }
 
-// holders returns how many shards each daemon holds, and how many are held.
+// holders returns the most shards that any daemon holds, and how many are held
+// in all.
 func (c *cluster) holders() (most, held int) {
 	for _, m := range c.members {
 		own := 0
@@ -99,8 +101,8 @@
 	return 0
 }
 
-// The first daemon up finds no other and takes every shard. When the rest are
-// up, shards must go over to the daemons that are preferred for them.
+// The first daemon to start finds no other and acquires every shard. Once the
+// rest have started, shards must be handed over to their preferred daemons.
 func TestShardsSpreadAfterOneDaemonTookAll(t *testing.T) {
 	c := newCluster(1, 64, 1)
 	c.untilHeld(t, 64)
@@ -114,8 +116,8 @@
 	assert.Assert(t, most < 20, "one daemon holds %d of 64 shards", most)
 }
 
-// A third of the fleet vanishes without a word; its shards must find new
-// holders, none before the old leases ran out.
+// A third of the fleet crashes. Its shards must get new holders, but none before
+// the old leases have expired.
 func TestShardsAreTakenOverWhenHoldersCrash(t *testing.T) {
 	c := newCluster(9, 64, 1)
 	c.lossRate = 0.2
@@ -126,9 +128,9 @@
 	assert.Assert(t, took > DefaultConfig.Duration-DefaultConfig.RenewInterval-DefaultConfig.Margin, "after %s", took)
 }
 
-// A daemon that leaves gives its shards up once its orders have ended, and
-// others have them before its leases would have run out. It isn't to give up
-// one with an order under way: the next holder orders at once.
+// A daemon that leaves releases its shards once its orders have ended, and others
+// acquire them before its leases would have expired. It must not release one with
+// an order in flight, since the next holder may order at once.
 func TestLeavingDaemonReleasesItsShards(t *testing.T) {
 	c := newCluster(2, 8, 1)
 	c.untilHeld(t, 8)
@@ -146,9 +148,9 @@
 	assert.Assert(t, c.untilHeld(t, 8) < DefaultConfig.Duration)
 }
 
-// The store is down for minutes. All leases run out and no daemon orders;
-// when the store is back all shards are held again, and neither in the outage
-// nor after it do calls grow to a multiple of those in quiet.
+// The store is down for minutes. All leases expire and no daemon may order. When
+// the store is up again all shards get holders, and neither during the outage nor
+// after it may the rate of calls exceed twice that of normal operation.
 func TestOutageCausesNoBurstOfCalls(t *testing.T) {
 	c := newCluster(9, 64, 1)
 	c.untilHeld(t, 64)
@@ -167,8 +169,8 @@
 	assert.Equal(t, held, 64)
 }
 
-// All candidates of a shard are alive to their peers but cut off from the
-// store. Another daemon must take the shard, though it seldom looks.
+// All candidates of a shard are alive in the membership but cut off from the
+// store. Another daemon must acquire the shard, though it reads leases rarely.
 func TestShardWhoseCandidatesAreCutOffFindsAHolder(t *testing.T) {
 	c := newCluster(20, 8, 1)
 	c.untilHeld(t, 8)
@@ -178,9 +180,9 @@
 	assert.Equal(t, held, 8)
 }
 
-// BenchmarkFleet prints what leases cost the store: calls a second in quiet,
-// the most in any second after a restart of all daemons, and the time until
-// all shards are held again.
+// BenchmarkFleet reports the load of leases on the store: calls a second in
+// normal operation, the most in any second of and after an outage and after a
+// restart of all daemons, and the time until all shards are held again.
 func BenchmarkFleet(b *testing.B) {
 	for _, daemons := range []int{9, 85, 340} {
 		for _, lose := range []float64{0, 0.2} {
@@ -224,12 +226,13 @@
 	c.run(time.Minute)
 	b.ReportMetric(float64(writes), "restart-peak-writes/s")
 	b.ReportMetric(float64(reads), "restart-peak-reads/s")
-	c.members = c.members[daemons/11+1:] // a data centre
+	c.members = c.members[daemons/11+1:] // a data centre's daemons crash
 	c.updateMembership()
 	b.ReportMetric(c.untilHeld(b, shards).Seconds(), "s-until-held")
 }
 
-// BenchmarkTick is what a duty of 64 shards costs a daemon of a quiet fleet.
+// BenchmarkTick measures a daemon's tick for a duty of 64 shards in normal
+// operation.
 func BenchmarkTick(b *testing.B) {
 	c := newCluster(340, 64, 1)
 	c.untilHeld(b, 64)
@@ -240,7 +243,7 @@
 	}
 }
 
-// BenchmarkAlive is what a change of membership costs a daemon.
+// BenchmarkAlive measures a daemon's handling of a change of membership.
 func BenchmarkAlive(b *testing.B) {
 	c := newCluster(340, 64, 1)
 	ids := make([]fleet.DaemonID, 0, 340)
@@ -253,7 +256,7 @@
 	}
 }
 
-// BenchmarkMayOrder is the check before each order.
+// BenchmarkMayOrder measures the check before each order.
 func BenchmarkMayOrder(b *testing.B) {
 	_, holder, _ := pair()
 	b.ReportAllocs()
--- a/internal/lease/memory_test.go
+++ b/internal/lease/memstore_test.go
@@ -7,7 +7,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// memStore is a store of leases with conditional writes, which counts calls.
+// memStore is a store in memory with one object for each shard and conditional
+// writes. It counts calls.
 type memStore struct {
 	version uint64
 	objects []Observation
@@ -30,14 +31,14 @@
 	return m.objects[a.Shard], true
 }
 
-// member is a daemon of the tests.
+// member is a daemon under test.
 type member struct {
 	id  fleet.DaemonID
 	set *Set
 }
 
-// step ticks a daemon and answers its calls at once, losing a share of the
-// answers to writes.
+// step ticks a daemon and answers its calls at once. lossRate is the share of the
+// answers to writes that is lost.
 func (m *memStore) step(now time.Time, d *member, lossRate float64, random *rand.Rand) {
 	for _, a := range d.set.Tick(now) {
 		switch {
--- a/internal/lease/return_test.go
+++ b/internal/lease/restore_test.go
@@ -9,19 +9,19 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// backup is a store of one lease that can come back from an older copy: its
-// counter goes back and its numbers are given out again.
+// backup is the copy from which the model's store of one lease is restored: the
+// store's counter goes back, and gives its numbers out again in a new era.
 type backup struct {
 	era   uint64
 	saved memStore
 }
 
-// saveCopy makes a copy.
 func (m *model) saveCopy() {
 	m.backup.saved = memStore{version: m.store.version, objects: append([]Observation(nil), m.store.objects...)}
 }
 
-// restoreCopy brings the copy back. All that is in it is of the new era.
+// restoreCopy restores the store from the copy. All versions in it are then of
+// the new era.
 func (m *model) restoreCopy() {
 	b := &m.backup
 	if len(b.saved.objects) == 0 {
@@ -35,9 +35,9 @@
 	m.saveCopy()
 }
 
-// allObserved reports whether each daemon has seen the lease once. One that has never
-// looked relies on the others' word that they hold it, which is told beside the
-// store.
+// allObserved reports whether each daemon has read the lease once. One that never
+// has can't detect a restore by itself: it depends on the holder's own messages
+// to other daemons, which aren't part of the model.
 func (m *model) allObserved() bool {
 	for _, d := range m.daemons {
 		if d.set.Lease(0).seen.Version == 0 {
@@ -47,10 +47,10 @@
 	return true
 }
 
-// The store is away for a moment and comes back from a copy some seconds old, any
-// number of times, beside pauses, late calls and lost answers. What it shows of
-// the lease is older than what its holder knows: nobody, or the holder before.
-// Never may two daemons order at once, nor a fencing number fall.
+// The store is restored from a copy some seconds old, any number of times, along
+// with pauses, late calls and lost answers. It then shows an older state of the
+// lease: no holder, or an earlier one. At no time may two daemons be allowed to
+// order, or a fencing number decrease.
 func TestNeverTwoHoldersAfterStoreRestore(t *testing.T) {
 	held, restores := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// After the store's return somebody holds the lease again, within twice its
-// length.
+// After the store is restored from an older copy, a daemon holds the lease again
+// within twice the lease's duration.
 func TestLeaseIsHeldAgainAfterStoreRestore(t *testing.T) {
 	for _, daemons := range []int{6, 80, 195} {
 		c := newCluster(daemons, 1, 1)
@@ -83,7 +83,7 @@
 		c.run(time.Minute)
 		before := *c.store
 		before.objects = append([]Observation(nil), c.store.objects...)
-		c.members = c.members[1:] // perhaps the holder: then another one takes it
+		c.members = c.members[1:] // perhaps the holder: then another one acquires the lease
 		c.run(2 * time.Minute)
 		c.store.version = objects.RevisionIn(1, objects.CounterOf(before.version))
 		o := before.objects[0]
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 )
 
-// call is a call of a daemon that is under way in the model.
+// call is a daemon's call to the store that is in flight.
 type call struct {
 	daemon  int
 	action  Action
-	arrived bool // the store has taken it; its answer is under way
+	arrived bool // the store has carried it out; its answer is in flight
 	result  Observation
 	written bool
 }
 
-// model is three daemons that all believe to be preferred for one shard, and
-// a store whose calls may arrive at any later time, or whose answers get lost.
+// model is three daemons that each rank themselves first for one shard, and a
+// store. Calls may arrive at any later time, and answers may be lost.
 type model struct {
 	store   *memStore
 	daemons []*member
 	paused  []bool
-	drift   []float64 // of each clock's rate
+	drift   []float64 // of each clock's rate, as a share of it
 	time    time.Duration
 	calls   []call
 	orders  []order
@@ -33,13 +33,13 @@
 	backup  backup
 }
 
-// order is an order that left, with its end in the model's time.
+// order is an order that was sent. end is in the model's time.
 type order struct {
 	daemon int
 	end    time.Duration
 }
 
-// maxDrift is the greatest difference of a clock's rate that Margin covers.
+// maxDrift is the greatest drift of a clock's rate that Config.Margin covers.
 const maxDrift = 500e-6
 
 func newModel(t *rapid.T) *model {
@@ -56,13 +56,13 @@
 	return m
 }
 
-// localTime returns a daemon's clock: they differ by years, and in their rate.
+// localTime returns a daemon's clock. The clocks differ by years, and in rate.
 func (m *model) localTime(i int) time.Time {
 	epoch := time.Date(2000+i*7, 1, 1, 0, 0, 0, 0, time.UTC)
 	return epoch.Add(m.time + time.Duration(m.drift[i]*float64(m.time)))
 }
 
-// advance moves time on and ticks the daemons that aren't paused.
+// advance moves the time on and ticks the daemons that aren't paused.
 func (m *model) advance(by time.Duration) {
 	m.time += by
 	for i, d := range m.daemons {
@@ -75,7 +75,8 @@
 	}
 }
 
-// deliver takes a call one step further: into the store, then back or lost.
+// deliver takes a call one step further: it arrives at the store, then its answer
+// arrives or is lost.
 func (m *model) deliver(i int, lose bool) {
 	c := m.calls[i]
 	if !c.arrived {
@@ -83,7 +84,7 @@
 		return
 	}
 	if m.paused[c.daemon] {
-		return // its answer waits
+		return // its answer waits until the pause ends
 	}
 	m.calls = append(m.calls[:i:i], m.calls[i+1:]...)
 	m.answer(c, lose)
@@ -119,7 +120,8 @@
 	}
 }
 
-// sendOrder lets a daemon sendOrder if it may, and checks what endpoints would see.
+// sendOrder lets a daemon order if it may, and checks that fencing numbers never
+// decrease.
 func (m *model) sendOrder(t *rapid.T, i int) {
 	l, now := m.daemons[i].set.Lease(0), m.localTime(i)
 	if l.MayOrderUnfenced(now) {
@@ -136,7 +138,7 @@
 	m.orders = append(m.orders, order{daemon: i, end: m.time + l.config.OrderTimeout})
 }
 
-// checkUnfenced fails when another daemon's order is still under way.
+// checkUnfenced fails when another daemon's order is still in flight.
 func (m *model) checkUnfenced(t *rapid.T, i int) {
 	for _, o := range m.orders {
 		if o.daemon != i && o.end > m.time {
@@ -145,8 +147,8 @@
 	}
 }
 
-// checkHolders fails when two daemons would be allowed to order at once,
-// paused ones included.
+// checkHolders fails when two daemons, paused ones included, would be allowed to
+// order at once, and returns the number of holders.
 func (m *model) checkHolders(t *rapid.T) (holders int) {
 	for i, d := range m.daemons {
 		if d.set.Lease(0).Held(m.localTime(i)) {
@@ -159,10 +161,10 @@
 	return holders
 }
 
-// Operators see two daemons give orders for one shard. Daemons pause for
-// longer than their lease, calls arrive late, answers get lost and clocks
-// differ. It must not happen at any moment, also to a daemon that is still
-// paused: it would send its order at its first step after the pause.
+// Guards against two daemons that send orders for one shard, while daemons pause
+// for longer than their lease, calls arrive late, answers are lost and clocks
+// differ. Paused daemons count too: one would send its order at its first step
+// after the pause.
 func TestNeverTwoHolders(t *testing.T) {
 	held := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -177,16 +179,17 @@
 	}
 }
 
-// stepKinds are the kinds of random step, the likely ones more often.
+// stepKinds are the kinds of random step; the more likely ones are repeated.
 var stepKinds = []string{
 	"advance", "advance", "advance", "advance", "settle", "settle", "settle", "settle",
 	"move", "move", "pause", "hand over",
 }
 
-// advanceMillis are lengths of time around the bounds of DefaultConfig, in ms.
+// advanceMillis are steps of time, among them some just around the times of
+// DefaultConfig.
 var advanceMillis = []int{100, 250, 250, 250, 1000, 1000, 2500, 6000, 12000, 18500, 19500, 20500, 22000}
 
-// randomStep does one randomStep step.
+// randomStep takes one step, after which any daemon that isn't paused may order.
 func (m *model) randomStep(t *rapid.T) {
 	daemon := rapid.IntRange(0, 2)
 	switch rapid.SampledFrom(stepKinds).Draw(t, "step") {
@@ -212,7 +215,7 @@
 	}
 }
 
-// settle brings every call that is under way to its end.
+// settle completes every call in flight.
 func (m *model) settle() {
 	for range 2 {
 		for i := len(m.calls) - 1; i >= 0; i-- {
@@ -221,7 +224,7 @@
 	}
 }
 
-// handover makes a holder give its lease up as if it weren't preferred.
+// handover makes a holder release its lease as if it weren't the preferred one.
 func (d *member) handover() {
 	if l := d.set.Lease(0); l.held {
 		l.releasing = true
--- a/internal/lease/takeover_test.go
+++ b/internal/lease/takeover_test.go
@@ -14,7 +14,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// newMember returns a daemon that follows one shard from the start.
+// newMember returns a daemon, alone in its fleet, for one shard.
 func newMember(id fleet.DaemonID) *member {
 	config := DefaultConfig
 	config.StartSpread = 0
@@ -22,8 +22,8 @@
 	return &member{id: id, set: NewSet(config, id, Shards("duty", 1), random, start)}
 }
 
-// pair returns a store, a holder that won its lease at the start and ticks no
-// more, and a daemon that saw that at once.
+// pair returns a store, a holder that acquired its lease at start and ticks no
+// more, and another daemon that observed that at once.
 func pair() (*memStore, *member, *member) {
 	m, holder, other := newMemStore(1), newMember("holder"), newMember("other")
 	random := rand.New(rand.NewPCG(1, 1))
@@ -33,7 +33,8 @@
 	return m, holder, other
 }
 
-// firstWrite ticks a daemon until it wants a write, and returns when and what.
+// firstWrite ticks a daemon until a write is due, and returns its time and the
+// write.
 func firstWrite(m *memStore, d *member, from time.Duration) (time.Duration, Action) {
 	for t := from; t < time.Hour; t += 100 * time.Millisecond {
 		for _, a := range d.set.Tick(at(t)) {
@@ -47,8 +48,8 @@
 	return time.Hour, Action{}
 }
 
-// A process is stopped for longer than its lease. It wakes up in the middle of
-// its work, before any tick, and must not order.
+// A process is stopped for longer than its lease. It resumes in the middle of its
+// work, before any tick, and must not order.
 func TestPausedHolderIsExpiredAtItsFirstCheck(t *testing.T) {
 	_, holder, _ := pair()
 	l := holder.set.Lease(0)
@@ -58,19 +59,19 @@
 	assert.Assert(t, !ok)
 }
 
-// A whole machine is frozen and thawed. Its monotonic clock stood still, its
-// wall clock was set right: the lease is over all the same.
+// A whole machine is frozen and resumed. Its monotonic clock stood still and only
+// its wall clock shows the pause, by which the lease must have expired.
 func TestFrozenMachineIsExpiredByTheWallClock(t *testing.T) {
 	before := time.Now()
 	after := before.Add(time.Minute)
-	monotonic := (*[3]int64)(unsafe.Pointer(&after)) // time.Time is wall, ext, loc
+	monotonic := (*[3]int64)(unsafe.Pointer(&after)) // the fields of time.Time: wall, ext (monotonic), loc
 	monotonic[1] -= time.Minute.Nanoseconds()
 	assert.Equal(t, after.Sub(before), time.Duration(0))
 	assert.Equal(t, elapsed(before, after), time.Minute)
 }
 
-// The holder is dead or paused. Another daemon may take the lease only after
-// the holder's has run out on both clocks, and then has the higher number.
+// The holder has crashed or is paused. Another daemon may acquire the lease only
+// after the holder's has expired by both clocks, and gets a higher fencing number.
 func TestTakeoverWaitsForTheOldLease(t *testing.T) {
 	m, holder, other := pair()
 	when, a := firstWrite(m, other, 0)
@@ -80,9 +81,9 @@
 	assert.Assert(t, other.set.Lease(0).Fencing() > holder.set.Lease(0).Fencing())
 }
 
-// The holder sent an order at the very end of its lease and vanished. An
-// endpoint that ignores fencing numbers may still run it while the new holder
-// gives the first order of its own.
+// The holder sent an order at the very end of its lease and crashed. An endpoint
+// that ignores fencing numbers may still run it when the new holder could send
+// its first order, which must therefore wait.
 func TestUnfencedOrdersWaitForTheLastOneOfTheOldHolder(t *testing.T) {
 	m, _, other := pair()
 	when, a := firstWrite(m, other, 0)
@@ -94,8 +95,9 @@
 	assert.Assert(t, l.MayOrderUnfenced(at(when+DefaultConfig.OrderTimeout)))
 }
 
-// The answer to the write that won a lease is lost. Reading back shows that it
-// took effect; the daemon must not wait out its own lease, nor write again.
+// The answer to the write that acquired a lease is lost. The read-back shows that
+// it took effect, so the daemon must neither wait for its own lease to expire nor
+// write again.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	m, d := newMemStore(1), newMember("daemon")
 	when, a := firstWrite(m, d, 0)
@@ -108,8 +110,8 @@
 	assert.Equal(t, m.writes, 1)
 }
 
-// Somebody deletes a lease's object. Its holder doesn't know and goes on, so a
-// daemon that finds the object gone must wait as if it were there.
+// A lease's object is deleted. Its holder goes on until the lease expires, so a
+// daemon that finds the object missing must wait as if it still existed.
 func TestDeletedObjectIsWaitedOut(t *testing.T) {
 	m, _, other := pair()
 	when, a := firstWrite(m, other, 0)
@@ -120,8 +122,8 @@
 	assert.Equal(t, a.IfVersion, uint64(0))
 }
 
-// In quiet no daemon writes on a version that is long gone: such a write has
-// no effect but counts against the platform's rate.
+// In normal operation no daemon may write on a version that was replaced long
+// ago: such a write has no effect but counts against the platform's rate limit.
 func TestSteadyFleetWritesOnlyRenewals(t *testing.T) {
 	c := newCluster(9, 8, 1)
 	c.untilHeld(t, 8)
@@ -131,9 +133,10 @@
 	assert.Equal(t, uint64(c.store.writes-writes), c.store.version-version)
 }
 
-// After an outage, a daemon that seldom looks sees all leases lapsed at its
-// first look. It must leave them to the candidates, or its one look makes a
-// write for every shard; only if nobody takes one by its next look, it does.
+// After an outage, a daemon that reads rarely observes at its first list that all
+// leases have expired. It must leave them to the candidates, or a single list
+// causes a write for every shard. It acquires one only if no other daemon has by
+// its next list.
 func TestNonCandidateLeavesLapsedLeasesToCandidates(t *testing.T) {
 	m, _, other := pair()
 	other.set.ranks[0] = DefaultConfig.Candidates
