--- a/internal/lease/answer.go
+++ b/internal/lease/answer.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// wrote takes the answer that a write took effect and which version it got.
+// wrote handles the answer that a write took effect and which version it got.
 func (l *Lease) wrote(now time.Time, number, version uint64) {
 	w := l.pending
 	if w == nil || w.number != number {
@@ -16,7 +16,7 @@
 	l.confirm(now, w, version)
 }
 
-// writeConflict takes the answer that a write's condition failed, with the
+// writeConflict handles the answer that a write's condition failed, with the
 // current object.
 func (l *Lease) writeConflict(now time.Time, number uint64, current Observation) {
 	if l.pending == nil || l.pending.number != number {
@@ -30,7 +30,7 @@
 	l.observe(now, current)
 }
 
-// noteDeleted takes it that the object was deleted, by hand or because the store
+// noteDeleted records that the object was deleted, by hand or because the store
 // lost its data. The lease's holder may go on until the lease expires.
 func (l *Lease) noteDeleted(now time.Time) {
 	l.seen.Version = 0
@@ -45,7 +45,7 @@
 	l.releasing = l.leaving
 }
 
-// writeAmbiguous takes the outcome that a write may or may not have taken effect.
+// writeAmbiguous handles the outcome that a write may or may not have taken effect.
 func (l *Lease) writeAmbiguous(now time.Time, number uint64) {
 	if l.pending != nil && l.pending.number == number {
 		l.noteAmbiguous(now)
@@ -59,7 +59,7 @@
 	l.retryAt = now.Add(l.backoff())
 }
 
-// readFailed takes the failure of a read.
+// readFailed handles the failure of a read.
 func (l *Lease) readFailed(now time.Time) {
 	l.reading = false
 	l.followedSince = time.Time{}
@@ -78,7 +78,7 @@
 // maxDoublings keeps the shift from overflowing.
 const maxDoublings = 20
 
-// readDone takes the object as it was at some moment before now.
+// readDone handles the object as it was at some moment before now.
 func (l *Lease) readDone(now time.Time, o Observation) {
 	l.reading = false
 	if l.pending != nil {
@@ -87,7 +87,7 @@
 	l.observe(now, o)
 }
 
-// observe takes the object as the store has it. If it shows one of this daemon's
+// observe handles the object as the store has it. If it shows one of this daemon's
 // own writes, that write took effect: so a lost answer costs only a read, and a
 // write that arrives late is recognised.
 func (l *Lease) observe(now time.Time, o Observation) {
@@ -133,7 +133,7 @@
 	return w
 }
 
-// confirm takes it that a write took effect and got a version. The lease counts
+// confirm records that a write took effect and got a version. The lease counts
 // from before the write was sent: it may have taken effect, and other daemons may
 // have observed it, at once.
 func (l *Lease) confirm(now time.Time, w *sentWrite, version uint64) {
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Config holds a lease's times. All daemons should have the same ones; a stored
-// state carries its holder's, so that a change of them stays safe.
+// state carries its holder's Duration and OrderTimeout, so that a change of them
+// stays safe.
 type Config struct {
 	// Duration is how long a lease lasts after the write that acquired or
 	// renewed it.
--- a/internal/lease/set.go
+++ b/internal/lease/set.go
@@ -146,13 +146,13 @@
 	return out
 }
 
-// Observed takes the answer to a Read.
+// Observed handles the answer to a Read.
 func (s *Set) Observed(now time.Time, shard int, o Observation) { s.leases[shard].readDone(now, o) }
 
-// ReadFailed takes the failure of a Read.
+// ReadFailed handles the failure of a Read.
 func (s *Set) ReadFailed(now time.Time, shard int) { s.leases[shard].readFailed(now) }
 
-// Listed takes the answer to a List: the observation of each shard, by index.
+// Listed handles the answer to a List: the observation of each shard, by index.
 func (s *Set) Listed(now time.Time, all []Observation) {
 	s.listing = false
 	for i, o := range all {
@@ -160,7 +160,7 @@
 	}
 }
 
-// ListFailed takes the failure of a List.
+// ListFailed handles the failure of a List.
 func (s *Set) ListFailed() {
 	s.listing = false
 	for _, l := range s.leases {
@@ -168,18 +168,18 @@
 	}
 }
 
-// Wrote takes the answer that a Write took effect and which version it got.
+// Wrote handles the answer that a Write took effect and which version it got.
 func (s *Set) Wrote(now time.Time, a Action, version uint64) {
 	s.leases[a.Shard].wrote(now, a.State.Write, version)
 }
 
-// WriteConflict takes the answer that a Write's condition failed, with the
+// WriteConflict handles the answer that a Write's condition failed, with the
 // current object.
 func (s *Set) WriteConflict(now time.Time, a Action, current Observation) {
 	s.leases[a.Shard].writeConflict(now, a.State.Write, current)
 }
 
-// WriteAmbiguous takes the outcome that a Write may or may not have taken effect:
+// WriteAmbiguous handles the outcome that a Write may or may not have taken effect:
 // it had no answer, or one that doesn't show which.
 func (s *Set) WriteAmbiguous(now time.Time, a Action) {
 	s.leases[a.Shard].writeAmbiguous(now, a.State.Write)
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -109,8 +109,8 @@
 // each time that this daemon acquires the lease again because the preferred one
 // didn't.
 func (l *Lease) handoverDue(now time.Time, rank int) bool {
-	settle := l.config.HandoverDelay << min(l.handovers, 6)
-	return rank > 0 && now.Sub(l.notPreferredSince) >= settle && now.Sub(l.termStart) < l.config.RenewInterval
+	delay := l.config.HandoverDelay << min(l.handovers, 6)
+	return rank > 0 && now.Sub(l.notPreferredSince) >= delay && now.Sub(l.termStart) < l.config.RenewInterval
 }
 
 // release writes the release once all orders have ended, since the next holder
