--- a/internal/daemon/intending.go
+++ b/internal/daemon/intending.go
@@ -42,7 +42,7 @@
 	if deny, ok := a.(ledger.Deny); ok && deny.Existing.Outcome == nil {
 		a = d.askHolder(ctx, shard, deny)
 	}
-	if refused, ok := a.(ledger.Refuse); ok && refused.Recorded {
+	if refused, ok := a.(ledger.Refuse); ok && refused.MaybeRecorded {
 		d.forget(shard, refused.Intent)
 	}
 	return intentOf(a)
@@ -104,7 +104,7 @@
 	case ledger.Deny:
 		for _, in := range out {
 			if a.Existing.Owner == in.Owner {
-				return ledger.Refuse{Intent: in, Reason: ledger.Late, Recorded: true}
+				return ledger.Refuse{Intent: in, Reason: ledger.Late, MaybeRecorded: true}
 			}
 		}
 	}
--- a/internal/daemon/intentwire.go
+++ b/internal/daemon/intentwire.go
@@ -75,7 +75,7 @@
 	case ledger.Refuse:
 		out.Refused = a.Reason.String()
 		out.RefusedReason = uint32(a.Reason)
-		out.Recorded = a.Recorded
+		out.Recorded = a.MaybeRecorded
 	}
 	return out, nil
 }
@@ -91,7 +91,7 @@
 		}
 		return ledger.Deny{Intent: in, Existing: existing}, nil
 	case r.GetRefused() != "":
-		return ledger.Refuse{Intent: in, Reason: ledger.RefuseReason(r.GetRefusedReason()), Recorded: r.GetRecorded()}, nil
+		return ledger.Refuse{Intent: in, Reason: ledger.RefuseReason(r.GetRefusedReason()), MaybeRecorded: r.GetRecorded()}, nil
 	default:
 		return nil, Error.New("writer's result is empty")
 	}
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -260,7 +260,7 @@
 	case <-ctx.Done():
 	case <-d.done:
 	}
-	return ledger.Refuse{Intent: in, Reason: ledger.Late, Recorded: true}
+	return ledger.Refuse{Intent: in, Reason: ledger.Late, MaybeRecorded: true}
 }
 
 // forget frees the key of an intent that was refused though it may be recorded.
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -126,7 +126,7 @@
 	if o == nil {
 		return nil, problem.New(http.StatusConflict, verdict.MayHaveRun, "a request with this Idempotency-Key was dispatched before; its outcome is not known yet").After(time.Second)
 	}
-	if o.Cut {
+	if o.BodyOmitted {
 		return nil, problem.New(http.StatusConflict, verdict.Ran, "a request with this Idempotency-Key was answered with status %d; the answer was too long to keep", o.Status)
 	}
 	h := http.Header{}
--- a/internal/ledger/action.go
+++ b/internal/ledger/action.go
@@ -45,9 +45,9 @@
 type Refuse struct {
 	Intent Intent
 	Reason RefuseReason
-	// Recorded says that the intent may be in the ledger all the same. The
+	// MaybeRecorded says that the intent may be in the ledger all the same. The
 	// owner should Abandon it, or the key stays unusable.
-	Recorded bool
+	MaybeRecorded bool
 }
 
 func (Write) action()  {}
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -32,5 +32,5 @@
 		return nil
 	}
 	e.answered = true
-	return []Action{Refuse{Intent: e.intent, Reason: why, Recorded: e.recorded}}
+	return []Action{Refuse{Intent: e.intent, Reason: why, MaybeRecorded: e.recorded}}
 }
--- a/internal/ledger/group_commit.go
+++ b/internal/ledger/group_commit.go
@@ -28,7 +28,7 @@
 // Intend asks for the right to dispatch.
 func (g *GroupCommit) Intend(now time.Time, in Intent) []Action {
 	e := &entry{intent: in, state: Intended, since: now}
-	if g.waiting >= g.policy.Waiting {
+	if g.waiting >= g.policy.MaxWaiting {
 		return e.refuse(Overloaded)
 	}
 	return g.enter(now, e)
@@ -47,7 +47,7 @@
 }
 
 func (g *GroupCommit) enter(now time.Time, e *entry) []Action {
-	if g.waiting >= g.policy.Waiting {
+	if g.waiting >= g.policy.MaxWaiting {
 		return nil
 	}
 	e.after = g.calls
@@ -70,7 +70,7 @@
 
 // evict forgets the chain that was used longest ago. It is read again on need.
 func (g *GroupCommit) evict() {
-	if len(g.chains) < g.policy.Chains {
+	if len(g.chains) < g.policy.MaxChains {
 		return
 	}
 	var oldest *chain
--- a/internal/ledger/layout_test.go
+++ b/internal/ledger/layout_test.go
@@ -109,7 +109,7 @@
 	list := g.Intend(w.now, order("a", 1))[0].(List)
 	refuse := g.Listed(w.now, ListResult{Call: list.Call})[0].(Refuse)
 	assert.Equal(t, refuse.Reason, StoreDown)
-	assert.Assert(t, !refuse.Recorded)
+	assert.Assert(t, !refuse.MaybeRecorded)
 	_, granted := intend(t, w, g, order("b", 1)).(Grant)
 	assert.Assert(t, granted)
 }
--- a/internal/ledger/per_key.go
+++ b/internal/ledger/per_key.go
@@ -142,5 +142,5 @@
 }
 
 func (c *keyCall) refuse(why RefuseReason) []Action {
-	return []Action{Refuse{Intent: c.intent, Reason: why, Recorded: c.recorded}}
+	return []Action{Refuse{Intent: c.intent, Reason: why, MaybeRecorded: c.recorded}}
 }
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -28,13 +28,13 @@
 	Status      int    `json:"status"` // HTTP
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	Cut         bool   `json:"cut,omitempty"` // the body was too long to keep
+	BodyOmitted bool   `json:"cut,omitempty"` // the body was too long to keep
 }
 
 // bounded returns o within MaxOutcomeBody.
 func (o Outcome) bounded() Outcome {
 	if len(o.Body) > MaxOutcomeBody {
-		o.Body, o.Cut = nil, true
+		o.Body, o.BodyOmitted = nil, true
 	}
 	return o
 }
