--- a/internal/ledger/chain.go
+++ b/internal/ledger/chain.go
@@ -13,7 +13,7 @@
 type chainState uint8
 
 const (
-	chainCold    chainState = iota // nothing read
+	chainUnread  chainState = iota // nothing read
 	chainReading                   // a read is out
 	chainIdle                      // as far as known, the view is current
 	chainWriting                   // a write is out
@@ -30,32 +30,32 @@
 // last, unsealed one is written, under the condition of its version: a write
 // that takes effect proves that the view of the whole chain was complete.
 type chain struct {
-	bucket  int64
-	state   chainState
-	listed  bool   // the chain has been listed once
-	seq     int    // of the last segment
-	version uint64 // of the last segment, 0 before it exists
-	text    []byte // its encoded records
-	known   map[recordKey]Record
-	waiting []*entry
-	batch   []*entry // in the write that is out
-	batched []byte   // their encoded records
-	sealing bool     // the write that is out seals
-	call    uint64   // the call that is out
-	proved  uint64   // the newest call that showed the view to be complete
-	used    time.Time
-	retryAt time.Time // not before, for entries that met the store down
+	bucket       int64
+	state        chainState
+	listed       bool   // the chain has been listed once
+	seq          int    // of the last segment
+	version      uint64 // of the last segment, 0 before it exists
+	encoded      []byte // its encoded records
+	records      map[recordKey]Record
+	waiting      []*pendingRecord
+	batch        []*pendingRecord // in the write that is out
+	encodedBatch []byte           // their encoded records
+	sealing      bool             // the write that is out seals
+	currentCall  uint64           // the call that is out
+	provenCall   uint64           // the newest call that showed the view to be complete
+	usedAt       time.Time
+	retryAt      time.Time // not before, for entries that met the store down
 }
 
 func newChain(bucket int64) *chain {
-	return &chain{bucket: bucket, known: make(map[recordKey]Record)}
+	return &chain{bucket: bucket, records: make(map[recordKey]Record)}
 }
 
 func keyOf(in Intent) recordKey { return recordKey{id: in.Key.ID, workspace: in.Workspace} }
 
 // find returns the committed record of an intent's key, nil where there is none.
 func (c *chain) find(in Intent) *Record {
-	r, ok := c.known[keyOf(in)]
+	r, ok := c.records[keyOf(in)]
 	if !ok {
 		return nil
 	}
@@ -66,8 +66,8 @@
 // the last: a sealed one has a successor. Version 0 is a segment that does not
 // exist yet.
 func (c *chain) load(o Object) (last bool, err error) {
-	c.text, c.version = nil, o.Version
-	c.proved = c.call
+	c.encoded, c.version = nil, o.Version
+	c.provenCall = c.currentCall
 	if o.Version == 0 {
 		return true, nil
 	}
@@ -76,9 +76,9 @@
 		return false, Error.Wrap(err)
 	}
 	for _, r := range s.Records {
-		c.known[recordKey{id: r.Key, workspace: r.Workspace}] = r
+		c.records[recordKey{id: r.Key, workspace: r.Workspace}] = r
 		if !s.Sealed {
-			c.text = appendRecord(c.text, r)
+			c.encoded = appendRecord(c.encoded, r)
 		}
 	}
 	if s.Sealed {
@@ -91,26 +91,26 @@
 func (c *chain) next() {
 	c.seq++
 	c.version = 0
-	c.text = nil
+	c.encoded = nil
 }
 
 // commit takes the batch as recorded at version.
-func (c *chain) commit(version uint64) []*entry {
+func (c *chain) commit(version uint64) []*pendingRecord {
 	batch := c.batch
-	c.proved = c.call
-	for _, e := range batch {
-		c.known[keyOf(e.intent)] = e.record(c.find(e.intent))
+	c.provenCall = c.currentCall
+	for _, p := range batch {
+		c.records[keyOf(p.intent)] = p.record(c.find(p.intent))
 	}
 	if c.sealing {
 		c.next()
 	} else {
 		c.version = version
-		if len(c.text) > 0 && len(c.batched) > 0 {
-			c.text = append(c.text, ',')
+		if len(c.encoded) > 0 && len(c.encodedBatch) > 0 {
+			c.encoded = append(c.encoded, ',')
 		}
-		c.text = append(c.text, c.batched...)
+		c.encoded = append(c.encoded, c.encodedBatch...)
 	}
-	c.batch, c.batched, c.sealing = nil, nil, false
+	c.batch, c.encodedBatch, c.sealing = nil, nil, false
 	c.state = chainIdle
 	return batch
 }
@@ -118,7 +118,7 @@
 // requeue puts the batch back before what came later.
 func (c *chain) requeue() {
 	c.waiting = append(c.batch, c.waiting...)
-	c.batch, c.batched, c.sealing = nil, nil, false
+	c.batch, c.encodedBatch, c.sealing = nil, nil, false
 }
 
 // ready reports whether the chain may be read now: at once for new entries,
@@ -127,9 +127,9 @@
 	if !now.Before(c.retryAt) {
 		return true
 	}
-	return slices.ContainsFunc(c.waiting, func(e *entry) bool { return e.tries == 0 })
+	return slices.ContainsFunc(c.waiting, func(p *pendingRecord) bool { return p.attempts == 0 })
 }
 
-func (c *chain) quiet() bool {
+func (c *chain) evictable() bool {
 	return len(c.waiting) == 0 && c.state != chainReading && c.state != chainWriting
 }
--- a/internal/ledger/group_commit.go
+++ b/internal/ledger/group_commit.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// storePause is the wait before what must still be stored is tried again with
+// storeRetryDelay is the wait before what must still be stored is tried again with
 // a store that was down.
-const storePause = time.Second
+const storeRetryDelay = time.Second
 
 // GroupCommit records the intents of one ledger shard in batches. Any daemon
 // may run one for any shard; that one daemon does (WriterOf) only keeps the
 // number of writes low.
 type GroupCommit struct {
-	shard   int
-	policy  GroupPolicy
-	calls   uint64
-	chains  map[int64]*chain
-	waiting int
+	shard    int
+	policy   GroupPolicy
+	lastCall uint64
+	chains   map[int64]*chain
+	waiting  int
 }
 
 // NewGroupCommit returns the shard's writer, which has read nothing yet.
@@ -27,32 +27,32 @@
 
 // Intend asks for the right to dispatch.
 func (g *GroupCommit) Intend(now time.Time, in Intent) []Action {
-	e := &entry{intent: in, state: Intended, since: now}
+	p := &pendingRecord{intent: in, state: Intended, queuedAt: now}
 	if g.waiting >= g.policy.MaxWaiting {
-		return e.refuse(Overloaded)
+		return p.refuse(Overloaded)
 	}
-	return g.enter(now, e)
+	return g.enqueue(now, p)
 }
 
 // Outcome stores what the granted request's endpoint answered, best effort.
 func (g *GroupCommit) Outcome(now time.Time, in Intent, o Outcome) []Action {
 	o = o.bounded()
-	return g.enter(now, &entry{intent: in, state: Stored, outcome: &o, since: now})
+	return g.enqueue(now, &pendingRecord{intent: in, state: Stored, outcome: &o, queuedAt: now})
 }
 
 // Abandon frees the key of an intent whose owner has not dispatched and never
 // will: one that was granted or refused as perhaps recorded.
 func (g *GroupCommit) Abandon(now time.Time, in Intent) []Action {
-	return g.enter(now, &entry{intent: in, state: Abandoned, since: now})
+	return g.enqueue(now, &pendingRecord{intent: in, state: Abandoned, queuedAt: now})
 }
 
-func (g *GroupCommit) enter(now time.Time, e *entry) []Action {
+func (g *GroupCommit) enqueue(now time.Time, p *pendingRecord) []Action {
 	if g.waiting >= g.policy.MaxWaiting {
 		return nil
 	}
-	e.after = g.calls
-	c := g.chain(now, bucketOf(e.intent.Key))
-	c.waiting = append(c.waiting, e)
+	p.newestCall = g.lastCall
+	c := g.chain(now, bucketOf(p.intent.Key))
+	c.waiting = append(c.waiting, p)
 	g.waiting++
 	return g.advance(now, c)
 }
@@ -64,7 +64,7 @@
 		c = newChain(bucket)
 		g.chains[bucket] = c
 	}
-	c.used = now
+	c.usedAt = now
 	return c
 }
 
@@ -75,7 +75,7 @@
 	}
 	var oldest *chain
 	for _, c := range g.chains {
-		if c.quiet() && (oldest == nil || c.used.Before(oldest.used)) {
+		if c.evictable() && (oldest == nil || c.usedAt.Before(oldest.usedAt)) {
 			oldest = c
 		}
 	}
@@ -112,12 +112,12 @@
 // due returns when the chain's waiting entries are to be written.
 func (g *GroupCommit) due(c *chain) time.Time {
 	var due time.Time
-	for _, e := range c.waiting {
+	for _, p := range c.waiting {
 		linger := g.policy.OutcomeLinger
-		if e.state == Intended {
+		if p.state == Intended {
 			linger = g.policy.Linger
 		}
-		if at := e.since.Add(linger); due.IsZero() || at.Before(due) {
+		if at := p.queuedAt.Add(linger); due.IsZero() || at.Before(due) {
 			due = at
 		}
 	}
@@ -129,45 +129,45 @@
 	switch {
 	case len(c.waiting) == 0:
 		return nil
-	case c.state == chainCold && c.ready(now):
-		return g.read(c)
+	case c.state == chainUnread && c.ready(now):
+		return g.readChain(c)
 	case c.state == chainIdle:
 		return g.flush(now, c)
 	}
 	return nil
 }
 
-func (g *GroupCommit) read(c *chain) []Action {
+func (g *GroupCommit) readChain(c *chain) []Action {
 	c.state = chainReading
-	g.calls++
-	c.call = g.calls
+	g.lastCall++
+	c.currentCall = g.lastCall
 	if !c.listed {
-		return []Action{List{Call: c.call, Prefix: chainPrefix(g.shard, c.bucket)}}
+		return []Action{List{Call: c.currentCall, Prefix: chainPrefix(g.shard, c.bucket)}}
 	}
-	return []Action{Read{Call: c.call, Name: segmentName(g.shard, c.bucket, c.seq)}}
+	return []Action{Read{Call: c.currentCall, Name: segmentName(g.shard, c.bucket, c.seq)}}
 }
 
 // flush answers what the chain's view settles and writes the rest.
 func (g *GroupCommit) flush(now time.Time, c *chain) []Action {
-	out, stale := g.settle(c)
+	out, stale := g.resolveWaiting(c)
 	if stale {
-		return append(out, g.read(c)...)
+		return append(out, g.readChain(c)...)
 	}
 	if len(c.waiting) == 0 || now.Before(g.due(c)) {
 		return out
 	}
-	c.fill()
-	c.sealing = len(c.text)+len(c.batched) >= g.policy.SealBytes
+	c.fillBatch()
+	c.sealing = len(c.encoded)+len(c.encodedBatch) >= g.policy.SealBytes
 	c.state = chainWriting
-	g.calls++
-	c.call = g.calls
+	g.lastCall++
+	c.currentCall = g.lastCall
 	return append(out, Write{
-		Call: c.call, Name: segmentName(g.shard, c.bucket, c.seq), Version: c.version,
-		Value: segmentText(c.text, c.batched, c.sealing),
+		Call: c.currentCall, Name: segmentName(g.shard, c.bucket, c.seq), Version: c.version,
+		Value: encodeSegment(c.encoded, c.encodedBatch, c.sealing),
 	})
 }
 
-// settle answers the waiting entries that need no write. stale says that one
+// resolveWaiting answers the waiting entries that need no write. stale says that one
 // would be denied by a view that is older than it.
 //
 // Failure: another daemon wrote the shard meanwhile, and the owner that the
@@ -175,25 +175,25 @@
 // that holds nothing. A read that began after the intent came shows who holds
 // the key at a moment between question and answer. Denials are rare, so a read
 // for each costs next to nothing.
-func (g *GroupCommit) settle(c *chain) (out []Action, stale bool) {
+func (g *GroupCommit) resolveWaiting(c *chain) (out []Action, stale bool) {
 	before := len(c.waiting)
-	c.waiting = slices.DeleteFunc(c.waiting, func(e *entry) bool {
-		if c.proved <= e.after && e.deniedBy(c.find(e.intent)) {
+	c.waiting = slices.DeleteFunc(c.waiting, func(p *pendingRecord) bool {
+		if c.provenCall <= p.newestCall && p.deniedBy(c.find(p.intent)) {
 			stale = true
 			return false
 		}
-		settled, actions := e.settle(c.find(e.intent), segmentName(g.shard, c.bucket, c.seq), c.version)
+		resolved, actions := p.resolve(c.find(p.intent), segmentName(g.shard, c.bucket, c.seq), c.version)
 		out = append(out, actions...)
-		return settled
+		return resolved
 	})
 	g.waiting -= before - len(c.waiting)
 	return out, stale
 }
 
-// find returns the chain whose call is out, nil for a late result.
-func (g *GroupCommit) find(call uint64) *chain {
+// chainOfCall returns the chain whose call is out, nil for a late result.
+func (g *GroupCommit) chainOfCall(call uint64) *chain {
 	for _, c := range g.chains {
-		if c.call == call && (c.state == chainReading || c.state == chainWriting) {
+		if c.currentCall == call && (c.state == chainReading || c.state == chainWriting) {
 			return c
 		}
 	}
--- a/internal/ledger/judge.go
+++ b/internal/ledger/judge.go
@@ -1,31 +1,31 @@
 package ledger
 
-// judgement is what an existing record means for an intent.
-type judgement uint8
+// keyStatus is what an existing record means for an intent.
+type keyStatus uint8
 
 const (
-	judgeFree   judgement = iota // no record, or an abandoned one: may be recorded
-	judgeOwn                     // recorded for this owner
-	judgeReused                  // recorded with another body
-	judgeOther                   // recorded for another owner
-	judgeGone                    // abandoned by this owner: a late copy of its wish
+	statusFree      keyStatus = iota // no record, or an abandoned one: may be recorded
+	statusOwn                        // recorded for this owner
+	statusReused                     // recorded with another body
+	statusOther                      // recorded for another owner
+	statusAbandoned                  // abandoned by this owner: a late copy of its wish
 )
 
-// judge compares an intent with the record of its key, nil where there is none.
-func judge(in Intent, existing *Record) judgement {
+// keyStatusFor compares an intent with the record of its key, nil where there is none.
+func keyStatusFor(in Intent, existing *Record) keyStatus {
 	switch {
 	case existing == nil:
-		return judgeFree
+		return statusFree
 	case existing.Owner == in.Owner && existing.State == Intended:
-		return judgeOwn
+		return statusOwn
 	case existing.State == Abandoned && existing.Owner == in.Owner:
-		return judgeGone
+		return statusAbandoned
 	case existing.State == Abandoned:
-		return judgeFree
+		return statusFree
 	case existing.Digest != in.Digest || existing.Workspace != in.Workspace:
-		return judgeReused
+		return statusReused
 	default:
-		return judgeOther
+		return statusOther
 	}
 }
 
--- a/internal/ledger/key_test.go
+++ b/internal/ledger/key_test.go
@@ -50,7 +50,7 @@
 	k := keyAt(t0, 1)
 	for _, name := range []string{keyName("w", k), segmentName(3, bucketOf(k), 0)} {
 		assert.Assert(t, !Expired(t0.Add(DefaultWindow), name, DefaultWindow))
-		assert.Assert(t, Expired(t0.Add(DefaultWindow+sweepSlack+2*BucketSpan), name, DefaultWindow))
+		assert.Assert(t, Expired(t0.Add(DefaultWindow+sweepMargin+2*BucketSpan), name, DefaultWindow))
 	}
 	assert.Assert(t, !Expired(t0, "other", DefaultWindow))
 	assert.Assert(t, !Expired(t0, "k.x.y", DefaultWindow))
--- a/internal/ledger/memory_bench_test.go
+++ b/internal/ledger/memory_bench_test.go
@@ -20,7 +20,7 @@
 			in.Key.ID[14], in.Key.ID[15] = byte(n>>8), byte(n)
 			r := in.record(1)
 			r.State, r.Outcome = Stored, &Outcome{Status: 201, Body: make([]byte, 64)}
-			c.known[keyOf(in)] = r
+			c.records[keyOf(in)] = r
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/ledger/name.go
+++ b/internal/ledger/name.go
@@ -21,8 +21,8 @@
 // a second a minute's chain is about 16 MB, at 20 less than one.
 const BucketSpan = time.Minute
 
-// sweepSlack keeps objects longer than the window, against clocks that differ.
-const sweepSlack = time.Hour
+// sweepMargin keeps objects longer than the window, against clocks that differ.
+const sweepMargin = time.Hour
 
 // bucketOf numbers the minute in which a key was made.
 func bucketOf(k Key) int64 { return k.At.Unix() / int64(BucketSpan/time.Second) }
@@ -67,5 +67,5 @@
 		return false
 	}
 	end := time.Unix(0, 0).Add(time.Duration(bucket+1) * BucketSpan)
-	return now.Sub(end) > window+sweepSlack
+	return now.Sub(end) > window+sweepMargin
 }
--- a/internal/ledger/per_key.go
+++ b/internal/ledger/per_key.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// maxTries bounds the calls that resolve one ambiguous write. The store loses
+// maxAttempts bounds the calls that resolve one ambiguous write. The store loses
 // an answer now and then; three lost in a row mean that it is down.
-const maxTries = 5
+const maxAttempts = 5
 
 // PerKey records each key in an object of its own by a conditional create. It
 // is one store write an order before the dispatch and one after it.
 type PerKey struct {
-	calls uint64
-	open  map[uint64]*keyCall
+	lastCall uint64
+	inFlight map[uint64]*keyCall
 }
 
 type keyCall struct {
-	intent   Intent
-	name     string
-	value    []byte
-	version  uint64 // the condition of the write
-	tries    int
-	recorded bool // an ambiguous write may have recorded it
+	intent        Intent
+	name          string
+	value         []byte
+	version       uint64 // the condition of the write
+	attempts      int
+	maybeRecorded bool // an ambiguous write may have recorded it
 }
 
 // NewPerKey returns a layout without open calls.
-func NewPerKey() *PerKey { return &PerKey{open: make(map[uint64]*keyCall)} }
+func NewPerKey() *PerKey { return &PerKey{inFlight: make(map[uint64]*keyCall)} }
 
 // Intend asks for the right to dispatch.
 func (p *PerKey) Intend(now time.Time, in Intent) []Action {
@@ -54,8 +54,8 @@
 
 func (p *PerKey) update(g Grant, r Record) []Action {
 	value, _ := json.Marshal(r)
-	p.calls++
-	return []Action{Write{Call: p.calls, Name: g.Object, Version: g.Version, Value: value}}
+	p.lastCall++
+	return []Action{Write{Call: p.lastCall, Name: g.Object, Version: g.Version, Value: value}}
 }
 
 // Written takes the result of a write.
@@ -70,13 +70,13 @@
 	case Unavailable:
 		return c.refuse(StoreDown)
 	case Ambiguous:
-		c.recorded = true
+		c.maybeRecorded = true
 		return p.read(c)
 	}
 	if r.Current == nil {
 		return p.read(c)
 	}
-	return p.found(c, *r.Current)
+	return p.resolve(c, *r.Current)
 }
 
 // ReadBack takes the result of a read.
@@ -88,11 +88,11 @@
 	if !r.OK {
 		return p.read(c)
 	}
-	return p.found(c, r.Object)
+	return p.resolve(c, r.Object)
 }
 
-// found acts on the object as it is.
-func (p *PerKey) found(c *keyCall, o Object) []Action {
+// resolve acts on the object as it is.
+func (p *PerKey) resolve(c *keyCall, o Object) []Action {
 	if o.Version == 0 {
 		c.version = 0
 		return p.write(c)
@@ -101,14 +101,14 @@
 	if json.Unmarshal(o.Value, &existing) != nil {
 		return c.refuse(StoreDown)
 	}
-	switch judge(c.intent, &existing) {
-	case judgeOwn:
+	switch keyStatusFor(c.intent, &existing) {
+	case statusOwn:
 		return []Action{Grant{Intent: c.intent, Object: c.name, Version: o.Version}}
-	case judgeReused:
+	case statusReused:
 		return []Action{Refuse{Intent: c.intent, Reason: KeyReused}}
-	case judgeGone:
+	case statusAbandoned:
 		return []Action{Refuse{Intent: c.intent, Reason: Late}}
-	case judgeOther:
+	case statusOther:
 		return []Action{Deny{Intent: c.intent, Existing: existing}}
 	}
 	c.version = o.Version
@@ -116,31 +116,31 @@
 }
 
 func (p *PerKey) write(c *keyCall) []Action {
-	if c.tries++; c.tries > maxTries {
+	if c.attempts++; c.attempts > maxAttempts {
 		return c.refuse(StoreDown)
 	}
-	return []Action{Write{Call: p.call(c), Name: c.name, Version: c.version, Value: c.value}}
+	return []Action{Write{Call: p.register(c), Name: c.name, Version: c.version, Value: c.value}}
 }
 
 func (p *PerKey) read(c *keyCall) []Action {
-	if c.tries++; c.tries > maxTries {
+	if c.attempts++; c.attempts > maxAttempts {
 		return c.refuse(StoreDown)
 	}
-	return []Action{Read{Call: p.call(c), Name: c.name}}
+	return []Action{Read{Call: p.register(c), Name: c.name}}
 }
 
-func (p *PerKey) call(c *keyCall) uint64 {
-	p.calls++
-	p.open[p.calls] = c
-	return p.calls
+func (p *PerKey) register(c *keyCall) uint64 {
+	p.lastCall++
+	p.inFlight[p.lastCall] = c
+	return p.lastCall
 }
 
 func (p *PerKey) take(call uint64) *keyCall {
-	c := p.open[call]
-	delete(p.open, call)
+	c := p.inFlight[call]
+	delete(p.inFlight, call)
 	return c
 }
 
 func (c *keyCall) refuse(why RefuseReason) []Action {
-	return []Action{Refuse{Intent: c.intent, Reason: why, MaybeRecorded: c.recorded}}
+	return []Action{Refuse{Intent: c.intent, Reason: why, MaybeRecorded: c.maybeRecorded}}
 }
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -27,9 +27,9 @@
 	Records []Record `json:"records"`
 }
 
-// segmentText builds a segment's JSON from records that are encoded already, so
+// encodeSegment builds a segment's JSON from records that are encoded already, so
 // that a batch costs no encoding of those before it.
-func segmentText(committed, batch []byte, sealed bool) []byte {
+func encodeSegment(committed, batch []byte, sealed bool) []byte {
 	out := make([]byte, 0, len(committed)+len(batch)+40)
 	out = append(out, '{')
 	if sealed {
