--- a/internal/ledger/grants_once_test.go
+++ b/internal/ledger/grants_once_test.go
@@ -12,25 +12,25 @@
 // twice, and porcupine finds an order of all answers in which each is true.
 func TestPerKeyGrantsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(func() layout { return NewPerKey() })
-		actions := w.actions()
+		h := newHarness(func() layout { return NewPerKey() })
+		actions := h.actions()
 		actions["settle"] = func(t *rapid.T) {
-			g := w.anyGrant(t, false)
+			g := h.drawGrant(t, false)
 			if g == nil {
 				return
 			}
-			p := w.writers[0].(*PerKey)
+			p := h.writers[0].(*PerKey)
 			if rapid.Bool().Draw(t, "ran") {
-				w.do(t, 0, p.Outcome(w.now, *g, Outcome{Status: 200}))
+				h.perform(t, 0, p.Outcome(h.now, *g, Outcome{Status: 200}))
 				return
 			}
-			w.drop(g.Intent)
-			w.do(t, 0, p.Abandon(w.now, *g))
+			h.abandon(g.Intent)
+			h.perform(t, 0, p.Abandon(h.now, *g))
 		}
 		for range 4 {
 			t.Repeat(actions)
 		}
-		w.finish(t)
+		h.finish(t)
 	})
 }
 
@@ -40,28 +40,28 @@
 	policy := DefaultGroupPolicy()
 	policy.SealBytes = 700
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(func() layout { return NewGroupCommit(0, policy) })
-		actions := w.actions()
+		h := newHarness(func() layout { return NewGroupCommit(0, policy) })
+		actions := h.actions()
 		actions["tick"] = func(t *rapid.T) {
-			w.tick(t, time.Duration(rapid.IntRange(1, 600).Draw(t, "ms"))*time.Millisecond)
+			h.tick(t, time.Duration(rapid.IntRange(1, 600).Draw(t, "ms"))*time.Millisecond)
 		}
 		actions["settle"] = func(t *rapid.T) {
-			g := w.anyGrant(t, true)
+			g := h.drawGrant(t, true)
 			if g == nil {
 				return
 			}
-			at := rapid.IntRange(0, 2).Draw(t, "writer")
-			c := w.writers[at].(*GroupCommit)
-			if !w.wishes[g.Intent.Owner].dropped && rapid.Bool().Draw(t, "ran") {
-				w.do(t, at, c.Outcome(w.now, g.Intent, Outcome{Status: 200}))
+			writer := rapid.IntRange(0, 2).Draw(t, "writer")
+			c := h.writers[writer].(*GroupCommit)
+			if !h.intents[g.Intent.Owner].abandoned && rapid.Bool().Draw(t, "ran") {
+				h.perform(t, writer, c.Outcome(h.now, g.Intent, Outcome{Status: 200}))
 				return
 			}
-			w.drop(g.Intent)
-			w.do(t, at, c.Abandon(w.now, g.Intent))
+			h.abandon(g.Intent)
+			h.perform(t, writer, c.Abandon(h.now, g.Intent))
 		}
 		for range 4 {
 			t.Repeat(actions)
 		}
-		w.finish(t)
+		h.finish(t)
 	})
 }
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -60,56 +60,56 @@
 	return slices.Collect(maps.Values(parts))
 }
 
-func (w *world) record(in Intent, from, to int64, r opResult) {
-	w.history = append(w.history, porcupine.Operation{
+func (h *harness) recordOperation(in Intent, from, to int64, r opResult) {
+	h.history = append(h.history, porcupine.Operation{
 		Input: opInput{key: in.Key, owner: in.Owner}, Call: from, Output: r, Return: to,
 	})
 }
 
-// unsure enters an intent without a known end, which its writer may abandon.
-func (w *world) unsure(in Intent) {
-	w.record(in, w.wishes[in.Owner].called, math.MaxInt64, opResult{})
-	w.drop(in)
+// recordUnknown enters an intent without a known end, which its writer may abandon.
+func (h *harness) recordUnknown(in Intent) {
+	h.recordOperation(in, h.intents[in.Owner].calledAt, math.MaxInt64, opResult{})
+	h.abandon(in)
 }
 
-// drop enters the abandonment of an intent, which takes effect later or never.
-func (w *world) drop(in Intent) {
-	w.wishes[in.Owner].dropped = true
-	w.clock++
-	w.history = append(w.history, porcupine.Operation{
-		Input: opInput{key: in.Key, owner: in.Owner, abandon: true}, Call: w.clock, Output: opResult{}, Return: math.MaxInt64,
+// abandon enters the abandonment of an intent, which takes effect later or never.
+func (h *harness) abandon(in Intent) {
+	h.intents[in.Owner].abandoned = true
+	h.clock++
+	h.history = append(h.history, porcupine.Operation{
+		Input: opInput{key: in.Key, owner: in.Owner, abandon: true}, Call: h.clock, Output: opResult{}, Return: math.MaxInt64,
 	})
 }
 
-// anyGrant draws a grant, also one that was given back where dropped is set.
-func (w *world) anyGrant(t *rapid.T, dropped bool) *Grant {
-	var fit []*Grant
-	for _, owner := range slices.Sorted(maps.Keys(w.wishes)) {
-		if o := w.wishes[owner]; o.granted != nil && (dropped || !o.dropped) {
-			fit = append(fit, o.granted)
+// drawGrant draws a grant, also one that was given back where dropped is set.
+func (h *harness) drawGrant(t *rapid.T, withAbandoned bool) *Grant {
+	var candidates []*Grant
+	for _, owner := range slices.Sorted(maps.Keys(h.intents)) {
+		if o := h.intents[owner]; o.granted != nil && (withAbandoned || !o.abandoned) {
+			candidates = append(candidates, o.granted)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(fit).Draw(t, "grant")
+	return rapid.SampledFrom(candidates).Draw(t, "grant")
 }
 
 // finish lets the store work, after which every owner whose writer lives must
 // have its answer, and checks the history.
-func (w *world) finish(t *rapid.T) {
+func (h *harness) finish(t *rapid.T) {
 	for range 100 {
 		for range 20 {
-			w.serve(t)
+			h.completeCalls(t)
 		}
-		w.tick(t, 50*time.Millisecond)
+		h.tick(t, 50*time.Millisecond)
 	}
-	for _, owner := range slices.Sorted(maps.Keys(w.wishes)) {
-		if o := w.wishes[owner]; !o.over {
-			assert.Assert(t, o.lost, "%s has no answer", owner)
-			w.record(o.intent, o.called, math.MaxInt64, opResult{})
+	for _, owner := range slices.Sorted(maps.Keys(h.intents)) {
+		if o := h.intents[owner]; !o.answered {
+			assert.Assert(t, o.writerCrashed, "%s has no answer", owner)
+			h.recordOperation(o.intent, o.calledAt, math.MaxInt64, opResult{})
 		}
 	}
 	model := ledgerModel.ToModel()
-	assert.Assert(t, porcupine.CheckOperations(model, w.history), "history is not linearizable")
+	assert.Assert(t, porcupine.CheckOperations(model, h.history), "history is not linearizable")
 }
--- a/internal/ledger/key_test.go
+++ b/internal/ledger/key_test.go
@@ -46,7 +46,7 @@
 }
 
 // Objects are swept only when every key in them is refused by age.
-func TestOnlyExpiredObjectsAreSwept(t *testing.T) {
+func TestOnlyExpiredObjectsAreDeleted(t *testing.T) {
 	k := keyAt(t0, 1)
 	for _, name := range []string{keyName("w", k), segmentName(3, bucketOf(k), 0)} {
 		assert.Assert(t, !Expired(t0.Add(DefaultWindow), name, DefaultWindow))
--- a/internal/ledger/layout_bench_test.go
+++ b/internal/ledger/layout_bench_test.go
@@ -41,14 +41,14 @@
 
 // sim runs orders against one layout in virtual time.
 type sim struct {
-	queue         simQueue
-	now           time.Duration
-	seq           int
-	store         *world
-	shards        []layout
-	writes, bytes int
-	added         []time.Duration
-	started       map[Owner]time.Duration
+	queue          simQueue
+	now            time.Duration
+	seq            int
+	store          *harness
+	shards         []layout
+	writes, bytes  int
+	addedLatencies []time.Duration
+	started        map[Owner]time.Duration
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -58,7 +58,7 @@
 
 func (s *sim) time() time.Time { return t0.Add(s.now) }
 
-func (s *sim) do(l layout, hop time.Duration, actions []Action) {
+func (s *sim) perform(l layout, hop time.Duration, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Write:
@@ -66,52 +66,52 @@
 			s.bytes += len(a.Value)
 			s.after(simStore, func() {
 				r := WriteResult{Call: a.Call, Status: s.store.put(&a), Version: s.store.version}
-				s.do(l, hop, l.Written(s.time(), r))
+				s.perform(l, hop, l.Written(s.time(), r))
 			})
 		case Read:
 			s.after(simStore, func() {
 				r := ReadResult{Call: a.Call, OK: true, Object: s.store.store[a.Name]}
-				s.do(l, hop, l.ReadBack(s.time(), r))
+				s.perform(l, hop, l.ReadBack(s.time(), r))
 			})
 		case List:
 			s.after(simStore, func() {
 				r := ListResult{Call: a.Call, OK: true, Objects: s.store.store}
-				s.do(l, hop, l.(*GroupCommit).Listed(s.time(), r))
+				s.perform(l, hop, l.(*GroupCommit).Listed(s.time(), r))
 			})
 		case Grant:
-			s.added = append(s.added, s.now-s.started[a.Intent.Owner]+hop)
+			s.addedLatencies = append(s.addedLatencies, s.now-s.started[a.Intent.Owner]+hop)
 			s.after(simRun, func() { s.outcome(l, hop, a) })
 		}
 	}
-	s.wake(l, hop)
+	s.scheduleTick(l, hop)
 }
 
 func (s *sim) outcome(l layout, hop time.Duration, g Grant) {
 	o := Outcome{Status: 201, Body: make([]byte, 64)}
 	switch l := l.(type) {
 	case *PerKey:
-		s.do(l, hop, l.Outcome(s.time(), g, o))
+		s.perform(l, hop, l.Outcome(s.time(), g, o))
 	case *GroupCommit:
-		s.do(l, hop, l.Outcome(s.time(), g.Intent, o))
+		s.perform(l, hop, l.Outcome(s.time(), g.Intent, o))
 	}
 }
 
-// wake ticks a batch writer when its next batch has lingered.
-func (s *sim) wake(l layout, hop time.Duration) {
+// scheduleTick ticks a batch writer when its next batch has lingered.
+func (s *sim) scheduleTick(l layout, hop time.Duration) {
 	g, ok := l.(*GroupCommit)
 	if !ok || g.Next().IsZero() {
 		return
 	}
 	s.after(max(0, g.Next().Sub(s.time())), func() {
 		if next := g.Next(); !next.IsZero() && !next.After(s.time()) {
-			s.do(g, hop, g.Tick(s.time()))
+			s.perform(g, hop, g.Tick(s.time()))
 		}
 	})
 }
 
-// order sends one order: to its shard's writer, which is another daemon but
-// for one order in simDaemons, or straight to the store.
-func (s *sim) order(n int, random *rand.Rand) {
+// request sends one request: to its shard's writer, which is another daemon but
+// for one request in simDaemons, or straight to the store.
+func (s *sim) request(n int, random *rand.Rand) {
 	key := keyAt(s.time(), 0)
 	for i := 9; i < 16; i++ {
 		key.ID[i] = byte(random.Uint32())
@@ -125,15 +125,15 @@
 			hop = simHop
 		}
 	}
-	s.after(hop, func() { s.do(l, hop, l.Intend(s.time(), in)) })
+	s.after(hop, func() { s.perform(l, hop, l.Intend(s.time(), in)) })
 }
 
 func simulate(rate int, shards []layout) *sim {
-	s := &sim{store: newWorld(func() layout { return nil }), shards: shards, started: map[Owner]time.Duration{}}
+	s := &sim{store: newHarness(func() layout { return nil }), shards: shards, started: map[Owner]time.Duration{}}
 	random := rand.New(rand.NewPCG(1, 2))
 	at := time.Duration(0)
 	for n := 0; at < simSeconds*time.Second; n++ {
-		s.after(at, func() { s.order(n, random) })
+		s.after(at, func() { s.request(n, random) })
 		at += time.Duration(random.ExpFloat64() / float64(rate) * float64(time.Second))
 	}
 	for len(s.queue) > 0 {
@@ -141,7 +141,7 @@
 		s.now = e.at
 		e.do()
 	}
-	slices.Sort(s.added)
+	slices.Sort(s.addedLatencies)
 	return s
 }
 
@@ -157,9 +157,9 @@
 	}
 }
 
-// rivals are two daemons that both write shard 0, as while they disagree about
+// rivalWriters are two daemons that both write shard 0, as while they disagree about
 // who is alive.
-func rivals(linger time.Duration, seal int) func() []layout {
+func rivalWriters(linger time.Duration, seal int) func() []layout {
 	return func() []layout {
 		return []layout{grouped(1, linger, seal)()[0], grouped(1, linger, seal)()[0]}
 	}
@@ -183,7 +183,7 @@
 		{"group/shards=1/linger=5ms/sealKB=256", grouped(1, 5*ms, 256<<10)},
 		{"group/shards=4/linger=5ms/sealKB=4", grouped(4, 5*ms, 4<<10)},
 		{"group/shards=16/linger=5ms/sealKB=4", grouped(16, 5*ms, 4<<10)},
-		{"group/rivals=2/linger=5ms/sealKB=4", rivals(5*ms, 4<<10)},
+		{"group/rivals=2/linger=5ms/sealKB=4", rivalWriters(5*ms, 4<<10)},
 	}
 	for _, l := range layouts {
 		for _, rate := range []int{5, 20, 50, 100, 200, 500} {
@@ -198,13 +198,13 @@
 
 func report(b *testing.B, s *sim) {
 	sum := time.Duration(0)
-	for _, d := range s.added {
+	for _, d := range s.addedLatencies {
 		sum += d
 	}
-	count := len(s.added)
+	count := len(s.addedLatencies)
 	b.ReportMetric(float64(s.writes)/simSeconds, "writes/s")
 	b.ReportMetric(float64(len(s.store.store))/simSeconds, "deletes/s") // of each object, once
 	b.ReportMetric(float64(s.bytes)/simSeconds/1024, "KB/s")
 	b.ReportMetric(float64(sum.Microseconds())/1000/float64(count), "mean-ms")
-	b.ReportMetric(float64(s.added[count*99/100].Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(s.addedLatencies[count*99/100].Microseconds())/1000, "p99-ms")
 }
--- a/internal/ledger/layout_test.go
+++ b/internal/ledger/layout_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert/cmp"
 )
 
-// healthy answers all calls of a layout at once until it needs nothing more,
+// answerCalls answers all calls of a layout at once until it needs nothing more,
 // and returns its other actions.
-func healthy(w *world, l layout, actions []Action) []Action {
+func answerCalls(h *harness, l layout, actions []Action) []Action {
 	var out []Action
 	for len(actions) > 0 {
 		a := actions[0]
@@ -19,16 +19,16 @@
 		switch a := a.(type) {
 		case Write:
 			c.write = &a
-			w.apply(c)
+			h.apply(c)
 			r := WriteResult{Call: a.Call, Status: c.status, Version: c.object.Version, Current: &c.object}
-			actions = append(actions, l.Written(w.now, r)...)
+			actions = append(actions, l.Written(h.now, r)...)
 		case Read:
 			c.read = &a
-			w.apply(c)
-			actions = append(actions, l.ReadBack(w.now, ReadResult{Call: a.Call, OK: true, Object: c.object})...)
+			h.apply(c)
+			actions = append(actions, l.ReadBack(h.now, ReadResult{Call: a.Call, OK: true, Object: c.object})...)
 		case List:
-			r := ListResult{Call: a.Call, OK: true, Objects: w.store}
-			actions = append(actions, l.(*GroupCommit).Listed(w.now, r)...)
+			r := ListResult{Call: a.Call, OK: true, Objects: h.store}
+			actions = append(actions, l.(*GroupCommit).Listed(h.now, r)...)
 		default:
 			out = append(out, a)
 		}
@@ -36,17 +36,17 @@
 	return out
 }
 
-func order(owner Owner, body byte) Intent {
+func newIntent(owner Owner, body byte) Intent {
 	return Intent{Workspace: "w", Key: keyAt(t0, 1), Owner: owner, Digest: Digest{body}, Deadline: t0.Add(time.Hour)}
 }
 
 // intend returns the layout's only answer to an intent.
-func intend(t *testing.T, w *world, l layout, in Intent) Action {
+func intend(t *testing.T, h *harness, l layout, in Intent) Action {
 	t.Helper()
-	actions := healthy(w, l, l.Intend(w.now, in))
+	actions := answerCalls(h, l, l.Intend(h.now, in))
 	if g, ok := l.(*GroupCommit); ok {
-		w.now = w.now.Add(time.Second)
-		actions = append(actions, healthy(w, l, g.Tick(w.now))...)
+		h.now = h.now.Add(time.Second)
+		actions = append(actions, answerCalls(h, l, g.Tick(h.now))...)
 	}
 	assert.Assert(t, cmp.Len(actions, 1))
 	return actions[0]
@@ -56,61 +56,61 @@
 // stored outcome, with another body it is refused, and an order that was never
 // dispatched leaves its key free for the repeat, but not for a late copy of
 // the wish that was given up.
-func TestRepeatsOfAnOrder(t *testing.T) {
+func TestRepeatedRequests(t *testing.T) {
 	for name, build := range map[string]func() layout{
 		"per key":      func() layout { return NewPerKey() },
 		"group commit": func() layout { return NewGroupCommit(0, DefaultGroupPolicy()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(build)
-			first := intend(t, w, w.writers[0], order("a", 1)).(Grant)
-			assert.Equal(t, intend(t, w, w.writers[1], order("b", 2)).(Refuse).Reason, KeyReused)
-			assert.Equal(t, intend(t, w, w.writers[1], order("c", 1)).(Deny).Existing.State, Intended)
-			settle(w, w.writers[0], first, nil)
-			assert.Equal(t, intend(t, w, w.writers[0], order("a", 1)).(Refuse).Reason, Late)
-			second := intend(t, w, w.writers[0], order("d", 1)).(Grant)
-			settle(w, w.writers[0], first, nil) // a late copy, which must not free the second's key
-			assert.Equal(t, intend(t, w, w.writers[0], order("e", 1)).(Deny).Existing.Owner, Owner("d"))
-			settle(w, w.writers[0], second, &Outcome{Status: 201, Body: []byte("done")})
-			fresh := intend(t, w, build(), order("e", 1)).(Deny)
+			h := newHarness(build)
+			first := intend(t, h, h.writers[0], newIntent("a", 1)).(Grant)
+			assert.Equal(t, intend(t, h, h.writers[1], newIntent("b", 2)).(Refuse).Reason, KeyReused)
+			assert.Equal(t, intend(t, h, h.writers[1], newIntent("c", 1)).(Deny).Existing.State, Intended)
+			endGrant(h, h.writers[0], first, nil)
+			assert.Equal(t, intend(t, h, h.writers[0], newIntent("a", 1)).(Refuse).Reason, Late)
+			second := intend(t, h, h.writers[0], newIntent("d", 1)).(Grant)
+			endGrant(h, h.writers[0], first, nil) // a late copy, which must not free the second's key
+			assert.Equal(t, intend(t, h, h.writers[0], newIntent("e", 1)).(Deny).Existing.Owner, Owner("d"))
+			endGrant(h, h.writers[0], second, &Outcome{Status: 201, Body: []byte("done")})
+			fresh := intend(t, h, build(), newIntent("e", 1)).(Deny)
 			assert.Equal(t, fresh.Existing.Outcome.Status, 201)
 			assert.Equal(t, string(fresh.Existing.Outcome.Body), "done")
 		})
 	}
 }
 
-// settle stores an outcome, or abandons where there is none.
-func settle(w *world, l layout, g Grant, o *Outcome) {
+// endGrant stores an outcome, or abandons where there is none.
+func endGrant(h *harness, l layout, g Grant, o *Outcome) {
 	var actions []Action
 	switch l := l.(type) {
 	case *PerKey:
-		actions = l.Abandon(w.now, g)
+		actions = l.Abandon(h.now, g)
 		if o != nil {
-			actions = l.Outcome(w.now, g, *o)
+			actions = l.Outcome(h.now, g, *o)
 		}
 	case *GroupCommit:
 		g.Intent.Digest = Digest{} // the record's own is kept
 		if o != nil {
-			actions = l.Outcome(w.now, g.Intent, *o)
+			actions = l.Outcome(h.now, g.Intent, *o)
 		} else {
-			actions = l.Abandon(w.now, g.Intent)
+			actions = l.Abandon(h.now, g.Intent)
 		}
-		w.now = w.now.Add(time.Second)
-		actions = append(actions, l.Tick(w.now)...)
+		h.now = h.now.Add(time.Second)
+		actions = append(actions, l.Tick(h.now)...)
 	}
-	healthy(w, l, actions)
+	answerCalls(h, l, actions)
 }
 
 // The caller is told not-run because the store is down; that must be true, and
 // orders must be taken again once the store is back.
 func TestStoreDownRefusesAndRecovers(t *testing.T) {
-	w := newWorld(func() layout { return NewGroupCommit(0, DefaultGroupPolicy()) })
-	g := w.writers[0].(*GroupCommit)
-	list := g.Intend(w.now, order("a", 1))[0].(List)
-	refuse := g.Listed(w.now, ListResult{Call: list.Call})[0].(Refuse)
+	h := newHarness(func() layout { return NewGroupCommit(0, DefaultGroupPolicy()) })
+	g := h.writers[0].(*GroupCommit)
+	list := g.Intend(h.now, newIntent("a", 1))[0].(List)
+	refuse := g.Listed(h.now, ListResult{Call: list.Call})[0].(Refuse)
 	assert.Equal(t, refuse.Reason, StoreDown)
 	assert.Assert(t, !refuse.MaybeRecorded)
-	_, granted := intend(t, w, g, order("b", 1)).(Grant)
+	_, granted := intend(t, h, g, newIntent("b", 1)).(Grant)
 	assert.Assert(t, granted)
 }
 
@@ -120,19 +120,19 @@
 func TestNewWriterReadsSealedSegments(t *testing.T) {
 	policy := DefaultGroupPolicy()
 	policy.SealBytes = 300
-	w := newWorld(func() layout { return NewGroupCommit(0, policy) })
+	h := newHarness(func() layout { return NewGroupCommit(0, policy) })
 	in := func(n byte, owner Owner) Intent {
-		o := order(owner, 1)
+		o := newIntent(owner, 1)
 		o.Key = keyAt(t0, n)
 		return o
 	}
 	for n := range byte(9) {
-		_, granted := intend(t, w, w.writers[0], in(n, "a")).(Grant)
+		_, granted := intend(t, h, h.writers[0], in(n, "a")).(Grant)
 		assert.Assert(t, granted)
 	}
-	assert.Assert(t, len(w.store) > 3)
+	assert.Assert(t, len(h.store) > 3)
 	for n := range byte(9) {
-		_, denied := intend(t, w, w.writers[1], in(n, "b")).(Deny)
+		_, denied := intend(t, h, h.writers[1], in(n, "b")).(Deny)
 		assert.Assert(t, denied)
 	}
 }
--- a/internal/ledger/machine_test.go
+++ b/internal/ledger/machine_test.go
@@ -30,66 +30,66 @@
 	object  Object // after it
 }
 
-// wish is one owner's intent.
-type wish struct {
-	intent  Intent
-	called  int64
-	writer  int
-	lost    bool // its writer died before it answered
-	granted *Grant
-	over    bool // answered
-	dropped bool // abandoned
+// ownerIntent is one owner's intent.
+type ownerIntent struct {
+	intent        Intent
+	calledAt      int64
+	writer        int
+	writerCrashed bool // its writer died before it answered
+	granted       *Grant
+	answered      bool // answered
+	abandoned     bool // abandoned
 }
 
-// world is daemons that run the ledger against a store that loses, delays and
+// harness is daemons that run the ledger against a store that loses, delays and
 // doubles nothing it admits to.
-type world struct {
-	now     time.Time
-	clock   int64
-	make    func() layout
-	writers []layout
-	store   map[string]Object
-	version uint64
-	calls   []*call
-	ghosts  []*Write // told to be ambiguous, may still take effect
-	wishes  map[Owner]*wish
-	history []porcupine.Operation
+type harness struct {
+	now        time.Time
+	clock      int64
+	newLayout  func() layout
+	writers    []layout
+	store      map[string]Object
+	version    uint64
+	calls      []*call
+	lateWrites []*Write // told to be ambiguous, may still take effect
+	intents    map[Owner]*ownerIntent
+	history    []porcupine.Operation
 }
 
-func newWorld(build func() layout) *world {
-	w := &world{now: t0, make: build, store: map[string]Object{}, wishes: map[Owner]*wish{}}
+func newHarness(build func() layout) *harness {
+	h := &harness{now: t0, newLayout: build, store: map[string]Object{}, intents: map[Owner]*ownerIntent{}}
 	for range 3 {
-		w.writers = append(w.writers, build())
+		h.writers = append(h.writers, build())
 	}
-	return w
+	return h
 }
 
-func (w *world) do(t *rapid.T, writer int, actions []Action) {
+func (h *harness) perform(t *rapid.T, writer int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Write:
-			w.calls = append(w.calls, &call{writer: writer, write: &a})
+			h.calls = append(h.calls, &call{writer: writer, write: &a})
 		case Read:
-			w.calls = append(w.calls, &call{writer: writer, read: &a})
+			h.calls = append(h.calls, &call{writer: writer, read: &a})
 		case List:
-			w.calls = append(w.calls, &call{writer: writer, list: &a})
+			h.calls = append(h.calls, &call{writer: writer, list: &a})
 		case Grant:
-			w.answer(t, a.Intent, opResult{granted: true})
-			w.wishes[a.Intent.Owner].granted = &a
+			h.recordAnswer(t, a.Intent, opResult{granted: true})
+			h.intents[a.Intent.Owner].granted = &a
 		case Deny:
-			w.answer(t, a.Intent, opResult{denied: a.Existing.Owner})
+			h.recordAnswer(t, a.Intent, opResult{denied: a.Existing.Owner})
 		case Refuse:
-			assert.Assert(t, a.Reason != KeyReused || w.reused(a.Intent), "refused as reused without cause")
-			assert.Assert(t, !w.wishes[a.Intent.Owner].over, "%s answered twice", a.Intent.Owner)
-			w.wishes[a.Intent.Owner].over = true
-			w.unsure(a.Intent)
+			assert.Assert(t, a.Reason != KeyReused || h.reused(a.Intent), "refused as reused without cause")
+			assert.Assert(t, !h.intents[a.Intent.Owner].answered, "%s answered twice", a.Intent.Owner)
+			h.intents[a.Intent.Owner].answered = true
+			h.recordUnknown(a.Intent)
 		}
 	}
 }
 
 // reused reports whether the key was sent with another body.
-func (w *world) reused(in Intent) bool {
-	for _, o := range w.wishes {
+func (h *harness) reused(in Intent) bool {
+	for _, o := range h.intents {
 		if o.intent.Key == in.Key && o.intent.Digest != in.Digest {
 			return true
 		}
@@ -97,52 +97,52 @@
 	return false
 }
 
-func (w *world) answer(t *rapid.T, in Intent, r opResult) {
-	own := w.wishes[in.Owner]
-	assert.Assert(t, !own.over, "%s answered twice", in.Owner)
-	own.over = true
-	w.clock++
-	w.record(in, own.called, w.clock, r)
+func (h *harness) recordAnswer(t *rapid.T, in Intent, r opResult) {
+	o := h.intents[in.Owner]
+	assert.Assert(t, !o.answered, "%s answered twice", in.Owner)
+	o.answered = true
+	h.clock++
+	h.recordOperation(in, o.calledAt, h.clock, r)
 }
 
-func (w *world) apply(c *call) {
+func (h *harness) apply(c *call) {
 	c.applied = true
 	switch {
 	case c.list != nil:
-		c.objects = maps.Clone(w.store)
+		c.objects = maps.Clone(h.store)
 	case c.read != nil:
-		c.object = w.store[c.read.Name]
+		c.object = h.store[c.read.Name]
 	default:
-		c.status = w.put(c.write)
-		c.object = w.store[c.write.Name]
+		c.status = h.put(c.write)
+		c.object = h.store[c.write.Name]
 	}
 }
 
-func (w *world) put(a *Write) WriteStatus {
-	if w.store[a.Name].Version != a.Version {
+func (h *harness) put(a *Write) WriteStatus {
+	if h.store[a.Name].Version != a.Version {
 		return Conflict
 	}
-	w.version++
-	w.store[a.Name] = Object{Version: w.version, Value: a.Value}
+	h.version++
+	h.store[a.Name] = Object{Version: h.version, Value: a.Value}
 	return Written
 }
 
 // reply tells the writer the truth, or that nobody knows.
-func (w *world) reply(t *rapid.T, c *call) {
-	w.tell(t, c, rapid.IntRange(0, 3).Draw(t, "lost") == 0)
+func (h *harness) reply(t *rapid.T, c *call) {
+	h.deliver(t, c, rapid.IntRange(0, 3).Draw(t, "lost") == 0)
 }
 
-func (w *world) tell(t *rapid.T, c *call, lost bool) {
+func (h *harness) deliver(t *rapid.T, c *call, lost bool) {
 	if c.list != nil {
 		if rapid.IntRange(0, 3).Draw(t, "cut") == 0 {
 			maps.DeleteFunc(c.objects, func(string, Object) bool { return rapid.Bool().Draw(t, "missing") })
 		}
 		r := ListResult{Call: c.list.Call, OK: !lost, Objects: c.objects}
-		w.do(t, c.writer, w.writers[c.writer].(*GroupCommit).Listed(w.now, r))
+		h.perform(t, c.writer, h.writers[c.writer].(*GroupCommit).Listed(h.now, r))
 		return
 	}
 	if c.read != nil {
-		w.do(t, c.writer, w.writers[c.writer].ReadBack(w.now, ReadResult{Call: c.read.Call, OK: !lost, Object: c.object}))
+		h.perform(t, c.writer, h.writers[c.writer].ReadBack(h.now, ReadResult{Call: c.read.Call, OK: !lost, Object: c.object}))
 		return
 	}
 	r := WriteResult{Call: c.write.Call, Status: c.status, Version: c.object.Version}
@@ -152,129 +152,129 @@
 	case c.status == Conflict && rapid.Bool().Draw(t, "tells"):
 		r.Current = &c.object
 	}
-	w.do(t, c.writer, w.writers[c.writer].Written(w.now, r))
+	h.perform(t, c.writer, h.writers[c.writer].Written(h.now, r))
 }
 
-func (w *world) intend(t *rapid.T) {
-	owner := Owner(fmt.Sprint("o", len(w.wishes)))
+func (h *harness) intend(t *rapid.T) {
+	owner := Owner(fmt.Sprint("o", len(h.intents)))
 	key := keyAt(t0, byte(rapid.IntRange(0, 2).Draw(t, "key")))
-	in := Intent{Workspace: "w", Key: key, Owner: owner, Deadline: w.now.Add(time.Second)}
+	in := Intent{Workspace: "w", Key: key, Owner: owner, Deadline: h.now.Add(time.Second)}
 	if rapid.IntRange(0, 5).Draw(t, "body") == 0 {
 		in.Digest = Digest{1}
 	}
-	w.clock++
-	at := rapid.IntRange(0, len(w.writers)-1).Draw(t, "writer")
-	w.wishes[owner] = &wish{intent: in, called: w.clock, writer: at}
-	w.do(t, at, w.writers[at].Intend(w.now, in))
+	h.clock++
+	writer := rapid.IntRange(0, len(h.writers)-1).Draw(t, "writer")
+	h.intents[owner] = &ownerIntent{intent: in, calledAt: h.clock, writer: writer}
+	h.perform(t, writer, h.writers[writer].Intend(h.now, in))
 }
 
 // crash replaces a writer by one that knows nothing. What it had sent may
 // still take effect; its owners died with it.
-func (w *world) crash(t *rapid.T) {
-	at := rapid.IntRange(0, len(w.writers)-1).Draw(t, "writer")
-	w.writers[at] = w.make()
-	for _, o := range w.wishes {
-		o.lost = o.lost || o.writer == at
+func (h *harness) crash(t *rapid.T) {
+	writer := rapid.IntRange(0, len(h.writers)-1).Draw(t, "writer")
+	h.writers[writer] = h.newLayout()
+	for _, o := range h.intents {
+		o.writerCrashed = o.writerCrashed || o.writer == writer
 	}
-	w.calls = slices.DeleteFunc(w.calls, func(c *call) bool {
-		if c.writer == at && !c.applied && c.write != nil {
-			w.ghosts = append(w.ghosts, c.write)
+	h.calls = slices.DeleteFunc(h.calls, func(c *call) bool {
+		if c.writer == writer && !c.applied && c.write != nil {
+			h.lateWrites = append(h.lateWrites, c.write)
 		}
-		return c.writer == at
+		return c.writer == writer
 	})
 }
 
-func (w *world) take(t *rapid.T, applied bool) *call {
-	var fit []*call
-	for _, c := range w.calls {
+func (h *harness) drawCall(t *rapid.T, applied bool) *call {
+	var candidates []*call
+	for _, c := range h.calls {
 		if c.applied == applied {
-			fit = append(fit, c)
+			candidates = append(candidates, c)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(fit).Draw(t, "call")
+	return rapid.SampledFrom(candidates).Draw(t, "call")
 }
 
-// serve lets several calls go through without a fault.
-func (w *world) serve(t *rapid.T) {
+// completeCalls lets several calls go through without a fault.
+func (h *harness) completeCalls(t *rapid.T) {
 	for range rapid.IntRange(1, 6).Draw(t, "calls") {
-		if len(w.calls) == 0 {
+		if len(h.calls) == 0 {
 			return
 		}
-		c := w.calls[0]
-		w.forget(c)
+		c := h.calls[0]
+		h.removeCall(c)
 		if !c.applied {
-			w.apply(c)
+			h.apply(c)
 		}
-		w.tell(t, c, false)
+		h.deliver(t, c, false)
 	}
 }
 
-func (w *world) forget(c *call) {
-	w.calls = slices.DeleteFunc(w.calls, func(o *call) bool { return o == c })
+func (h *harness) removeCall(c *call) {
+	h.calls = slices.DeleteFunc(h.calls, func(o *call) bool { return o == c })
 }
 
 // actions of the machine that every layout sees.
-func (w *world) actions() map[string]func(*rapid.T) {
+func (h *harness) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"intend": w.intend,
+		"intend": h.intend,
 		"apply": func(t *rapid.T) {
-			if c := w.take(t, false); c != nil {
-				w.apply(c)
+			if c := h.drawCall(t, false); c != nil {
+				h.apply(c)
 			}
 		},
 		"reply": func(t *rapid.T) {
-			if c := w.take(t, true); c != nil {
-				w.forget(c)
-				w.reply(t, c)
+			if c := h.drawCall(t, true); c != nil {
+				h.removeCall(c)
+				h.reply(t, c)
 			}
 		},
-		"serve":      w.serve,
-		"serve more": w.serve,
+		"serve":      h.completeCalls,
+		"serve more": h.completeCalls,
 		"delay": func(t *rapid.T) { // ambiguous, and the effect comes later or never
-			c := w.take(t, false)
+			c := h.drawCall(t, false)
 			if c == nil || c.write == nil {
 				return
 			}
-			w.forget(c)
-			w.ghosts = append(w.ghosts, c.write)
-			w.do(t, c.writer, w.writers[c.writer].Written(w.now, WriteResult{Call: c.write.Call}))
+			h.removeCall(c)
+			h.lateWrites = append(h.lateWrites, c.write)
+			h.perform(t, c.writer, h.writers[c.writer].Written(h.now, WriteResult{Call: c.write.Call}))
 		},
 		"ghost": func(t *rapid.T) {
-			if len(w.ghosts) > 0 {
-				w.put(rapid.SampledFrom(w.ghosts).Draw(t, "ghost"))
+			if len(h.lateWrites) > 0 {
+				h.put(rapid.SampledFrom(h.lateWrites).Draw(t, "ghost"))
 			}
 		},
 		"unavailable": func(t *rapid.T) {
-			c := w.take(t, false)
+			c := h.drawCall(t, false)
 			if c == nil || c.write == nil {
 				return
 			}
-			w.forget(c)
+			h.removeCall(c)
 			r := WriteResult{Call: c.write.Call, Status: Unavailable}
-			w.do(t, c.writer, w.writers[c.writer].Written(w.now, r))
+			h.perform(t, c.writer, h.writers[c.writer].Written(h.now, r))
 		},
-		"crash": w.crash,
-		"":      w.check,
+		"crash": h.crash,
+		"":      h.checkGrants,
 	}
 }
 
-func (w *world) tick(t *rapid.T, by time.Duration) {
-	w.now = w.now.Add(by)
-	for i, l := range w.writers {
+func (h *harness) tick(t *rapid.T, by time.Duration) {
+	h.now = h.now.Add(by)
+	for i, l := range h.writers {
 		if g, ok := l.(*GroupCommit); ok {
-			w.do(t, i, g.Tick(w.now))
+			h.perform(t, i, g.Tick(h.now))
 		}
 	}
 }
 
-// check: of a key's grants that were not given back there is at most one.
-func (w *world) check(t *rapid.T) {
+// checkGrants: of a key's grants that were not given back there is at most one.
+func (h *harness) checkGrants(t *rapid.T) {
 	held := map[Key]Owner{}
-	for owner, o := range w.wishes {
-		if o.granted == nil || o.dropped {
+	for owner, o := range h.intents {
+		if o.granted == nil || o.abandoned {
 			continue
 		}
 		other := held[o.intent.Key]
--- a/internal/ledger/memory_bench_test.go
+++ b/internal/ledger/memory_bench_test.go
@@ -16,7 +16,7 @@
 		runtime.ReadMemStats(&before)
 		c := newChain(0)
 		for n := range records {
-			in := order(Owner(fmt.Sprintf("instance-12/%020d", n)), 1)
+			in := newIntent(Owner(fmt.Sprintf("instance-12/%020d", n)), 1)
 			in.Key.ID[14], in.Key.ID[15] = byte(n>>8), byte(n)
 			r := in.record(1)
 			r.State, r.Outcome = Stored, &Outcome{Status: 201, Body: make([]byte, 64)}
@@ -36,20 +36,20 @@
 	const batch = 64
 	policy := DefaultGroupPolicy()
 	policy.Linger = 0
-	w := newWorld(func() layout { return nil })
+	h := newHarness(func() layout { return nil })
 	var g *GroupCommit
 	var out []Action
 	n := 0
 	for b.Loop() {
 		if n%4096 == 0 {
-			w.store = map[string]Object{}
+			h.store = map[string]Object{}
 			g = NewGroupCommit(0, policy)
 		}
-		in := order("instance-12/00000000000000000001", 1)
+		in := newIntent("instance-12/00000000000000000001", 1)
 		in.Key.ID[14], in.Key.ID[15] = byte(n>>8), byte(n)
-		out = append(out, g.Intend(w.now, in)...)
+		out = append(out, g.Intend(h.now, in)...)
 		if n++; n%batch == 0 {
-			healthy(w, g, out)
+			answerCalls(h, g, out)
 			out = out[:0]
 		}
 	}
--- a/internal/ledger/stale_test.go
+++ b/internal/ledger/stale_test.go
@@ -14,7 +14,7 @@
 // that view, it is denied in the name of an owner that has let go: porcupine
 // finds no order of the answers in which that is true, and where nobody else
 // had been granted the key, a free one would be denied.
-func TestDenialNeedsAViewThatIsNewerThanTheIntent(t *testing.T) {
+func TestDenialNeedsAViewNewerThanTheIntent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	policy := DefaultGroupPolicy()
 	key := Key{ID: uuid.Must(uuid.NewV7()), At: now}
--- a/internal/ledger/unseen_test.go
+++ b/internal/ledger/unseen_test.go
@@ -11,7 +11,7 @@
 // Another daemon recorded the intent, and this writer read the shard before
 // that. The outcome of the order must be written, not dropped: without it every
 // repeat of the order is told for ever that it may have run.
-func TestOutcomeOfAnIntentNotSeenHereIsWritten(t *testing.T) {
+func TestOutcomeOfAnUnseenIntentIsWritten(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	g := NewGroupCommit(0, DefaultGroupPolicy())
 	in := Intent{Workspace: "w", Key: Key{ID: uuid.Must(uuid.NewV7()), At: now}, Owner: "other"}
