--- a/internal/ledger/chain.go
+++ b/internal/ledger/chain.go
@@ -42,7 +42,7 @@
 	encodedBatch []byte           // their encoded records
 	sealing      bool             // the write that is out seals
 	currentCall  uint64           // the call that is out
-	provenCall   uint64           // the newest call that showed the view to be complete
+	viewCall     uint64           // the newest call that showed the view to be complete
 	usedAt       time.Time
 	retryAt      time.Time // not before, for entries that met the store down
 }
@@ -67,7 +67,7 @@
 // exist yet.
 func (c *chain) load(o Object) (last bool, err error) {
 	c.encoded, c.version = nil, o.Version
-	c.provenCall = c.currentCall
+	c.viewCall = c.currentCall
 	if o.Version == 0 {
 		return true, nil
 	}
@@ -97,7 +97,7 @@
 // commit takes the batch as recorded at version.
 func (c *chain) commit(version uint64) []*pendingRecord {
 	batch := c.batch
-	c.provenCall = c.currentCall
+	c.viewCall = c.currentCall
 	for _, p := range batch {
 		c.records[keyOf(p.intent)] = p.record(c.find(p.intent))
 	}
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -9,7 +9,7 @@
 	state         State // Intended, Stored or Abandoned
 	outcome       *Outcome
 	queuedAt      time.Time
-	newestCall    uint64 // number of the newest call when it came
+	queuedAfter   uint64 // number of the newest call when it came
 	answered      bool   // an intent whose owner has been refused
 	maybeRecorded bool   // an ambiguous write may have recorded it
 	attempts      int
--- a/internal/ledger/group_commit.go
+++ b/internal/ledger/group_commit.go
@@ -50,7 +50,7 @@
 	if g.waiting >= g.policy.MaxWaiting {
 		return nil
 	}
-	p.newestCall = g.lastCall
+	p.queuedAfter = g.lastCall
 	c := g.chain(now, bucketOf(p.intent.Key))
 	c.waiting = append(c.waiting, p)
 	g.waiting++
@@ -178,7 +178,7 @@
 func (g *GroupCommit) resolveWaiting(c *chain) (out []Action, stale bool) {
 	before := len(c.waiting)
 	c.waiting = slices.DeleteFunc(c.waiting, func(p *pendingRecord) bool {
-		if c.provenCall <= p.newestCall && p.deniedBy(c.find(p.intent)) {
+		if c.viewCall <= p.queuedAfter && p.deniedBy(c.find(p.intent)) {
 			stale = true
 			return false
 		}
--- a/internal/ledger/per_key.go
+++ b/internal/ledger/per_key.go
@@ -60,7 +60,7 @@
 
 // Written takes the result of a write.
 func (p *PerKey) Written(_ time.Time, r WriteResult) []Action {
-	c := p.take(r.Call)
+	c := p.unregister(r.Call)
 	if c == nil {
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 // ReadBack takes the result of a read.
 func (p *PerKey) ReadBack(_ time.Time, r ReadResult) []Action {
-	c := p.take(r.Call)
+	c := p.unregister(r.Call)
 	if c == nil {
 		return nil
 	}
@@ -119,23 +119,23 @@
 	if c.attempts++; c.attempts > maxAttempts {
 		return c.refuse(StoreDown)
 	}
-	return []Action{Write{Call: p.register(c), Name: c.name, Version: c.version, Value: c.value}}
+	return []Action{Write{Call: p.newCall(c), Name: c.name, Version: c.version, Value: c.value}}
 }
 
 func (p *PerKey) read(c *keyCall) []Action {
 	if c.attempts++; c.attempts > maxAttempts {
 		return c.refuse(StoreDown)
 	}
-	return []Action{Read{Call: p.register(c), Name: c.name}}
+	return []Action{Read{Call: p.newCall(c), Name: c.name}}
 }
 
-func (p *PerKey) register(c *keyCall) uint64 {
+func (p *PerKey) newCall(c *keyCall) uint64 {
 	p.lastCall++
 	p.inFlight[p.lastCall] = c
 	return p.lastCall
 }
 
-func (p *PerKey) take(call uint64) *keyCall {
+func (p *PerKey) unregister(call uint64) *keyCall {
 	c := p.inFlight[call]
 	delete(p.inFlight, call)
 	return c
