--- a/internal/ledger/layout_bench_test.go
+++ b/internal/ledger/layout_bench_test.go
@@ -12,11 +12,11 @@
 
 // The figures that the comparison of layouts assumes.
 const (
-	simStore   = 3 * time.Millisecond  // a store call
-	simHop     = time.Millisecond      // between two daemons, one way
-	simRun     = 20 * time.Millisecond // an order on its endpoint
-	simDaemons = 9
-	simSeconds = 30
+	simStoreLatency = 3 * time.Millisecond  // a store call
+	simHopLatency   = time.Millisecond      // between two daemons, one way
+	simRunTime      = 20 * time.Millisecond // an order on its endpoint
+	simDaemons      = 9
+	simSeconds      = 30
 )
 
 type simEvent struct {
@@ -64,23 +64,23 @@
 		case Write:
 			s.writes++
 			s.bytes += len(a.Value)
-			s.after(simStore, func() {
+			s.after(simStoreLatency, func() {
 				r := WriteResult{Call: a.Call, Status: s.store.put(&a), Version: s.store.version}
 				s.perform(l, hop, l.Written(s.time(), r))
 			})
 		case Read:
-			s.after(simStore, func() {
+			s.after(simStoreLatency, func() {
 				r := ReadResult{Call: a.Call, OK: true, Object: s.store.store[a.Name]}
 				s.perform(l, hop, l.ReadBack(s.time(), r))
 			})
 		case List:
-			s.after(simStore, func() {
+			s.after(simStoreLatency, func() {
 				r := ListResult{Call: a.Call, OK: true, Objects: s.store.store}
 				s.perform(l, hop, l.(*GroupCommit).Listed(s.time(), r))
 			})
 		case Grant:
 			s.addedLatencies = append(s.addedLatencies, s.now-s.started[a.Intent.Owner]+hop)
-			s.after(simRun, func() { s.outcome(l, hop, a) })
+			s.after(simRunTime, func() { s.outcome(l, hop, a) })
 		}
 	}
 	s.scheduleTick(l, hop)
@@ -122,7 +122,7 @@
 	if _, grouped := l.(*GroupCommit); grouped {
 		l = s.shards[ShardOf(in.Workspace, key, len(s.shards))]
 		if n%simDaemons != 0 {
-			hop = simHop
+			hop = simHopLatency
 		}
 	}
 	s.after(hop, func() { s.perform(l, hop, l.Intend(s.time(), in)) })
@@ -145,7 +145,7 @@
 	return s
 }
 
-func grouped(shards int, linger time.Duration, seal int) func() []layout {
+func groupCommits(shards int, linger time.Duration, seal int) func() []layout {
 	return func() []layout {
 		p := DefaultGroupPolicy()
 		p.Linger, p.SealBytes = linger, seal
@@ -161,7 +161,7 @@
 // who is alive.
 func rivalWriters(linger time.Duration, seal int) func() []layout {
 	return func() []layout {
-		return []layout{grouped(1, linger, seal)()[0], grouped(1, linger, seal)()[0]}
+		return []layout{groupCommits(1, linger, seal)()[0], groupCommits(1, linger, seal)()[0]}
 	}
 }
 
@@ -174,15 +174,15 @@
 		build func() []layout
 	}{
 		{"perKey", func() []layout { return []layout{NewPerKey()} }},
-		{"group/shards=1/linger=0/sealKB=4", grouped(1, 0, 4<<10)},
-		{"group/shards=1/linger=2ms/sealKB=4", grouped(1, 2*ms, 4<<10)},
-		{"group/shards=1/linger=5ms/sealKB=4", grouped(1, 5*ms, 4<<10)},
-		{"group/shards=1/linger=10ms/sealKB=4", grouped(1, 10*ms, 4<<10)},
-		{"group/shards=1/linger=5ms/sealKB=0", grouped(1, 5*ms, 1)},
-		{"group/shards=1/linger=5ms/sealKB=16", grouped(1, 5*ms, 16<<10)},
-		{"group/shards=1/linger=5ms/sealKB=256", grouped(1, 5*ms, 256<<10)},
-		{"group/shards=4/linger=5ms/sealKB=4", grouped(4, 5*ms, 4<<10)},
-		{"group/shards=16/linger=5ms/sealKB=4", grouped(16, 5*ms, 4<<10)},
+		{"group/shards=1/linger=0/sealKB=4", groupCommits(1, 0, 4<<10)},
+		{"group/shards=1/linger=2ms/sealKB=4", groupCommits(1, 2*ms, 4<<10)},
+		{"group/shards=1/linger=5ms/sealKB=4", groupCommits(1, 5*ms, 4<<10)},
+		{"group/shards=1/linger=10ms/sealKB=4", groupCommits(1, 10*ms, 4<<10)},
+		{"group/shards=1/linger=5ms/sealKB=0", groupCommits(1, 5*ms, 1)},
+		{"group/shards=1/linger=5ms/sealKB=16", groupCommits(1, 5*ms, 16<<10)},
+		{"group/shards=1/linger=5ms/sealKB=256", groupCommits(1, 5*ms, 256<<10)},
+		{"group/shards=4/linger=5ms/sealKB=4", groupCommits(4, 5*ms, 4<<10)},
+		{"group/shards=16/linger=5ms/sealKB=4", groupCommits(16, 5*ms, 4<<10)},
 		{"group/rivals=2/linger=5ms/sealKB=4", rivalWriters(5*ms, 4<<10)},
 	}
 	for _, l := range layouts {
