--- a/internal/ledger/chain.go
+++ b/internal/ledger/chain.go
@@ -10,41 +10,42 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
+// chainState is the progress of a chain's calls to the store.
 type chainState uint8
 
 const (
-	chainUnread  chainState = iota // nothing read
-	chainReading                   // a read is out
-	chainIdle                      // as far as known, the view is current
-	chainWriting                   // a write is out
+	chainUnread  chainState = iota // to be read: never read, or the store failed
+	chainReading                   // a read or list is in flight
+	chainIdle                      // no call in flight; the view is complete unless another daemon wrote
+	chainWriting                   // a write is in flight
 )
 
-// recordKey identifies a key within its workspace: two workspaces may use the
-// same UUID.
+// recordKey is a key and its workspace: two workspaces may use the same UUID.
 type recordKey struct {
 	id        uuid.UUID
 	workspace fleet.WorkspaceID
 }
 
-// chain is the segments of one shard and one bucket of key times. Only the
-// last, unsealed one is written, under the condition of its version: a write
-// that takes effect proves that the view of the whole chain was complete.
+// chain is a writer's view of the segments of one shard and one bucket of key
+// times, and what waits to be written to them. Only the last, unsealed segment is
+// written, on condition of its version: a write that takes effect proves that the
+// view of the whole chain was complete.
 type chain struct {
 	bucket       int64
 	state        chainState
 	listed       bool   // the chain has been listed once
 	seq          int    // of the last segment
 	version      uint64 // of the last segment, 0 before it exists
-	encoded      []byte // its encoded records
+	encoded      []byte // the last segment's records, as JSON
 	records      map[recordKey]Record
 	waiting      []*pendingRecord
-	batch        []*pendingRecord // in the write that is out
-	encodedBatch []byte           // their encoded records
-	sealing      bool             // the write that is out seals
-	currentCall  uint64           // the call that is out
+	batch        []*pendingRecord // in the write in flight
+	encodedBatch []byte           // the batch's records, as JSON
+	sealing      bool             // the write in flight seals the segment
+	currentCall  uint64           // the call in flight, or the last one
 	viewCall     uint64           // the newest call that showed the view to be complete
 	usedAt       time.Time
-	retryAt      time.Time // not before, for entries that met the store down
+	retryAt      time.Time // no earlier retry for records that the store has failed
 }
 
 func newChain(bucket int64) *chain {
@@ -62,9 +63,9 @@
 	return &r
 }
 
-// load takes the last segment as the store has it and reports whether it was
-// the last: a sealed one has a successor. Version 0 is a segment that does not
-// exist yet.
+// load adds the segment c.seq, as the store has it, to the view and reports whether
+// it is the last: a sealed one has a successor. Version 0 is a segment that does
+// not exist yet.
 func (c *chain) load(o Object) (last bool, err error) {
 	c.encoded, c.version = nil, o.Version
 	c.viewCall = c.currentCall
@@ -87,14 +88,14 @@
 	return !s.Sealed, nil
 }
 
-// next goes on to the segment after a sealed one.
+// next moves on to the segment after a sealed one.
 func (c *chain) next() {
 	c.seq++
 	c.version = 0
 	c.encoded = nil
 }
 
-// commit takes the batch as recorded at version.
+// commit adds the batch to the view, written as version, and returns it.
 func (c *chain) commit(version uint64) []*pendingRecord {
 	batch := c.batch
 	c.viewCall = c.currentCall
@@ -115,14 +116,14 @@
 	return batch
 }
 
-// requeue puts the batch back before what came later.
+// requeue puts the batch back at the head of the queue.
 func (c *chain) requeue() {
 	c.waiting = append(c.batch, c.waiting...)
 	c.batch, c.encodedBatch, c.sealing = nil, nil, false
 }
 
-// ready reports whether the chain may be read now: at once for new entries,
-// after a pause for those that have met the store down.
+// ready reports whether the chain may be read now: at once for new records, after
+// a delay for those that the store has failed.
 func (c *chain) ready(now time.Time) bool {
 	if !now.Before(c.retryAt) {
 		return true
--- a/internal/ledger/digest.go
+++ b/internal/ledger/digest.go
@@ -10,7 +10,7 @@
 // UnmarshalText reads what MarshalText wrote.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
-		return Error.New("digest of %d characters", len(text))
+		return Error.New("digest has %d characters, not 64", len(text))
 	}
 	_, err := hex.Decode(d[:], text)
 	return Error.Wrap(err)
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// pendingRecord is something that waits to be recorded: an intent, an outcome or an
-// abandonment.
+// pendingRecord is an intent, an outcome or an abandonment that waits to be
+// recorded.
 type pendingRecord struct {
 	intent        Intent
 	state         State // Intended, Stored or Abandoned
 	outcome       *Outcome
 	queuedAt      time.Time
-	queuedAfter   uint64 // number of the newest call when it came
-	answered      bool   // an intent whose owner has been refused
+	queuedAfter   uint64 // number of the writer's last call before it was queued
+	answered      bool   // an intent whose owner has its answer
 	maybeRecorded bool   // an ambiguous write may have recorded it
 	attempts      int
 }
 
-// record returns what is written for the entry. An outcome or abandonment
+// record returns what is written for p. An outcome or abandonment
 // changes the existing record and keeps its digest, so that a repeat is still
 // compared with the body that was recorded.
 func (p *pendingRecord) record(existing *Record) Record {
--- a/internal/ledger/entry_settle.go
+++ b/internal/ledger/entry_settle.go
@@ -1,12 +1,12 @@
 package ledger
 
-// resolve decides an entry from the committed record of its key. It reports
-// false when the entry has still to be written.
+// resolve decides p by the committed record of its key, nil where there is none.
+// It reports false when p must still be written.
 func (p *pendingRecord) resolve(existing *Record, object string, version uint64) (bool, []Action) {
 	if p.state != Intended {
-		// A record that is not known here is written: another daemon may have
-		// recorded the intent, and this writer's view is older. The write's
-		// condition fails then, and the record is found.
+		// Without a record in this writer's view, p is written all the same:
+		// another daemon may have recorded the intent since. The write's
+		// condition then fails, and the record is read.
 		return existing != nil && (existing.Owner != p.intent.Owner || existing.State != Intended), nil
 	}
 	status := keyStatusFor(p.intent, existing)
@@ -28,7 +28,7 @@
 	return false, nil
 }
 
-// deniedBy reports whether a record would deny the entry.
+// deniedBy reports whether a record would deny p, or refuse it as a reused key.
 func (p *pendingRecord) deniedBy(existing *Record) bool {
 	if p.state != Intended || p.answered {
 		return false
@@ -37,9 +37,9 @@
 	return status == statusOther || status == statusReused
 }
 
-// resolveOwn grants the intent, which an ambiguous write has recorded. Where the
-// owner was refused meanwhile, the entry turns into the abandonment of its own
-// record: else the key would stay unusable although nothing ran.
+// resolveOwn grants the intent, which an ambiguous write has recorded. If its
+// owner has been refused since, p becomes the abandonment of its own record:
+// otherwise the key would stay unusable although nothing ran.
 func (p *pendingRecord) resolveOwn(object string, version uint64) (bool, []Action) {
 	if p.answered {
 		p.state = Abandoned
--- a/internal/ledger/grants_once_test.go
+++ b/internal/ledger/grants_once_test.go
@@ -8,8 +8,8 @@
 )
 
 // Three daemons record intents for the same few keys while the store loses
-// answers, delays effects, is unavailable, and daemons die. No key is granted
-// twice, and porcupine finds an order of all answers in which each is true.
+// answers, delays effects and is unavailable, and daemons crash. No key may be
+// granted twice, and the history of all answers must be linearizable.
 func TestPerKeyGrantsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(func() layout { return NewPerKey() })
@@ -34,8 +34,8 @@
 	})
 }
 
-// The same for batches, where a batch that lost its condition is built anew
-// from what the winner wrote, and segments are sealed every few records.
+// The same for GroupCommit, where a batch whose condition failed is built anew on
+// what the other daemon wrote, and segments are sealed every few records.
 func TestGroupCommitGrantsOnce(t *testing.T) {
 	policy := DefaultGroupPolicy()
 	policy.SealBytes = 700
--- a/internal/ledger/group_commit.go
+++ b/internal/ledger/group_commit.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// storeRetryDelay is the wait before what must still be stored is tried again with
-// a store that was down.
+// storeRetryDelay is the wait before records that must still be stored are retried
+// after a failure of the store.
 const storeRetryDelay = time.Second
 
-// GroupCommit records the intents of one ledger shard in batches. Any daemon
-// may run one for any shard; that one daemon does (WriterOf) only keeps the
-// number of writes low.
+// GroupCommit records the intents of one ledger shard in batches. Any daemon may
+// run one for any shard. A single writer for each (WriterOf) isn't needed for
+// safety; it only keeps the number of writes low.
 type GroupCommit struct {
 	shard    int
 	policy   GroupPolicy
 	lastCall uint64
-	chains   map[int64]*chain
-	waiting  int
+	chains   map[int64]*chain // by bucket
+	waiting  int              // pending records of all chains
 }
 
 // NewGroupCommit returns the shard's writer, which has read nothing yet.
@@ -25,7 +25,7 @@
 	return &GroupCommit{shard: shard, policy: policy, chains: make(map[int64]*chain)}
 }
 
-// Intend asks for the right to dispatch.
+// Intend requests the right to dispatch.
 func (g *GroupCommit) Intend(now time.Time, in Intent) []Action {
 	p := &pendingRecord{intent: in, state: Intended, queuedAt: now}
 	if g.waiting >= g.policy.MaxWaiting {
@@ -41,7 +41,7 @@
 }
 
 // Abandon frees the key of an intent whose owner has not dispatched and never
-// will: one that was granted or refused as perhaps recorded.
+// will: one that was granted, or refused with MaybeRecorded.
 func (g *GroupCommit) Abandon(now time.Time, in Intent) []Action {
 	return g.enqueue(now, &pendingRecord{intent: in, state: Abandoned, queuedAt: now})
 }
@@ -68,7 +68,8 @@
 	return c
 }
 
-// evict forgets the chain that was used longest ago. It is read again on need.
+// evict removes the least recently used chain if there are too many. It is read
+// again when needed.
 func (g *GroupCommit) evict() {
 	if len(g.chains) < g.policy.MaxChains {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// Tick sends the batches that have lingered and refuses the intents that are
-// late. Call it at Next, and every tenth of a second while calls are out.
+// Tick writes the batches that are due and refuses the intents that are late. Call
+// it at Next, and every 100 ms while calls are in flight.
 func (g *GroupCommit) Tick(now time.Time) []Action {
 	var out []Action
 	for _, c := range g.chains {
@@ -95,7 +96,7 @@
 	return out
 }
 
-// Next returns when the next batch has lingered, zero when none waits.
+// Next returns when the next batch is due, zero when none waits.
 func (g *GroupCommit) Next() time.Time {
 	var next time.Time
 	for _, c := range g.chains {
@@ -109,7 +110,7 @@
 	return next
 }
 
-// due returns when the chain's waiting entries are to be written.
+// due returns when the chain's waiting records are to be written.
 func (g *GroupCommit) due(c *chain) time.Time {
 	var due time.Time
 	for _, p := range c.waiting {
@@ -147,7 +148,8 @@
 	return []Action{Read{Call: c.currentCall, Name: segmentName(g.shard, c.bucket, c.seq)}}
 }
 
-// flush answers what the chain's view settles and writes the rest.
+// flush answers the owners that the chain's view allows to be answered and, when
+// due, writes the rest.
 func (g *GroupCommit) flush(now time.Time, c *chain) []Action {
 	out, stale := g.resolveWaiting(c)
 	if stale {
@@ -167,14 +169,13 @@
 	})
 }
 
-// resolveWaiting answers the waiting entries that need no write. stale says that one
-// would be denied by a view that is older than it.
-//
-// Failure: another daemon wrote the shard meanwhile, and the owner that the
-// view names has given its key back. Symptom: a denial in the name of an owner
-// that holds nothing. A read that began after the intent came shows who holds
-// the key at a moment between question and answer. Denials are rare, so a read
-// for each costs next to nothing.
+// resolveWaiting resolves the waiting records that need no write. stale reports
+// that the view is older than an intent that it would deny. The chain is then
+// read again: another daemon may have written the shard since, and the owner that
+// the view shows may have abandoned the key, so that the intent would be denied
+// because of an owner that no longer holds it. A read that began after the intent
+// was queued shows who holds the key at a moment between request and answer.
+// Denials are rare, so a read for each costs little.
 func (g *GroupCommit) resolveWaiting(c *chain) (out []Action, stale bool) {
 	before := len(c.waiting)
 	c.waiting = slices.DeleteFunc(c.waiting, func(p *pendingRecord) bool {
@@ -190,7 +191,7 @@
 	return out, stale
 }
 
-// chainOfCall returns the chain whose call is out, nil for a late result.
+// chainOfCall returns the chain with a call in flight, nil for a late result.
 func (g *GroupCommit) chainOfCall(call uint64) *chain {
 	for _, c := range g.chains {
 		if c.currentCall == call && (c.state == chainReading || c.state == chainWriting) {
--- a/internal/ledger/group_policy.go
+++ b/internal/ledger/group_policy.go
@@ -4,20 +4,21 @@
 
 // GroupPolicy bounds a GroupCommit.
 type GroupPolicy struct {
-	Linger        time.Duration // an intent waits so long for others
-	OutcomeLinger time.Duration // an outcome waits so long for intents to go with
-	SealBytes     int
-	MaxWaiting    int // intents and outcomes that wait, beyond which new ones are refused
-	MaxChains     int // chains of segments kept in memory
+	Linger        time.Duration // how long an intent waits for others to share its batch
+	OutcomeLinger time.Duration // how long an outcome or abandonment waits for intents to share a batch
+	SealBytes     int           // size of a segment's records at which it is sealed
+	MaxWaiting    int           // pending records, beyond which intents are refused and others dropped
+	MaxChains     int           // chains of segments kept in memory
 }
 
-// DefaultGroupPolicy is the one measured in docs/adr/0003-ledger.md.
+// DefaultGroupPolicy returns the policy that docs/adr/0003-ledger.md compares with
+// others.
 func DefaultGroupPolicy() GroupPolicy {
 	return GroupPolicy{
 		Linger:        5 * time.Millisecond,
 		OutcomeLinger: 500 * time.Millisecond,
 		SealBytes:     DefaultSealBytes,
-		MaxWaiting:    4096, // eight seconds of the highest rate foreseen
-		MaxChains:     4,    // this minute, the last, and two for late keys; see BenchmarkChainMemory for their size
+		MaxWaiting:    4096, // eight seconds of requests at the highest rate expected
+		MaxChains:     4,    // this minute, the last, and two for late keys; BenchmarkChainMemory measures their size
 	}
 }
--- a/internal/ledger/group_result.go
+++ b/internal/ledger/group_result.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Written takes the result of a write.
+// Written handles the result of a write.
 func (g *GroupCommit) Written(now time.Time, r WriteResult) []Action {
 	c := g.chainOfCall(r.Call)
 	if c == nil || c.state != chainWriting {
@@ -16,7 +16,7 @@
 	case Ambiguous:
 		// The write may take effect even after a read that doesn't show it. That
 		// is harmless: the next write has the same condition, so only one of the
-		// two takes effect, and the loser reads what the winner wrote.
+		// two takes effect, and the conflict shows what the other wrote.
 		for _, p := range c.batch {
 			p.maybeRecorded = true
 		}
@@ -28,7 +28,7 @@
 	return g.readChain(c)
 }
 
-// ReadBack takes the result of a read.
+// ReadBack handles the result of a read.
 func (g *GroupCommit) ReadBack(now time.Time, r ReadResult) []Action {
 	c := g.chainOfCall(r.Call)
 	if c == nil || c.state != chainReading {
@@ -40,7 +40,8 @@
 	return g.loaded(now, c, r.Object)
 }
 
-// Listed takes the chain's segments, up to the first that is missing.
+// Listed handles the result of a list: it loads the chain's segments up to the
+// first that is missing.
 func (g *GroupCommit) Listed(now time.Time, r ListResult) []Action {
 	c := g.chainOfCall(r.Call)
 	if c == nil || c.state != chainReading || c.listed {
@@ -95,11 +96,11 @@
 	return append(out, g.advance(now, c)...)
 }
 
-// storeFailed refuses everything that waits for the store: it is down. Outcomes are
-// tried again with the next intents, a bounded number of times.
+// storeFailed refuses every waiting intent, since the store is down. What must
+// still be stored is retried, a bounded number of times.
 func (g *GroupCommit) storeFailed(now time.Time, c *chain) []Action {
 	c.requeue()
-	c.state = chainUnread // what is known stays so; the last segment is read again
+	c.state = chainUnread // the records stay in the view; the last segment is read again
 	c.retryAt = now.Add(storeRetryDelay)
 	var out []Action
 	kept := c.waiting[:0]
@@ -116,14 +117,14 @@
 	return out
 }
 
-// retryable reports whether an entry is worth another try after the store was down:
-// an outcome, and an intent that may be recorded and must then be abandoned.
+// retryable reports whether p is retried after a failure of the store: an outcome,
+// an abandonment, or an intent that may be recorded and must then be abandoned.
 func (p *pendingRecord) retryable() bool {
 	return p.attempts < maxAttempts && (p.state != Intended || p.maybeRecorded)
 }
 
-// refuseLate answers the intents whose owners no longer wait. One that may be
-// recorded stays, to be abandoned.
+// refuseLate refuses the intents whose owners no longer wait. One that may be
+// recorded stays queued, to be abandoned.
 func (c *chain) refuseLate(now time.Time) []Action {
 	var out []Action
 	for _, p := range c.batch {
@@ -140,8 +141,8 @@
 	return out
 }
 
-// fillBatch moves what waits into the batch: at most one entry a key, since the
-// second must see the first.
+// fillBatch moves waiting records into the batch: at most one for each key, since
+// the second must be resolved by the first.
 func (c *chain) fillBatch() {
 	batched := make(map[recordKey]bool, len(c.waiting))
 	rest := c.waiting[:0]
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -11,21 +11,23 @@
 	"pgregory.net/rapid"
 )
 
-// opInput is an intent, or an abandonment of one.
+// opInput is the input of an operation: an intent, or its abandonment.
 type opInput struct {
 	key     Key
 	owner   Owner
 	abandon bool
 }
 
-// opResult is what came of it. The zero value is unknown: refused or never
-// answered, so that it may take effect at any later time or never.
+// opResult is the result of an operation. The zero value is an unknown one: the
+// intent was refused or never answered, and may take effect at any later time or
+// never.
 type opResult struct {
 	granted bool
-	denied  Owner // the owner that was found
+	denied  Owner // the recorded owner
 }
 
-// ledgerModel is the whole specification: a key has an owner or none.
+// ledgerModel is the specification: a key has an owner or none. A step returns the
+// states in which the operation may leave the key, none if its result is wrong.
 var ledgerModel = porcupine.NondeterministicModel{
 	Init:      func() []any { return []any{Owner("")} },
 	Partition: byKey,
@@ -66,13 +68,14 @@
 	})
 }
 
-// recordUnknown enters an intent without a known end, which its writer may abandon.
+// recordUnknown records an intent without a known result, which its writer may
+// abandon.
 func (h *harness) recordUnknown(in Intent) {
 	h.recordOperation(in, h.intents[in.Owner].calledAt, math.MaxInt64, opResult{})
 	h.abandon(in)
 }
 
-// abandon enters the abandonment of an intent, which takes effect later or never.
+// abandon records the abandonment of an intent, which takes effect later or never.
 func (h *harness) abandon(in Intent) {
 	h.intents[in.Owner].abandoned = true
 	h.clock++
@@ -81,7 +84,8 @@
 	})
 }
 
-// drawGrant draws a grant, also one that was given back where dropped is set.
+// drawGrant draws a grant, nil if there is none. withAbandoned includes those that
+// were abandoned.
 func (h *harness) drawGrant(t *rapid.T, withAbandoned bool) *Grant {
 	var candidates []*Grant
 	for _, owner := range slices.Sorted(maps.Keys(h.intents)) {
@@ -95,8 +99,8 @@
 	return rapid.SampledFrom(candidates).Draw(t, "grant")
 }
 
-// finish lets the store work, after which every owner whose writer lives must
-// have its answer, and checks the history.
+// finish completes all calls, after which every owner whose writer hasn't crashed
+// must have its answer, and checks the history.
 func (h *harness) finish(t *rapid.T) {
 	for range 100 {
 		for range 20 {
--- a/internal/ledger/intent.go
+++ b/internal/ledger/intent.go
@@ -6,22 +6,23 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Digest is a SHA-256 of a request, so that a key reused with another body is
+// Digest is the SHA-256 of a request, by which a key reused with another body is
 // refused.
 type Digest [32]byte
 
-// Owner names one daemon's one wish to dispatch one request. It is never
-// reused, and put to one writer once. Failure: a writer refuses an owner as
-// late and frees its key while another writer grants it. Symptom: the next
-// owner is granted the same key. So who asks a second time, or elsewhere, asks
-// as a new owner, and never dispatches for the first.
+// Owner identifies one daemon's attempt to dispatch one request. It is never
+// reused, and submitted to one writer once. A second attempt, or one at another
+// writer, has a new owner, and the request is then never dispatched for the
+// first. Otherwise one writer might refuse an owner as late and free its key
+// while another writer grants it, and the next owner would be granted the key
+// too.
 type Owner string
 
-// Intent is the wish to dispatch a request.
+// Intent is an owner's request for the right to dispatch.
 type Intent struct {
 	Workspace fleet.WorkspaceID
 	Key       Key
 	Owner     Owner
 	Digest    Digest
-	Deadline  time.Time // after it the owner no longer waits
+	Deadline  time.Time // after it the owner no longer waits for an answer
 }
--- a/internal/ledger/judge.go
+++ b/internal/ledger/judge.go
@@ -1,17 +1,18 @@
 package ledger
 
-// keyStatus is what an existing record means for an intent.
+// keyStatus is what the record of a key means for an intent.
 type keyStatus uint8
 
 const (
-	statusFree      keyStatus = iota // no record, or an abandoned one: may be recorded
+	statusFree      keyStatus = iota // no record, or one abandoned by another owner: the intent may be recorded
 	statusOwn                        // recorded for this owner
 	statusReused                     // recorded with another body
 	statusOther                      // recorded for another owner
-	statusAbandoned                  // abandoned by this owner: a late copy of its wish
+	statusAbandoned                  // abandoned by this owner: the intent is a late copy
 )
 
-// keyStatusFor compares an intent with the record of its key, nil where there is none.
+// keyStatusFor compares an intent with the record of its key, nil where there is
+// none.
 func keyStatusFor(in Intent, existing *Record) keyStatus {
 	switch {
 	case existing == nil:
--- a/internal/ledger/key.go
+++ b/internal/ledger/key.go
@@ -7,14 +7,14 @@
 	"github.com/zeebo/errs"
 )
 
-// Classes of refused keys.
+// Classes of errors of refused keys.
 var (
-	// ErrMalformed: the key is no UUIDv7 in its canonical form.
+	// ErrMalformed: the key is not a UUIDv7 in its canonical form.
 	ErrMalformed = errs.Class("malformed key")
-	// ErrExpired: the key is older than what the ledger keeps, so a record of
-	// it may have been deleted.
+	// ErrExpired: the key is older than the ledger's window, so its record may
+	// have been deleted.
 	ErrExpired = errs.Class("expired key")
-	// ErrFuture: the key's time is ahead of the clock.
+	// ErrFuture: the key's time is more than MaxAhead ahead of the clock.
 	ErrFuture = errs.Class("key from the future")
 )
 
@@ -22,20 +22,21 @@
 	// DefaultWindow is how old a key may be: callers retry within a working day.
 	DefaultWindow = 24 * time.Hour
 	// MaxAhead is how far a caller's clock may be ahead. A key far ahead would
-	// be recorded in a bucket that is swept long after the others.
+	// be recorded in a bucket that is deleted long after the others.
 	MaxAhead = 5 * time.Minute
 	// canonicalLength is the length of a UUID's canonical form in bytes.
 	canonicalLength = 36
 )
 
-// Key is an idempotency key: a UUIDv7, whose time bounds how long it is kept.
+// Key is an idempotency key: a UUIDv7, whose time bounds how long its record is
+// kept.
 type Key struct {
 	ID uuid.UUID
 	At time.Time // when the caller made it, to the millisecond
 }
 
-// ParseKey reads a caller's key and refuses what the ledger doesn't keep: else
-// a repeat that comes after its record was deleted would run again.
+// ParseKey parses a caller's key and refuses one outside the ledger's window:
+// otherwise a repeat that arrives after the record's deletion would run again.
 func ParseKey(now time.Time, s string, window time.Duration) (Key, error) {
 	if len(s) != canonicalLength {
 		return Key{}, ErrMalformed.New("%d bytes long, not %d", len(s), canonicalLength)
--- a/internal/ledger/key_test.go
+++ b/internal/ledger/key_test.go
@@ -23,9 +23,9 @@
 
 func keyAt(at time.Time, n byte) Key { return Key{ID: uuidAt(at, n), At: at} }
 
-// A dealer's order would run twice: a client repeats it with a key so old that
-// its record has been deleted. Such keys are refused, and so are those that
-// would outlive the others because their clock is ahead.
+// Guards against a request that runs twice because it is repeated with a key so
+// old that its record has been deleted. Such keys must be refused, and so must
+// keys far ahead of the clock, whose records would be kept for longer.
 func TestKeysOutsideTheWindowAreRefused(t *testing.T) {
 	parse := func(at time.Time) error {
 		_, err := ParseKey(t0, uuidAt(at, 1).String(), DefaultWindow)
@@ -45,7 +45,7 @@
 	assert.Equal(t, k.At.UnixMilli(), t0.UnixMilli())
 }
 
-// Objects are swept only when every key in them is refused by age.
+// An object may be deleted only once every key in it is refused by age.
 func TestOnlyExpiredObjectsAreDeleted(t *testing.T) {
 	k := keyAt(t0, 1)
 	for _, name := range []string{keyName("w", k), segmentName(3, bucketOf(k), 0)} {
--- a/internal/ledger/layout_bench_test.go
+++ b/internal/ledger/layout_bench_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// The figures that the comparison of layouts assumes.
+// Assumptions of the comparison of layouts.
 const (
-	simStoreLatency = 3 * time.Millisecond  // a store call
+	simStoreLatency = 3 * time.Millisecond  // of a call to the store
 	simHopLatency   = time.Millisecond      // between two daemons, one way
-	simRunTime      = 20 * time.Millisecond // an order on its endpoint
+	simRunTime      = 20 * time.Millisecond // of a request at its endpoint
 	simDaemons      = 9
 	simSeconds      = 30
 )
@@ -39,7 +39,7 @@
 	return last
 }
 
-// sim runs orders against one layout in virtual time.
+// sim runs requests against one layout in virtual time.
 type sim struct {
 	queue          simQueue
 	now            time.Duration
@@ -96,7 +96,7 @@
 	}
 }
 
-// scheduleTick ticks a batch writer when its next batch has lingered.
+// scheduleTick schedules a GroupCommit's tick for when its next batch is due.
 func (s *sim) scheduleTick(l layout, hop time.Duration) {
 	g, ok := l.(*GroupCommit)
 	if !ok || g.Next().IsZero() {
@@ -109,8 +109,8 @@
 	})
 }
 
-// request sends one request: to its shard's writer, which is another daemon but
-// for one request in simDaemons, or straight to the store.
+// request sends one request: to its shard's writer, which is another daemon except
+// for one request in simDaemons, or with PerKey straight to the store.
 func (s *sim) request(n int, random *rand.Rand) {
 	key := keyAt(s.time(), 0)
 	for i := 9; i < 16; i++ {
@@ -157,8 +157,8 @@
 	}
 }
 
-// rivalWriters are two daemons that both write shard 0, as while they disagree about
-// who is alive.
+// rivalWriters builds two writers of shard 0, as there are while daemons disagree
+// about which of them are alive.
 func rivalWriters(linger time.Duration, seal int) func() []layout {
 	return func() []layout {
 		return []layout{groupCommits(1, linger, seal)()[0], groupCommits(1, linger, seal)()[0]}
@@ -203,7 +203,7 @@
 	}
 	count := len(s.addedLatencies)
 	b.ReportMetric(float64(s.writes)/simSeconds, "writes/s")
-	b.ReportMetric(float64(len(s.store.store))/simSeconds, "deletes/s") // of each object, once
+	b.ReportMetric(float64(len(s.store.store))/simSeconds, "deletes/s") // each object is deleted once
 	b.ReportMetric(float64(s.bytes)/simSeconds/1024, "KB/s")
 	b.ReportMetric(float64(sum.Microseconds())/1000/float64(count), "mean-ms")
 	b.ReportMetric(float64(s.addedLatencies[count*99/100].Microseconds())/1000, "p99-ms")
--- a/internal/ledger/layout_test.go
+++ b/internal/ledger/layout_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert/cmp"
 )
 
-// answerCalls answers all calls of a layout at once until it needs nothing more,
-// and returns its other actions.
+// answerCalls answers all calls of a layout at once until it makes none, and
+// returns its other actions.
 func answerCalls(h *harness, l layout, actions []Action) []Action {
 	var out []Action
 	for len(actions) > 0 {
@@ -52,10 +52,10 @@
 	return actions[0]
 }
 
-// A clerk repeats an order: with the same body the repeat is answered from the
-// stored outcome, with another body it is refused, and an order that was never
-// dispatched leaves its key free for the repeat, but not for a late copy of
-// the wish that was given up.
+// A caller repeats a request. With the same body the repeat must be answered from
+// the stored outcome, with another body it must be refused. A request that was
+// never dispatched leaves its key free for the repeat, but not for a late copy of
+// the abandoned intent.
 func TestRepeatedRequests(t *testing.T) {
 	for name, build := range map[string]func() layout{
 		"per key":      func() layout { return NewPerKey() },
@@ -69,7 +69,7 @@
 			endGrant(h, h.writers[0], first, nil)
 			assert.Equal(t, intend(t, h, h.writers[0], newIntent("a", 1)).(Refuse).Reason, Late)
 			second := intend(t, h, h.writers[0], newIntent("d", 1)).(Grant)
-			endGrant(h, h.writers[0], first, nil) // a late copy, which must not free the second's key
+			endGrant(h, h.writers[0], first, nil) // a late copy, which must not free the second owner's key
 			assert.Equal(t, intend(t, h, h.writers[0], newIntent("e", 1)).(Deny).Existing.Owner, Owner("d"))
 			endGrant(h, h.writers[0], second, &Outcome{Status: 201, Body: []byte("done")})
 			fresh := intend(t, h, build(), newIntent("e", 1)).(Deny)
@@ -79,7 +79,7 @@
 	}
 }
 
-// endGrant stores an outcome, or abandons where there is none.
+// endGrant stores a grant's outcome, or abandons it where there is none.
 func endGrant(h *harness, l layout, g Grant, o *Outcome) {
 	var actions []Action
 	switch l := l.(type) {
@@ -89,7 +89,7 @@
 			actions = l.Outcome(h.now, g, *o)
 		}
 	case *GroupCommit:
-		g.Intent.Digest = Digest{} // the record's own is kept
+		g.Intent.Digest = Digest{} // must not replace the record's own
 		if o != nil {
 			actions = l.Outcome(h.now, g.Intent, *o)
 		} else {
@@ -101,8 +101,8 @@
 	answerCalls(h, l, actions)
 }
 
-// The caller is told not-run because the store is down; that must be true, and
-// orders must be taken again once the store is back.
+// An intent is refused as not-run because the store is down. It must not be
+// recorded, and intents must be granted again once the store is up.
 func TestStoreDownRefusesAndRecovers(t *testing.T) {
 	h := newHarness(func() layout { return NewGroupCommit(0, DefaultGroupPolicy()) })
 	g := h.writers[0].(*GroupCommit)
@@ -114,9 +114,9 @@
 	assert.Assert(t, granted)
 }
 
-// An order would run twice: a daemon takes a shard over whose writer died, and
-// the key is in a segment that was sealed long ago. The new writer has to read
-// the whole chain before it grants anything.
+// Guards against a request that runs twice after a daemon takes over the shard of
+// a crashed writer, while the key is in a segment that was sealed long ago. The
+// new writer must read the whole chain before it grants anything.
 func TestNewWriterReadsSealedSegments(t *testing.T) {
 	policy := DefaultGroupPolicy()
 	policy.SealBytes = 300
--- a/internal/ledger/machine_test.go
+++ b/internal/ledger/machine_test.go
@@ -11,14 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// layout is what the machine drives.
+// layout is the part of PerKey and GroupCommit that the harness drives.
 type layout interface {
 	Intend(time.Time, Intent) []Action
 	Written(time.Time, WriteResult) []Action
 	ReadBack(time.Time, ReadResult) []Action
 }
 
-// call is a store call on its way: not applied, or applied and unanswered.
+// call is a call to the store in flight: not yet applied, or applied but not
+// answered.
 type call struct {
 	writer  int
 	write   *Write
@@ -27,31 +28,31 @@
 	applied bool
 	objects map[string]Object
 	status  WriteStatus
-	object  Object // after it
+	object  Object // after the call
 }
 
-// ownerIntent is one owner's intent.
+// ownerIntent is an owner's intent and what became of it.
 type ownerIntent struct {
 	intent        Intent
-	calledAt      int64
+	calledAt      int64 // by the harness's logical clock
 	writer        int
-	writerCrashed bool // its writer died before it answered
+	writerCrashed bool // perhaps before it answered
 	granted       *Grant
-	answered      bool // answered
-	abandoned     bool // abandoned
+	answered      bool
+	abandoned     bool
 }
 
-// harness is daemons that run the ledger against a store that loses, delays and
-// doubles nothing it admits to.
+// harness runs three daemons' writers against a store. The store may leave a
+// result ambiguous and apply the write later, but what it answers is true.
 type harness struct {
 	now        time.Time
-	clock      int64
+	clock      int64 // logical time of the history
 	newLayout  func() layout
 	writers    []layout
 	store      map[string]Object
 	version    uint64
 	calls      []*call
-	lateWrites []*Write // told to be ambiguous, may still take effect
+	lateWrites []*Write // reported as ambiguous, or of a crashed writer; may still take effect
 	intents    map[Owner]*ownerIntent
 	history    []porcupine.Operation
 }
@@ -127,7 +128,7 @@
 	return Written
 }
 
-// reply tells the writer the truth, or that nobody knows.
+// reply returns a call's result to its writer, or loses it.
 func (h *harness) reply(t *rapid.T, c *call) {
 	h.deliver(t, c, rapid.IntRange(0, 3).Draw(t, "lost") == 0)
 }
@@ -149,7 +150,7 @@
 	switch {
 	case lost:
 		r = WriteResult{Call: c.write.Call}
-	case c.status == Conflict && rapid.Bool().Draw(t, "tells"):
+	case c.status == Conflict && rapid.Bool().Draw(t, "current object"):
 		r.Current = &c.object
 	}
 	h.perform(t, c.writer, h.writers[c.writer].Written(h.now, r))
@@ -168,8 +169,8 @@
 	h.perform(t, writer, h.writers[writer].Intend(h.now, in))
 }
 
-// crash replaces a writer by one that knows nothing. What it had sent may
-// still take effect; its owners died with it.
+// crash replaces a writer by one without state. Its writes in flight may still take
+// effect; its owners crash with it.
 func (h *harness) crash(t *rapid.T) {
 	writer := rapid.IntRange(0, len(h.writers)-1).Draw(t, "writer")
 	h.writers[writer] = h.newLayout()
@@ -197,7 +198,7 @@
 	return rapid.SampledFrom(candidates).Draw(t, "call")
 }
 
-// completeCalls lets several calls go through without a fault.
+// completeCalls completes several calls without a fault.
 func (h *harness) completeCalls(t *rapid.T) {
 	for range rapid.IntRange(1, 6).Draw(t, "calls") {
 		if len(h.calls) == 0 {
@@ -216,7 +217,8 @@
 	h.calls = slices.DeleteFunc(h.calls, func(o *call) bool { return o == c })
 }
 
-// actions of the machine that every layout sees.
+// actions returns the random actions that apply to every layout. Their names fix
+// the order in which rapid draws them.
 func (h *harness) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"intend": h.intend,
@@ -233,7 +235,7 @@
 		},
 		"serve":      h.completeCalls,
 		"serve more": h.completeCalls,
-		"delay": func(t *rapid.T) { // ambiguous, and the effect comes later or never
+		"delay": func(t *rapid.T) { // an ambiguous result; the effect comes later or never
 			c := h.drawCall(t, false)
 			if c == nil || c.write == nil {
 				return
@@ -242,9 +244,9 @@
 			h.lateWrites = append(h.lateWrites, c.write)
 			h.perform(t, c.writer, h.writers[c.writer].Written(h.now, WriteResult{Call: c.write.Call}))
 		},
-		"ghost": func(t *rapid.T) {
+		"ghost": func(t *rapid.T) { // a late effect of a write
 			if len(h.lateWrites) > 0 {
-				h.put(rapid.SampledFrom(h.lateWrites).Draw(t, "ghost"))
+				h.put(rapid.SampledFrom(h.lateWrites).Draw(t, "late write"))
 			}
 		},
 		"unavailable": func(t *rapid.T) {
@@ -270,7 +272,7 @@
 	}
 }
 
-// checkGrants: of a key's grants that were not given back there is at most one.
+// checkGrants checks that each key has at most one grant that wasn't abandoned.
 func (h *harness) checkGrants(t *rapid.T) {
 	held := map[Key]Owner{}
 	for owner, o := range h.intents {
--- a/internal/ledger/memory_bench_test.go
+++ b/internal/ledger/memory_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// BenchmarkChainMemory measures what a recorded order keeps in its writer's
-// memory while its minute is loaded.
+// BenchmarkChainMemory measures the memory that each record takes in its writer's
+// view of a chain.
 func BenchmarkChainMemory(b *testing.B) {
-	const records = 30_000 // a minute at 500 a second
+	const records = 30_000 // one minute at 500 requests a second
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -29,8 +29,8 @@
 	}
 }
 
-// BenchmarkGroupCommit is one order granted in a batch of 64 by a store that
-// answers at once.
+// BenchmarkGroupCommit measures one intent granted in a batch of 64, with a store
+// that answers at once.
 func BenchmarkGroupCommit(b *testing.B) {
 	b.ReportAllocs()
 	const batch = 64
--- a/internal/ledger/per_key.go
+++ b/internal/ledger/per_key.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// maxAttempts bounds the calls that resolve one ambiguous write. The store loses
-// an answer now and then; three lost in a row mean that it is down.
+// maxAttempts bounds the calls that PerKey makes for one intent, and the failures
+// of the store after which GroupCommit retries a record. The store loses an answer
+// now and then; three lost in a row mean that it is down.
 const maxAttempts = 5
 
-// PerKey records each key in an object of its own by a conditional create. It
-// is one store write an order before the dispatch and one after it.
+// PerKey records each key in an object of its own by a conditional create. Each
+// request costs one write to the store before the dispatch and one after it.
 type PerKey struct {
 	lastCall uint64
-	inFlight map[uint64]*keyCall
+	inFlight map[uint64]*keyCall // by number of the call
 }
 
+// keyCall is an intent with a call in flight.
 type keyCall struct {
 	intent        Intent
 	name          string
 	value         []byte
-	version       uint64 // the condition of the write
+	version       uint64 // that the write requires
 	attempts      int
 	maybeRecorded bool // an ambiguous write may have recorded it
 }
 
-// NewPerKey returns a layout without open calls.
+// NewPerKey returns a layout without calls in flight.
 func NewPerKey() *PerKey { return &PerKey{inFlight: make(map[uint64]*keyCall)} }
 
-// Intend asks for the right to dispatch.
+// Intend requests the right to dispatch.
 func (p *PerKey) Intend(now time.Time, in Intent) []Action {
 	c := &keyCall{intent: in, name: keyName(in.Workspace, in.Key)}
 	c.value, _ = json.Marshal(in.record(now.UnixMilli())) // plain fields: can't fail
@@ -36,7 +38,7 @@
 }
 
 // Outcome stores what the granted request's endpoint answered, best effort:
-// its result is not awaited.
+// the result of its write is ignored.
 func (p *PerKey) Outcome(now time.Time, g Grant, o Outcome) []Action {
 	r := g.Intent.record(now.UnixMilli())
 	o = o.bounded()
@@ -58,7 +60,7 @@
 	return []Action{Write{Call: p.lastCall, Name: g.Object, Version: g.Version, Value: value}}
 }
 
-// Written takes the result of a write.
+// Written handles the result of a write.
 func (p *PerKey) Written(_ time.Time, r WriteResult) []Action {
 	c := p.unregister(r.Call)
 	if c == nil {
@@ -79,7 +81,7 @@
 	return p.resolve(c, *r.Current)
 }
 
-// ReadBack takes the result of a read.
+// ReadBack handles the result of a read.
 func (p *PerKey) ReadBack(_ time.Time, r ReadResult) []Action {
 	c := p.unregister(r.Call)
 	if c == nil {
@@ -91,7 +93,7 @@
 	return p.resolve(c, r.Object)
 }
 
-// resolve acts on the object as it is.
+// resolve decides the intent by the key's object.
 func (p *PerKey) resolve(c *keyCall, o Object) []Action {
 	if o.Version == 0 {
 		c.version = 0
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -6,10 +6,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// State is how far a recorded request has come.
+// State is the state of a recorded request.
 type State string
 
-// The states.
+// The states of a record.
 const (
 	// Intended: its owner may have dispatched it.
 	Intended State = "intended"
@@ -20,12 +20,12 @@
 )
 
 // MaxOutcomeBody bounds the body kept in the ledger. A longer one is left out:
-// the answer then says that the request ran, without its body.
+// a repeat is then answered that the request ran, without the body.
 const MaxOutcomeBody = 1024
 
-// Outcome is what a request's endpoint answered.
+// Outcome is the answer of a request's endpoint.
 type Outcome struct {
-	Status      int    `json:"status"` // HTTP
+	Status      int    `json:"status"` // of HTTP
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 	BodyOmitted bool   `json:"cut,omitempty"` // the body was too long to keep
@@ -39,7 +39,7 @@
 	return o
 }
 
-// Record is what the ledger holds of a key.
+// Record is the ledger's record of a key.
 type Record struct {
 	Key           uuid.UUID         `json:"key"`
 	Workspace     fleet.WorkspaceID `json:"workspace"`
@@ -47,5 +47,5 @@
 	Digest        Digest            `json:"digest"`
 	State         State             `json:"state"`
 	Outcome       *Outcome          `json:"outcome,omitempty"`
-	CreatedMillis int64             `json:"createdMillis"` // Unix
+	CreatedMillis int64             `json:"createdMillis"` // since the Unix epoch
 }
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -8,27 +8,28 @@
 
 const (
 	// DefaultSealBytes is the size at which a segment is sealed. Each batch
-	// rewrites its segment, so larger segments cost bytes; smaller ones make
-	// more objects, each of which has to be deleted. See docs/adr/0003-ledger.md.
+	// rewrites its segment, so larger segments cost more bytes; smaller ones
+	// make more objects, each of which must be deleted. See
+	// docs/adr/0003-ledger.md.
 	DefaultSealBytes = 4 << 10
 	// recordBytes bounds an encoded record: its fixed part, a workspace and an
 	// owner of ordinary length, and an outcome's body in base64.
 	recordBytes = 1024 + MaxOutcomeBody*4/3
-	// maxBatch bounds a batch's records, so that a segment that is just short
-	// of its seal stays below the store's largest value.
+	// maxBatch bounds a batch's records, so that a segment that was just too
+	// short to be sealed stays within the store's largest value.
 	maxBatch = (objectapi.MaxValueBytes - DefaultSealBytes) / recordBytes
 )
 
-// segment is the stored form: records in the order in which they were written.
-// A later record of a key replaces an earlier one. A sealed segment is never
-// written again: its successor is the next number.
+// segment is the value of a segment's object: records in the order in which they
+// were written. A later record of a key replaces an earlier one. A sealed segment
+// is never written again; the segment with the next number succeeds it.
 type segment struct {
 	Sealed  bool     `json:"sealed,omitempty"`
 	Records []Record `json:"records"`
 }
 
 // encodeSegment builds a segment's JSON from records that are encoded already, so
-// that a batch costs no encoding of those before it.
+// that a batch doesn't cost the encoding of the records before it.
 func encodeSegment(committed, batch []byte, sealed bool) []byte {
 	out := make([]byte, 0, len(committed)+len(batch)+40)
 	out = append(out, '{')
--- a/internal/ledger/stale_test.go
+++ b/internal/ledger/stale_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// The first daemon recorded an order's intent. Its owner gave the key back
-// through a second daemon, which then granted it to another owner. A third
-// owner asks the first daemon, whose view is older than all that. Answered from
-// that view, it is denied in the name of an owner that has let go: porcupine
-// finds no order of the answers in which that is true, and where nobody else
-// had been granted the key, a free one would be denied.
+// The first daemon records an intent. Its owner abandons the key through a second
+// daemon, which then grants it to another owner. A third owner asks the first
+// daemon, whose view is older. Answered from that view, it would be denied because
+// of an owner that no longer holds the key: the history would not be
+// linearizable, and had no other owner been granted the key, a free key would be
+// denied.
 func TestDenialNeedsAViewNewerThanTheIntent(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	policy := DefaultGroupPolicy()
@@ -36,8 +36,8 @@
 	object Object
 }
 
-// serve does what a writer asks for until it asks for nothing more, and
-// returns its last answer to an owner.
+// serve makes a writer's calls until it needs no more, and returns its last answer
+// to an owner.
 func (s *oneSegment) serve(now time.Time, g *GroupCommit, actions []Action) Action {
 	var last Action
 	for ticks := 0; ticks < 3; ticks++ {
--- a/internal/ledger/unseen_test.go
+++ b/internal/ledger/unseen_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Another daemon recorded the intent, and this writer read the shard before
-// that. The outcome of the order must be written, not dropped: without it every
-// repeat of the order is told for ever that it may have run.
+// Another daemon recorded the intent after this writer read the shard. The
+// request's outcome must be written, not dropped: without it every repeat of the
+// request would be answered, for good, that it may have run.
 func TestOutcomeOfAnUnseenIntentIsWritten(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	g := NewGroupCommit(0, DefaultGroupPolicy())
