--- a/internal/ledger/machine_test.go
+++ b/internal/ledger/machine_test.go
@@ -47,7 +47,7 @@
 type harness struct {
 	now        time.Time
 	clock      int64 // logical time of the history
-	newLayout  func() layout
+	make       func() layout
 	writers    []layout
 	store      map[string]Object
 	version    uint64
@@ -58,7 +58,7 @@
 }
 
 func newHarness(build func() layout) *harness {
-	h := &harness{now: t0, newLayout: build, store: map[string]Object{}, intents: map[Owner]*ownerIntent{}}
+	h := &harness{now: t0, make: build, store: map[string]Object{}, intents: map[Owner]*ownerIntent{}}
 	for range 3 {
 		h.writers = append(h.writers, build())
 	}
@@ -150,7 +150,7 @@
 	switch {
 	case lost:
 		r = WriteResult{Call: c.write.Call}
-	case c.status == Conflict && rapid.Bool().Draw(t, "current object"):
+	case c.status == Conflict && rapid.Bool().Draw(t, "tells"):
 		r.Current = &c.object
 	}
 	h.perform(t, c.writer, h.writers[c.writer].Written(h.now, r))
@@ -173,7 +173,7 @@
 // effect; its owners crash with it.
 func (h *harness) crash(t *rapid.T) {
 	writer := rapid.IntRange(0, len(h.writers)-1).Draw(t, "writer")
-	h.writers[writer] = h.newLayout()
+	h.writers[writer] = h.make()
 	for _, o := range h.intents {
 		o.writerCrashed = o.writerCrashed || o.writer == writer
 	}
@@ -246,7 +246,7 @@
 		},
 		"ghost": func(t *rapid.T) { // a late effect of a write
 			if len(h.lateWrites) > 0 {
-				h.put(rapid.SampledFrom(h.lateWrites).Draw(t, "late write"))
+				h.put(rapid.SampledFrom(h.lateWrites).Draw(t, "ghost"))
 			}
 		},
 		"unavailable": func(t *rapid.T) {
