--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -130,7 +130,7 @@
 
 // A daemon that leaves releases its shards once its orders have ended, and others
 // acquire them before its leases would have expired. It must not release one with
-// an order in flight, since the next holder may order at once.
+// an order in flight, since the next holder may send one at once.
 func TestLeavingDaemonReleasesItsShards(t *testing.T) {
 	c := newCluster(2, 8, 1)
 	c.untilHeld(t, 8)
@@ -148,7 +148,8 @@
 	assert.Assert(t, c.untilHeld(t, 8) < DefaultConfig.Duration)
 }
 
-// The store is down for minutes. All leases expire and no daemon may order. When
+// The store is down for minutes. All leases expire and no daemon may send
+// orders. When
 // the store is up again all shards get holders, and neither during the outage nor
 // after it may the rate of calls exceed twice that of normal operation.
 func TestOutageCausesNoBurstOfCalls(t *testing.T) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -65,7 +65,7 @@
 // numbers. It also requires that the previous holder's orders have ended. Send
 // only idempotent orders, after reading the endpoint's state. An order that a
 // paused process sends after its check still arrives, so keep reading the state,
-// and order again where it differs from what is wanted.
+// and repeat the order where it differs from what is wanted.
 func (l *Lease) MayOrderUnfenced(now time.Time) bool {
 	if l.UnfencedWait(now) > 0 {
 		return false
--- a/internal/lease/restore_test.go
+++ b/internal/lease/restore_test.go
@@ -50,7 +50,7 @@
 // The store is restored from a copy some seconds old, any number of times, along
 // with pauses, late calls and lost answers. It then shows an older state of the
 // lease: no holder, or an earlier one. At no time may two daemons be allowed to
-// order, or a fencing number decrease.
+// send orders, or a fencing number decrease.
 func TestNeverTwoHoldersAfterStoreRestore(t *testing.T) {
 	held, restores := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// sendOrder lets a daemon order if it may, and checks that fencing numbers never
-// decrease.
+// sendOrder sends a daemon's order if the lease allows it, and checks that fencing
+// numbers never decrease.
 func (m *model) sendOrder(t *rapid.T, i int) {
 	l, now := m.daemons[i].set.Lease(0), m.localTime(i)
 	if l.MayOrderUnfenced(now) {
@@ -148,7 +148,7 @@
 }
 
 // checkHolders fails when two daemons, paused ones included, would be allowed to
-// order at once, and returns the number of holders.
+// send orders, and returns the number of holders.
 func (m *model) checkHolders(t *rapid.T) (holders int) {
 	for i, d := range m.daemons {
 		if d.set.Lease(0).Held(m.localTime(i)) {
@@ -189,7 +189,8 @@
 // DefaultConfig.
 var advanceMillis = []int{100, 250, 250, 250, 1000, 1000, 2500, 6000, 12000, 18500, 19500, 20500, 22000}
 
-// randomStep takes one step, after which any daemon that isn't paused may order.
+// randomStep takes one step, after which any daemon that isn't paused may send an
+// order.
 func (m *model) randomStep(t *rapid.T) {
 	daemon := rapid.IntRange(0, 2)
 	switch rapid.SampledFrom(stepKinds).Draw(t, "step") {
--- a/internal/lease/takeover_test.go
+++ b/internal/lease/takeover_test.go
@@ -49,7 +49,7 @@
 }
 
 // A process is stopped for longer than its lease. It resumes in the middle of its
-// work, before any tick, and must not order.
+// work, before any tick, and must not send an order.
 func TestPausedHolderIsExpiredAtItsFirstCheck(t *testing.T) {
 	_, holder, _ := pair()
 	l := holder.set.Lease(0)
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -114,7 +114,7 @@
 }
 
 // release writes the release once all orders have ended, since the next holder
-// may order at once. Until then it renews the lease.
+// may send orders at once. Until then it renews the lease.
 func (l *Lease) release(now time.Time) (Action, bool) {
 	if now.Before(l.lastOrder.Add(l.config.OrderTimeout)) {
 		if now.Before(l.renewAt) {
--- a/internal/ledger/layout_bench_test.go
+++ b/internal/ledger/layout_bench_test.go
@@ -47,8 +47,8 @@
 	store          *harness
 	shards         []layout
 	writes, bytes  int
-	addedLatencies []time.Duration
-	started        map[Owner]time.Duration
+	addedLatencies []time.Duration         // from a request's start to its grant
+	started        map[Owner]time.Duration // the start of each owner's request
 }
 
 func (s *sim) after(d time.Duration, do func()) {
--- a/internal/ledger/machine_test.go
+++ b/internal/ledger/machine_test.go
@@ -46,8 +46,8 @@
 // result ambiguous and apply the write later, but what it answers is true.
 type harness struct {
 	now        time.Time
-	clock      int64 // logical time of the history
-	make       func() layout
+	clock      int64         // logical time of the history
+	make       func() layout // a new writer
 	writers    []layout
 	store      map[string]Object
 	version    uint64
