--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -148,24 +148,23 @@
 	assert.Assert(t, c.untilHeld(t, 8) < DefaultConfig.Duration)
 }
 
-// The store is down for minutes. All leases expire and no daemon may send
-// orders. When
-// the store is up again all shards get holders, and neither during the outage nor
-// after it may the rate of calls exceed twice that of normal operation.
+// The store is down for minutes. All leases expire and no daemon may send orders.
+// When the store is up again all shards get holders, and neither during the outage
+// nor after it may the rate of calls exceed twice that of normal operation.
 func TestOutageCausesNoBurstOfCalls(t *testing.T) {
 	c := newCluster(9, 64, 1)
 	c.untilHeld(t, 64)
 	c.run(time.Minute)
-	quietWrites, quietReads := c.run(time.Minute)
+	normalWrites, normalReads := c.run(time.Minute)
 	c.store.down = true
 	c.run(30 * time.Second)
 	writes, reads := c.run(6 * time.Minute)
 	_, held := c.holders()
 	assert.Equal(t, held, 0)
-	assert.Assert(t, writes+reads <= 2*(quietWrites+quietReads), "%d and %d calls", writes+reads, quietWrites+quietReads)
+	assert.Assert(t, writes+reads <= 2*(normalWrites+normalReads), "%d and %d calls", writes+reads, normalWrites+normalReads)
 	c.store.down = false
 	writes, reads = c.run(6 * time.Minute)
-	assert.Assert(t, writes+reads <= 2*(quietWrites+quietReads), "%d and %d calls", writes+reads, quietWrites+quietReads)
+	assert.Assert(t, writes+reads <= 2*(normalWrites+normalReads), "%d and %d calls", writes+reads, normalWrites+normalReads)
 	_, held = c.holders()
 	assert.Equal(t, held, 64)
 }
@@ -197,15 +196,15 @@
 }
 
 func benchFleet(b *testing.B, daemons int, lossRate float64) {
-	const shards, quiet = 64, 5 * time.Minute
+	const shards, normal = 64, 5 * time.Minute
 	c := newCluster(daemons, shards, 1)
 	c.lossRate = lossRate
 	c.untilHeld(b, shards)
 	c.run(time.Minute)
 	w, r := c.store.writes, c.store.reads
-	c.run(quiet)
-	b.ReportMetric(float64(c.store.writes-w)/quiet.Seconds(), "quiet-writes/s")
-	b.ReportMetric(float64(c.store.reads-r)/quiet.Seconds(), "quiet-reads/s")
+	c.run(normal)
+	b.ReportMetric(float64(c.store.writes-w)/normal.Seconds(), "quiet-writes/s")
+	b.ReportMetric(float64(c.store.reads-r)/normal.Seconds(), "quiet-reads/s")
 	most, _ := c.holders()
 	b.ReportMetric(float64(most), "most-shards/daemon")
 	c.store.down = true
