--- a/internal/ledger/group_policy.go
+++ b/internal/ledger/group_policy.go
@@ -11,8 +11,7 @@
 	MaxChains     int           // chains of segments kept in memory
 }
 
-// DefaultGroupPolicy returns the policy that docs/adr/0003-ledger.md compares with
-// others.
+// DefaultGroupPolicy returns the policy chosen in docs/adr/0003-ledger.md.
 func DefaultGroupPolicy() GroupPolicy {
 	return GroupPolicy{
 		Linger:        5 * time.Millisecond,
