--- a/internal/lease/answer.go
+++ b/internal/lease/answer.go
@@ -6,123 +6,126 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// wrote takes the answer that a write took effect as a version.
+// wrote handles the answer that a write took effect and which version it got.
 func (l *Lease) wrote(now time.Time, number, version uint64) {
 	w := l.pending
 	if w == nil || w.number != number {
-		return // given up before; the read-back finds it
+		return // timed out earlier; the read-back shows its effect
 	}
 	l.pending = nil
-	l.took(now, w, version)
+	l.confirm(now, w, version)
 }
 
-// lost takes the answer that a write lost its condition, with what stands.
-func (l *Lease) lost(now time.Time, number uint64, current Observation) {
+// writeConflict handles the answer that a write's condition failed, with the
+// current object.
+func (l *Lease) writeConflict(now time.Time, number uint64, current Observation) {
 	if l.pending == nil || l.pending.number != number {
 		return
 	}
 	l.pending = nil
 	if current.Version == 0 {
-		l.vanished(now)
+		l.noteDeleted(now)
 		return
 	}
 	l.observe(now, current)
 }
 
-// vanished notes that the object was deleted, by hand or by a store that came
-// back empty. Whoever held the lease may go on until it runs out.
-func (l *Lease) vanished(now time.Time) {
+// noteDeleted records that the object was deleted, by hand or because the store
+// lost its data. The lease's holder may go on until the lease expires.
+func (l *Lease) noteDeleted(now time.Time) {
 	l.seen.Version = 0
 	l.seenAt, l.readAt = now, now
 	l.drop()
 }
 
-// drop ends the lease on this side. A hand-over that was under way is over;
-// who leaves doesn't come back.
+// drop ends the lease on this side, and with it a handover in progress. A daemon
+// that leaves keeps releasing.
 func (l *Lease) drop() {
 	l.held = false
 	l.releasing = l.leaving
 }
 
-// unanswered takes it that a write had no answer that proves anything.
-func (l *Lease) unanswered(now time.Time, number uint64) {
+// writeAmbiguous handles the outcome that a write may or may not have taken effect.
+func (l *Lease) writeAmbiguous(now time.Time, number uint64) {
 	if l.pending != nil && l.pending.number == number {
-		l.unsureAt(now)
+		l.noteAmbiguous(now)
 	}
 }
 
-// unsureAt notes that a write may or may not have taken effect.
-func (l *Lease) unsureAt(now time.Time) {
+// noteAmbiguous ends the write in flight with an unknown outcome, to be read back.
+func (l *Lease) noteAmbiguous(now time.Time) {
 	l.pending = nil
-	l.unsure = true
-	l.retryAt = now.Add(l.pause())
+	l.ambiguous = true
+	l.retryAt = now.Add(l.backoff())
 }
 
-// readFailed notes that a read had no answer.
+// readFailed handles the failure of a read.
 func (l *Lease) readFailed(now time.Time) {
 	l.reading = false
-	l.followed = time.Time{}
-	l.retryAt = now.Add(l.pause())
+	l.followedSince = time.Time{}
+	l.retryAt = now.Add(l.backoff())
 }
 
-// pause draws the time before a failed call is repeated. It doubles with each
-// failure up to Renew: quick enough to save a lease after a lost answer, and
-// in an outage no more calls than in quiet.
-func (l *Lease) pause() time.Duration {
-	mean := min(l.config.Retry<<min(l.failures, maxDoublings), l.config.Renew)
+// backoff draws the time before a failed call is retried. It doubles with each
+// failure up to RenewInterval: short enough to keep a lease after a lost answer,
+// and an outage causes no more calls than normal operation.
+func (l *Lease) backoff() time.Duration {
+	mean := min(l.config.RetryDelay<<min(l.failures, maxDoublings), l.config.RenewInterval)
 	l.failures++
-	return around(l.random, mean, 0.5)
+	return jitter(l.random, mean, 0.5)
 }
 
-// maxDoublings keeps the shift from running over.
+// maxDoublings keeps the shift from overflowing.
 const maxDoublings = 20
 
-// observed takes the object as read at some moment before now.
-func (l *Lease) observed(now time.Time, o Observation) {
+// readDone handles the object as it was at some moment before now.
+func (l *Lease) readDone(now time.Time, o Observation) {
 	l.reading = false
 	if l.pending != nil {
-		return // its answer tells more
+		return // the write's answer is newer
 	}
 	l.observe(now, o)
 }
 
-// observe takes what stands in the store. A version that is one of this
-// daemon's own writes is proof that this write took effect: so a lost answer
-// costs a read, and a write that arrives late is recognised.
+// observe handles the object as the store has it. If it shows one of this daemon's
+// own writes, that write took effect: so a lost answer costs only a read, and a
+// write that arrives late is recognised.
 func (l *Lease) observe(now time.Time, o Observation) {
 	if o.Version < l.seen.Version {
-		return // an answer that was overtaken
+		return // an older answer that arrived late
 	}
 	first := l.readAt.IsZero()
-	if l.followed.IsZero() || (l.candidate && now.Sub(l.readAt) > 2*l.config.Observe) {
-		l.followed = now
+	if l.followedSince.IsZero() || (l.candidate && now.Sub(l.readAt) > 2*l.config.ObserveInterval) {
+		l.followedSince = now
 	}
-	l.unsure, l.failures = false, 0
+	l.ambiguous, l.failures = false, 0
 	l.readAt = now
 	if o.Version == l.seen.Version && !first {
 		return
 	}
-	l.doubt(now, o)
-	if w := l.own(o); w != nil && (l.held || !now.Before(l.doubtTo)) {
-		l.took(now, w, o.Version)
+	l.noteRestore(now, o)
+	if w := l.ownWrite(o); w != nil && (l.held || !now.Before(l.restoreWaitEnd)) {
+		l.confirm(now, w, o.Version)
 		return
 	}
 	l.seen, l.seenAt = o, now
 	l.drop()
 }
 
-// doubt notes that the store has come back from an older copy. Failure: who took
-// the lease in the seconds that are lost still believes that it holds it, and the
-// copy shows nobody, or who held it before. Symptom: two daemons act in turns. Who
-// isn't a holder by its own clock waits for as long as one may go on.
-func (l *Lease) doubt(now time.Time, o Observation) {
+// noteRestore starts a wait if the store was restored from an older copy, as a
+// higher era of the object's version shows. The copy lacks the newest writes: a
+// daemon that acquired the lease by one of them still holds it by its own clock,
+// while the copy shows no holder or an earlier one, and two daemons would act in
+// turns. So a daemon that isn't the holder by its own clock waits until such a
+// holder's lease must have expired.
+func (l *Lease) noteRestore(now time.Time, o Observation) {
 	if l.seen.Version != 0 && objects.EraOf(o.Version) > objects.EraOf(l.seen.Version) {
-		l.doubtTo = now.Add(l.config.Duration + l.config.Margin)
+		l.restoreWaitEnd = now.Add(l.config.Duration + l.config.Margin)
 	}
 }
 
-// own returns the write of this daemon that an observation shows, if any.
-func (l *Lease) own(o Observation) *sentWrite {
+// ownWrite returns the write of this daemon that an observation shows, or nil.
+func (l *Lease) ownWrite(o Observation) *sentWrite {
 	w := l.sent.find(o.State.Write)
 	if w == nil || w.state != o.State {
 		return nil
@@ -130,30 +133,30 @@
 	return w
 }
 
-// took notes that a write took effect as a version. The lease counts from
-// before the write left: the store may have taken it at once, and others count
-// from then.
-func (l *Lease) took(now time.Time, w *sentWrite, version uint64) {
-	l.unsure, l.failures = false, 0
+// confirm records that a write took effect and got a version. The lease counts
+// from before the write was sent: it may have taken effect, and other daemons may
+// have observed it, at once.
+func (l *Lease) confirm(now time.Time, w *sentWrite, version uint64) {
+	l.ambiguous, l.failures = false, 0
 	l.seen, l.seenAt, l.readAt = Observation{Version: version, State: w.state}, now, now
 	switch w.kind {
 	case acquire:
 		l.fencing = version
-		l.waitTo = waitTo(now, w.prior)
+		l.unfencedFrom = priorOrdersEnd(now, w.prior)
 	case release:
 		l.drop()
 		return
 	}
 	l.held = true
-	l.since = w.at
-	l.renewAt = w.at.Add(around(l.random, l.config.Renew, 0.2))
+	l.termStart = w.sentAt
+	l.renewAt = w.sentAt.Add(jitter(l.random, l.config.RenewInterval, 0.2))
 }
 
-// waitTo returns when orders of the holder before must have ended. Its lease
-// has run out by now; an order that left at its very end may not have.
-func waitTo(now time.Time, prior Observation) time.Time {
+// priorOrdersEnd returns when the previous holder's orders must have ended. Its
+// lease has expired by now; an order sent at its very end may still be in flight.
+func priorOrdersEnd(now time.Time, prior Observation) time.Time {
 	if prior.Version == 0 || prior.State.Released {
 		return now
 	}
-	return now.Add(prior.State.longestOrder())
+	return now.Add(prior.State.orderTimeout())
 }
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -10,89 +10,90 @@
 	"pgregory.net/rapid"
 )
 
-// call is a call of a daemon that is under way in the model.
+// call is a daemon's call to the store that is in flight.
 type call struct {
-	daemon int
-	action Action
-	done   bool // the store has taken it; its answer is under way
-	result Observation
-	took   bool
+	daemon  int
+	action  Action
+	arrived bool // the store has carried it out; its answer is in flight
+	result  Observation
+	written bool
 }
 
-// model is three daemons that all believe to be preferred for one shard, and
-// a store whose calls may arrive at any later time, or whose answers get lost.
+// model is three daemons that each rank themselves first for one shard, and a
+// store. Calls may arrive at any later time, and answers may be lost.
 type model struct {
-	store   *memory
+	store   *memStore
 	daemons []*member
 	paused  []bool
-	drift   []float64 // of each clock's rate
+	drift   []float64 // of each clock's rate, as a share of it
 	time    time.Duration
 	calls   []call
 	orders  []order
 	highest uint64 // fencing number of the newest order
-	copies  copies
+	backup  backup
 }
 
-// order is an order that left, with its end in the model's time.
+// order is an order that was sent. end is in the model's time.
 type order struct {
 	daemon int
 	end    time.Duration
 }
 
-// maxDrift is the greatest difference of a clock's rate that Margin covers.
+// maxDrift is the greatest drift of a clock's rate that Config.Margin covers.
 const maxDrift = 500e-6
 
 func newModel(t *rapid.T) *model {
-	m := &model{store: newMemory(1), paused: make([]bool, 3)}
+	m := &model{store: newMemStore(1), paused: make([]bool, 3)}
 	config := DefaultConfig
 	config.StartSpread = 0
 	for i := range 3 {
 		id := fleet.DaemonID(fmt.Sprintf("daemon-%d", i))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		m.drift = append(m.drift, rapid.Float64Range(-maxDrift, maxDrift).Draw(t, "drift"))
-		set := NewSet(config, id, Shards("duty", 1), random, m.local(i))
+		set := NewSet(config, id, Shards("duty", 1), random, m.localTime(i))
 		m.daemons = append(m.daemons, &member{id: id, set: set})
 	}
 	return m
 }
 
-// local returns a daemon's clock: they differ by years, and in their rate.
-func (m *model) local(i int) time.Time {
+// localTime returns a daemon's clock. The clocks differ by years, and in rate.
+func (m *model) localTime(i int) time.Time {
 	epoch := time.Date(2000+i*7, 1, 1, 0, 0, 0, 0, time.UTC)
 	return epoch.Add(m.time + time.Duration(m.drift[i]*float64(m.time)))
 }
 
-// advance moves time on and ticks the daemons that aren't paused.
+// advance moves the time on and ticks the daemons that aren't paused.
 func (m *model) advance(by time.Duration) {
 	m.time += by
 	for i, d := range m.daemons {
 		if m.paused[i] {
 			continue
 		}
-		for _, a := range d.set.Tick(m.local(i)) {
+		for _, a := range d.set.Tick(m.localTime(i)) {
 			m.calls = append(m.calls, call{daemon: i, action: a})
 		}
 	}
 }
 
-// move takes a call one step further: into the store, then back or lost.
-func (m *model) move(i int, lose bool) {
+// deliver takes a call one step further: it arrives at the store, then its answer
+// arrives or is lost.
+func (m *model) deliver(i int, lose bool) {
 	c := m.calls[i]
-	if !c.done {
+	if !c.arrived {
 		m.calls[i] = m.arrive(c)
 		return
 	}
 	if m.paused[c.daemon] {
-		return // its answer waits
+		return // its answer waits until the pause ends
 	}
 	m.calls = append(m.calls[:i:i], m.calls[i+1:]...)
 	m.answer(c, lose)
 }
 
 func (m *model) arrive(c call) call {
-	c.done = true
+	c.arrived = true
 	if c.action.Kind == Write {
-		c.result, c.took = m.store.write(c.action)
+		c.result, c.written = m.store.write(c.action)
 	} else {
 		c.result = m.store.objects[0]
 	}
@@ -100,7 +101,7 @@
 }
 
 func (m *model) answer(c call, lose bool) {
-	set, now := m.daemons[c.daemon].set, m.local(c.daemon)
+	set, now := m.daemons[c.daemon].set, m.localTime(c.daemon)
 	switch {
 	case c.action.Kind == List && lose:
 		set.ListFailed()
@@ -111,17 +112,18 @@
 	case c.action.Kind == Read:
 		set.Observed(now, 0, c.result)
 	case lose:
-		set.Unsure(now, c.action)
-	case c.took:
+		set.WriteAmbiguous(now, c.action)
+	case c.written:
 		set.Wrote(now, c.action, c.result.Version)
 	default:
-		set.Lost(now, c.action, c.result)
+		set.WriteConflict(now, c.action, c.result)
 	}
 }
 
-// order lets a daemon order if it may, and checks what endpoints would see.
-func (m *model) order(t *rapid.T, i int) {
-	l, now := m.daemons[i].set.Lease(0), m.local(i)
+// sendOrder sends a daemon's order if the lease allows it, and checks that fencing
+// numbers never decrease.
+func (m *model) sendOrder(t *rapid.T, i int) {
+	l, now := m.daemons[i].set.Lease(0), m.localTime(i)
 	if l.MayOrderUnfenced(now) {
 		m.checkUnfenced(t, i)
 	}
@@ -133,10 +135,10 @@
 		t.Fatalf("order with fencing number %d after one with %d", fencing, m.highest)
 	}
 	m.highest = fencing
-	m.orders = append(m.orders, order{daemon: i, end: m.time + l.config.LongestOrder})
+	m.orders = append(m.orders, order{daemon: i, end: m.time + l.config.OrderTimeout})
 }
 
-// checkUnfenced fails when another daemon's order is still under way.
+// checkUnfenced fails when another daemon's order is still in flight.
 func (m *model) checkUnfenced(t *rapid.T, i int) {
 	for _, o := range m.orders {
 		if o.daemon != i && o.end > m.time {
@@ -145,11 +147,11 @@
 	}
 }
 
-// checkHolders fails when two daemons would be allowed to order at once,
-// paused ones included.
+// checkHolders fails when two daemons, paused ones included, would be allowed to
+// send orders, and returns the number of holders.
 func (m *model) checkHolders(t *rapid.T) (holders int) {
 	for i, d := range m.daemons {
-		if d.set.Lease(0).Held(m.local(i)) {
+		if d.set.Lease(0).Held(m.localTime(i)) {
 			holders++
 		}
 	}
@@ -159,16 +161,16 @@
 	return holders
 }
 
-// Operators see two daemons give orders for one shard. Daemons pause for
-// longer than their lease, calls arrive late, answers get lost and clocks
-// differ. It must not happen at any moment, also to a daemon that is still
-// paused: it would send its order at its first step after the pause.
+// Guards against two daemons that send orders for one shard, while daemons pause
+// for longer than their lease, calls arrive late, answers are lost and clocks
+// differ. Paused daemons count too: one would send its order at its first step
+// after the pause.
 func TestNeverTwoHolders(t *testing.T) {
 	held := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(1000, 2000).Draw(t, "steps") {
-			m.random(t)
+			m.randomStep(t)
 			held += m.checkHolders(t)
 		}
 	})
@@ -177,21 +179,23 @@
 	}
 }
 
-// steps are the kinds of random step, the likely ones more often.
-var steps = []string{
+// stepKinds are the kinds of random step; the more likely ones are repeated.
+var stepKinds = []string{
 	"advance", "advance", "advance", "advance", "settle", "settle", "settle", "settle",
 	"move", "move", "pause", "hand over",
 }
 
-// pauses are lengths of time around the bounds of DefaultConfig, in ms.
-var pauses = []int{100, 250, 250, 250, 1000, 1000, 2500, 6000, 12000, 18500, 19500, 20500, 22000}
+// advanceMillis are steps of time, among them some just around the times of
+// DefaultConfig.
+var advanceMillis = []int{100, 250, 250, 250, 1000, 1000, 2500, 6000, 12000, 18500, 19500, 20500, 22000}
 
-// random does one random step.
-func (m *model) random(t *rapid.T) {
+// randomStep takes one step, after which any daemon that isn't paused may send an
+// order.
+func (m *model) randomStep(t *rapid.T) {
 	daemon := rapid.IntRange(0, 2)
-	switch rapid.SampledFrom(steps).Draw(t, "step") {
+	switch rapid.SampledFrom(stepKinds).Draw(t, "step") {
 	case "advance":
-		m.advance(time.Duration(rapid.SampledFrom(pauses).Draw(t, "ms")) * time.Millisecond)
+		m.advance(time.Duration(rapid.SampledFrom(advanceMillis).Draw(t, "ms")) * time.Millisecond)
 	case "pause":
 		i := daemon.Draw(t, "pause")
 		m.paused[i] = !m.paused[i]
@@ -200,28 +204,28 @@
 	case "move":
 		if len(m.calls) > 0 {
 			i := rapid.IntRange(0, len(m.calls)-1).Draw(t, "call")
-			m.move(i, rapid.Bool().Draw(t, "lose"))
+			m.deliver(i, rapid.Bool().Draw(t, "lose"))
 		}
 	case "settle":
 		m.settle()
 	}
 	for i := range m.daemons {
 		if !m.paused[i] && rapid.Bool().Draw(t, "order") {
-			m.order(t, i)
+			m.sendOrder(t, i)
 		}
 	}
 }
 
-// settle brings every call that is under way to its end.
+// settle completes every call in flight.
 func (m *model) settle() {
 	for range 2 {
 		for i := len(m.calls) - 1; i >= 0; i-- {
-			m.move(i, false)
+			m.deliver(i, false)
 		}
 	}
 }
 
-// handover makes a holder give its lease up as if it weren't preferred.
+// handover makes a holder release its lease as if it weren't the preferred one.
 func (d *member) handover() {
 	if l := d.set.Lease(0); l.held {
 		l.releasing = true
--- a/internal/lease/set.go
+++ b/internal/lease/set.go
@@ -8,25 +8,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Set is one daemon's side of all shards of a duty. Each shard is preferred by
-// one of the alive daemons, by rendezvous hashing, so that shards spread
-// evenly and daemons don't contend for them. It isn't safe for concurrent use.
+// Set is one daemon's side of all shards of a duty. Rendezvous hashing ranks the
+// alive daemons for each shard, and the first is its preferred holder, so that
+// shards spread evenly and daemons don't contend for them. It isn't safe for
+// concurrent use.
 type Set struct {
 	config Config
 	self   fleet.DaemonID
 	random *rand.Rand
 	shards []Shard
 	leases []*Lease
-	ranks  []int
+	ranks  []int // this daemon's rank for each shard, from 0
 
-	observeAt time.Time // next look at the shards that this daemon is a candidate for
-	sweepAt   time.Time // next look at all shards
-	listing   bool
-	listEnd   time.Time // when a list without an answer counts as lost
+	observeAt    time.Time // next read of the shards that this daemon is a candidate for
+	sweepAt      time.Time // next list of all shards
+	listing      bool      // a list is in flight
+	listDeadline time.Time // when the list in flight counts as lost
 }
 
-// NewSet returns the shards of a duty, at now, with self alone alive. Only a
-// daemon that knows its fleet should call Tick: alone, it prefers all shards.
+// NewSet returns the set of a duty's shards. Call Alive before Tick: until then
+// self ranks first for every shard.
 func NewSet(config Config, self fleet.DaemonID, shards []Shard, random *rand.Rand, now time.Time) *Set {
 	s := &Set{
 		config: config,
@@ -40,19 +41,19 @@
 		s.leases[i] = newLease(&s.config, self, i, random)
 	}
 	s.observeAt = now.Add(time.Duration(random.Float64() * float64(config.StartSpread)))
-	s.sweepAt = now.Add(around(random, config.Sweep, 0.5))
+	s.sweepAt = now.Add(jitter(random, config.SweepInterval, 0.5))
 	return s
 }
 
-// Alive takes the daemons that membership holds for alive, self among them or
-// not, in any order.
+// Alive sets the daemons that membership reports as alive, in any order, with or
+// without self.
 func (s *Set) Alive(daemons []fleet.DaemonID) {
 	for i, shard := range s.shards {
 		s.ranks[i] = rank(rendezvous.Key(shard.Object()), s.self, daemons)
 	}
 }
 
-// rank returns how many other daemons come before self for a key.
+// rank returns how many other daemons rank before self for a key.
 func rank(key uint64, self fleet.DaemonID, daemons []fleet.DaemonID) int {
 	own := rendezvous.Score(key, string(self))
 	before := 0
@@ -64,13 +65,13 @@
 	return before
 }
 
-// Lease returns a shard's lease, to ask before orders.
+// Lease returns a shard's lease, which decides whether orders may be sent.
 func (s *Set) Lease(shard int) *Lease { return s.leases[shard] }
 
 // Shards returns the shards, in order of their indexes.
 func (s *Set) Shards() []Shard { return s.shards }
 
-// Leave stops taking leases and gives up those that are held, each once its
+// Leave stops acquiring leases and releases those that are held, each once its
 // orders have ended.
 func (s *Set) Leave() {
 	for _, l := range s.leases {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Left reports whether no lease is held any more, after Leave.
+// Left reports, after Leave, whether no lease is held and no write is in flight.
 func (s *Set) Left(now time.Time) bool {
 	for _, l := range s.leases {
 		if l.valid(now) || l.pending != nil {
@@ -88,10 +89,10 @@
 	return true
 }
 
-// Tick returns the calls that are due. A few times a second is often enough.
+// Tick returns the calls that are due. Call it a few times a second.
 func (s *Set) Tick(now time.Time) []Action {
 	var out []Action
-	if s.listing && !now.Before(s.listEnd) {
+	if s.listing && !now.Before(s.listDeadline) {
 		s.ListFailed()
 	}
 	for i, l := range s.leases {
@@ -99,27 +100,28 @@
 			out = append(out, a)
 		}
 	}
-	return s.look(now, out)
+	return s.appendReads(now, out)
 }
 
-// look adds the reads by which a daemon follows leases that it doesn't hold.
-func (s *Set) look(now time.Time, out []Action) []Action {
+// appendReads adds the reads by which a daemon follows leases that it doesn't
+// hold.
+func (s *Set) appendReads(now time.Time, out []Action) []Action {
 	if s.listing {
 		return out
 	}
 	if !now.Before(s.sweepAt) {
-		s.sweepAt = now.Add(around(s.random, s.config.Sweep, 0.5))
+		s.sweepAt = now.Add(jitter(s.random, s.config.SweepInterval, 0.5))
 		return s.list(now, out)
 	}
 	if now.Before(s.observeAt) {
 		return out
 	}
-	s.observeAt = now.Add(around(s.random, s.config.Observe, 0.1))
-	follow := s.followed()
-	if len(follow) > s.config.ListOver {
+	s.observeAt = now.Add(jitter(s.random, s.config.ObserveInterval, 0.1))
+	candidates := s.candidateShards()
+	if len(candidates) > s.config.ListThreshold {
 		return s.list(now, out)
 	}
-	for _, i := range follow {
+	for _, i := range candidates {
 		out = append(out, s.leases[i].readBack(now))
 	}
 	return out
@@ -127,13 +129,13 @@
 
 func (s *Set) list(now time.Time, out []Action) []Action {
 	s.listing = true
-	s.listEnd = now.Add(s.config.CallTimeout)
+	s.listDeadline = now.Add(s.config.CallTimeout)
 	return append(out, Action{Kind: List})
 }
 
-// followed returns the shards that this daemon is a candidate for and doesn't
-// hold, as far as no call for them is under way.
-func (s *Set) followed() []int {
+// candidateShards returns the shards that this daemon is a candidate for and
+// doesn't hold, except those with a call in flight.
+func (s *Set) candidateShards() []int {
 	var out []int
 	for i, l := range s.leases {
 		busy := l.held || l.leaving || l.pending != nil || l.reading
@@ -144,37 +146,41 @@
 	return out
 }
 
-// Observed takes the answer to a Read.
-func (s *Set) Observed(now time.Time, shard int, o Observation) { s.leases[shard].observed(now, o) }
+// Observed handles the answer to a Read.
+func (s *Set) Observed(now time.Time, shard int, o Observation) { s.leases[shard].readDone(now, o) }
 
-// ReadFailed notes that a Read had no answer.
+// ReadFailed handles the failure of a Read.
 func (s *Set) ReadFailed(now time.Time, shard int) { s.leases[shard].readFailed(now) }
 
-// Listed takes the answer to a List: the observation of each shard, by index.
+// Listed handles the answer to a List: the observation of each shard, by index.
 func (s *Set) Listed(now time.Time, all []Observation) {
 	s.listing = false
 	for i, o := range all {
-		s.leases[i].observed(now, o)
+		s.leases[i].readDone(now, o)
 	}
 }
 
-// ListFailed notes that a List had no answer.
+// ListFailed handles the failure of a List.
 func (s *Set) ListFailed() {
 	s.listing = false
 	for _, l := range s.leases {
-		l.followed = time.Time{}
+		l.followedSince = time.Time{}
 	}
 }
 
-// Wrote takes the answer that a Write took effect as a version.
+// Wrote handles the answer that a Write took effect and which version it got.
 func (s *Set) Wrote(now time.Time, a Action, version uint64) {
 	s.leases[a.Shard].wrote(now, a.State.Write, version)
 }
 
-// Lost takes the answer that a Write lost its condition, with what stands.
-func (s *Set) Lost(now time.Time, a Action, current Observation) {
-	s.leases[a.Shard].lost(now, a.State.Write, current)
+// WriteConflict handles the answer that a Write's condition failed, with the
+// current object.
+func (s *Set) WriteConflict(now time.Time, a Action, current Observation) {
+	s.leases[a.Shard].writeConflict(now, a.State.Write, current)
 }
 
-// Unsure notes that a Write had no answer, or one that proves nothing.
-func (s *Set) Unsure(now time.Time, a Action) { s.leases[a.Shard].unanswered(now, a.State.Write) }
+// WriteAmbiguous handles the outcome that a Write may or may not have taken effect:
+// it had no answer, or one that doesn't show which.
+func (s *Set) WriteAmbiguous(now time.Time, a Action) {
+	s.leases[a.Shard].writeAmbiguous(now, a.State.Write)
+}
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -11,21 +11,23 @@
 	"pgregory.net/rapid"
 )
 
-// opInput is an intent, or an abandonment of one.
+// opInput is the input of an operation: an intent, or its abandonment.
 type opInput struct {
 	key     Key
 	owner   Owner
 	abandon bool
 }
 
-// opResult is what came of it. The zero value is unknown: refused or never
-// answered, so that it may take effect at any later time or never.
+// opResult is the result of an operation. The zero value is an unknown one: the
+// intent was refused or never answered, and may take effect at any later time or
+// never.
 type opResult struct {
 	granted bool
-	denied  Owner // the owner that was found
+	denied  Owner // the recorded owner
 }
 
-// ledgerModel is the whole specification: a key has an owner or none.
+// ledgerModel is the specification: a key has an owner or none. A step returns the
+// states in which the operation may leave the key, none if its result is wrong.
 var ledgerModel = porcupine.NondeterministicModel{
 	Init:      func() []any { return []any{Owner("")} },
 	Partition: byKey,
@@ -60,56 +62,58 @@
 	return slices.Collect(maps.Values(parts))
 }
 
-func (w *world) record(in Intent, from, to int64, r opResult) {
-	w.history = append(w.history, porcupine.Operation{
+func (h *harness) recordOperation(in Intent, from, to int64, r opResult) {
+	h.history = append(h.history, porcupine.Operation{
 		Input: opInput{key: in.Key, owner: in.Owner}, Call: from, Output: r, Return: to,
 	})
 }
 
-// unsure enters an intent without a known end, which its writer may abandon.
-func (w *world) unsure(in Intent) {
-	w.record(in, w.wishes[in.Owner].called, math.MaxInt64, opResult{})
-	w.drop(in)
+// recordUnknown records an intent without a known result, which its writer may
+// abandon.
+func (h *harness) recordUnknown(in Intent) {
+	h.recordOperation(in, h.intents[in.Owner].calledAt, math.MaxInt64, opResult{})
+	h.abandon(in)
 }
 
-// drop enters the abandonment of an intent, which takes effect later or never.
-func (w *world) drop(in Intent) {
-	w.wishes[in.Owner].dropped = true
-	w.clock++
-	w.history = append(w.history, porcupine.Operation{
-		Input: opInput{key: in.Key, owner: in.Owner, abandon: true}, Call: w.clock, Output: opResult{}, Return: math.MaxInt64,
+// abandon records the abandonment of an intent, which takes effect later or never.
+func (h *harness) abandon(in Intent) {
+	h.intents[in.Owner].abandoned = true
+	h.clock++
+	h.history = append(h.history, porcupine.Operation{
+		Input: opInput{key: in.Key, owner: in.Owner, abandon: true}, Call: h.clock, Output: opResult{}, Return: math.MaxInt64,
 	})
 }
 
-// anyGrant draws a grant, also one that was given back where dropped is set.
-func (w *world) anyGrant(t *rapid.T, dropped bool) *Grant {
-	var fit []*Grant
-	for _, owner := range slices.Sorted(maps.Keys(w.wishes)) {
-		if o := w.wishes[owner]; o.granted != nil && (dropped || !o.dropped) {
-			fit = append(fit, o.granted)
+// drawGrant draws a grant, nil if there is none. withAbandoned includes those that
+// were abandoned.
+func (h *harness) drawGrant(t *rapid.T, withAbandoned bool) *Grant {
+	var candidates []*Grant
+	for _, owner := range slices.Sorted(maps.Keys(h.intents)) {
+		if o := h.intents[owner]; o.granted != nil && (withAbandoned || !o.abandoned) {
+			candidates = append(candidates, o.granted)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(fit).Draw(t, "grant")
+	return rapid.SampledFrom(candidates).Draw(t, "grant")
 }
 
-// finish lets the store work, after which every owner whose writer lives must
-// have its answer, and checks the history.
-func (w *world) finish(t *rapid.T) {
+// finish completes all calls, after which every owner whose writer hasn't crashed
+// must have its answer, and checks the history.
+func (h *harness) finish(t *rapid.T) {
 	for range 100 {
 		for range 20 {
-			w.serve(t)
+			h.completeCalls(t)
 		}
-		w.tick(t, 50*time.Millisecond)
+		h.tick(t, 50*time.Millisecond)
 	}
-	for _, owner := range slices.Sorted(maps.Keys(w.wishes)) {
-		if o := w.wishes[owner]; !o.over {
-			assert.Assert(t, o.lost, "%s has no answer", owner)
-			w.record(o.intent, o.called, math.MaxInt64, opResult{})
+	for _, owner := range slices.Sorted(maps.Keys(h.intents)) {
+		if o := h.intents[owner]; !o.answered {
+			assert.Assert(t, o.writerCrashed, "%s has no answer", owner)
+			h.recordOperation(o.intent, o.calledAt, math.MaxInt64, opResult{})
 		}
 	}
 	model := ledgerModel.ToModel()
-	assert.Assert(t, porcupine.CheckOperations(model, w.history), "history is not linearizable")
+	assert.Assert(t, porcupine.CheckOperations(model, h.history), "history is not linearizable")
 }
--- a/internal/ledger/layout_bench_test.go
+++ b/internal/ledger/layout_bench_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// The figures that the comparison of layouts assumes.
+// Assumptions of the comparison of layouts.
 const (
-	simStore   = 3 * time.Millisecond  // a store call
-	simHop     = time.Millisecond      // between two daemons, one way
-	simRun     = 20 * time.Millisecond // an order on its endpoint
-	simDaemons = 9
-	simSeconds = 30
+	simStoreLatency = 3 * time.Millisecond  // of a call to the store
+	simHopLatency   = time.Millisecond      // between two daemons, one way
+	simRunTime      = 20 * time.Millisecond // of a request at its endpoint
+	simDaemons      = 9
+	simSeconds      = 30
 )
 
 type simEvent struct {
@@ -39,16 +39,16 @@
 	return last
 }
 
-// sim runs orders against one layout in virtual time.
+// sim runs requests against one layout in virtual time.
 type sim struct {
-	queue         simQueue
-	now           time.Duration
-	seq           int
-	store         *world
-	shards        []layout
-	writes, bytes int
-	added         []time.Duration
-	started       map[Owner]time.Duration
+	queue          simQueue
+	now            time.Duration
+	seq            int
+	store          *harness
+	shards         []layout
+	writes, bytes  int
+	addedLatencies []time.Duration         // from a request's start to its grant
+	started        map[Owner]time.Duration // the start of each owner's request
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -58,60 +58,60 @@
 
 func (s *sim) time() time.Time { return t0.Add(s.now) }
 
-func (s *sim) do(l layout, hop time.Duration, actions []Action) {
+func (s *sim) perform(l layout, hop time.Duration, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Write:
 			s.writes++
 			s.bytes += len(a.Value)
-			s.after(simStore, func() {
+			s.after(simStoreLatency, func() {
 				r := WriteResult{Call: a.Call, Status: s.store.put(&a), Version: s.store.version}
-				s.do(l, hop, l.Written(s.time(), r))
+				s.perform(l, hop, l.Written(s.time(), r))
 			})
 		case Read:
-			s.after(simStore, func() {
+			s.after(simStoreLatency, func() {
 				r := ReadResult{Call: a.Call, OK: true, Object: s.store.store[a.Name]}
-				s.do(l, hop, l.ReadBack(s.time(), r))
+				s.perform(l, hop, l.ReadBack(s.time(), r))
 			})
 		case List:
-			s.after(simStore, func() {
+			s.after(simStoreLatency, func() {
 				r := ListResult{Call: a.Call, OK: true, Objects: s.store.store}
-				s.do(l, hop, l.(*GroupCommit).Listed(s.time(), r))
+				s.perform(l, hop, l.(*GroupCommit).Listed(s.time(), r))
 			})
 		case Grant:
-			s.added = append(s.added, s.now-s.started[a.Intent.Owner]+hop)
-			s.after(simRun, func() { s.outcome(l, hop, a) })
+			s.addedLatencies = append(s.addedLatencies, s.now-s.started[a.Intent.Owner]+hop)
+			s.after(simRunTime, func() { s.outcome(l, hop, a) })
 		}
 	}
-	s.wake(l, hop)
+	s.scheduleTick(l, hop)
 }
 
 func (s *sim) outcome(l layout, hop time.Duration, g Grant) {
 	o := Outcome{Status: 201, Body: make([]byte, 64)}
 	switch l := l.(type) {
 	case *PerKey:
-		s.do(l, hop, l.Outcome(s.time(), g, o))
+		s.perform(l, hop, l.Outcome(s.time(), g, o))
 	case *GroupCommit:
-		s.do(l, hop, l.Outcome(s.time(), g.Intent, o))
+		s.perform(l, hop, l.Outcome(s.time(), g.Intent, o))
 	}
 }
 
-// wake ticks a batch writer when its next batch has lingered.
-func (s *sim) wake(l layout, hop time.Duration) {
+// scheduleTick schedules a GroupCommit's tick for when its next batch is due.
+func (s *sim) scheduleTick(l layout, hop time.Duration) {
 	g, ok := l.(*GroupCommit)
 	if !ok || g.Next().IsZero() {
 		return
 	}
 	s.after(max(0, g.Next().Sub(s.time())), func() {
 		if next := g.Next(); !next.IsZero() && !next.After(s.time()) {
-			s.do(g, hop, g.Tick(s.time()))
+			s.perform(g, hop, g.Tick(s.time()))
 		}
 	})
 }
 
-// order sends one order: to its shard's writer, which is another daemon but
-// for one order in simDaemons, or straight to the store.
-func (s *sim) order(n int, random *rand.Rand) {
+// request sends one request: to its shard's writer, which is another daemon except
+// for one request in simDaemons, or with PerKey straight to the store.
+func (s *sim) request(n int, random *rand.Rand) {
 	key := keyAt(s.time(), 0)
 	for i := 9; i < 16; i++ {
 		key.ID[i] = byte(random.Uint32())
@@ -122,18 +122,18 @@
 	if _, grouped := l.(*GroupCommit); grouped {
 		l = s.shards[ShardOf(in.Workspace, key, len(s.shards))]
 		if n%simDaemons != 0 {
-			hop = simHop
+			hop = simHopLatency
 		}
 	}
-	s.after(hop, func() { s.do(l, hop, l.Intend(s.time(), in)) })
+	s.after(hop, func() { s.perform(l, hop, l.Intend(s.time(), in)) })
 }
 
 func simulate(rate int, shards []layout) *sim {
-	s := &sim{store: newWorld(func() layout { return nil }), shards: shards, started: map[Owner]time.Duration{}}
+	s := &sim{store: newHarness(func() layout { return nil }), shards: shards, started: map[Owner]time.Duration{}}
 	random := rand.New(rand.NewPCG(1, 2))
 	at := time.Duration(0)
 	for n := 0; at < simSeconds*time.Second; n++ {
-		s.after(at, func() { s.order(n, random) })
+		s.after(at, func() { s.request(n, random) })
 		at += time.Duration(random.ExpFloat64() / float64(rate) * float64(time.Second))
 	}
 	for len(s.queue) > 0 {
@@ -141,11 +141,11 @@
 		s.now = e.at
 		e.do()
 	}
-	slices.Sort(s.added)
+	slices.Sort(s.addedLatencies)
 	return s
 }
 
-func grouped(shards int, linger time.Duration, seal int) func() []layout {
+func groupCommits(shards int, linger time.Duration, seal int) func() []layout {
 	return func() []layout {
 		p := DefaultGroupPolicy()
 		p.Linger, p.SealBytes = linger, seal
@@ -157,11 +157,11 @@
 	}
 }
 
-// rivals are two daemons that both write shard 0, as while they disagree about
-// who is alive.
-func rivals(linger time.Duration, seal int) func() []layout {
+// rivalWriters builds two writers of shard 0, as there are while daemons disagree
+// about which of them are alive.
+func rivalWriters(linger time.Duration, seal int) func() []layout {
 	return func() []layout {
-		return []layout{grouped(1, linger, seal)()[0], grouped(1, linger, seal)()[0]}
+		return []layout{groupCommits(1, linger, seal)()[0], groupCommits(1, linger, seal)()[0]}
 	}
 }
 
@@ -174,16 +174,16 @@
 		build func() []layout
 	}{
 		{"perKey", func() []layout { return []layout{NewPerKey()} }},
-		{"group/shards=1/linger=0/sealKB=4", grouped(1, 0, 4<<10)},
-		{"group/shards=1/linger=2ms/sealKB=4", grouped(1, 2*ms, 4<<10)},
-		{"group/shards=1/linger=5ms/sealKB=4", grouped(1, 5*ms, 4<<10)},
-		{"group/shards=1/linger=10ms/sealKB=4", grouped(1, 10*ms, 4<<10)},
-		{"group/shards=1/linger=5ms/sealKB=0", grouped(1, 5*ms, 1)},
-		{"group/shards=1/linger=5ms/sealKB=16", grouped(1, 5*ms, 16<<10)},
-		{"group/shards=1/linger=5ms/sealKB=256", grouped(1, 5*ms, 256<<10)},
-		{"group/shards=4/linger=5ms/sealKB=4", grouped(4, 5*ms, 4<<10)},
-		{"group/shards=16/linger=5ms/sealKB=4", grouped(16, 5*ms, 4<<10)},
-		{"group/rivals=2/linger=5ms/sealKB=4", rivals(5*ms, 4<<10)},
+		{"group/shards=1/linger=0/sealKB=4", groupCommits(1, 0, 4<<10)},
+		{"group/shards=1/linger=2ms/sealKB=4", groupCommits(1, 2*ms, 4<<10)},
+		{"group/shards=1/linger=5ms/sealKB=4", groupCommits(1, 5*ms, 4<<10)},
+		{"group/shards=1/linger=10ms/sealKB=4", groupCommits(1, 10*ms, 4<<10)},
+		{"group/shards=1/linger=5ms/sealKB=0", groupCommits(1, 5*ms, 1)},
+		{"group/shards=1/linger=5ms/sealKB=16", groupCommits(1, 5*ms, 16<<10)},
+		{"group/shards=1/linger=5ms/sealKB=256", groupCommits(1, 5*ms, 256<<10)},
+		{"group/shards=4/linger=5ms/sealKB=4", groupCommits(4, 5*ms, 4<<10)},
+		{"group/shards=16/linger=5ms/sealKB=4", groupCommits(16, 5*ms, 4<<10)},
+		{"group/rivals=2/linger=5ms/sealKB=4", rivalWriters(5*ms, 4<<10)},
 	}
 	for _, l := range layouts {
 		for _, rate := range []int{5, 20, 50, 100, 200, 500} {
@@ -198,13 +198,13 @@
 
 func report(b *testing.B, s *sim) {
 	sum := time.Duration(0)
-	for _, d := range s.added {
+	for _, d := range s.addedLatencies {
 		sum += d
 	}
-	count := len(s.added)
+	count := len(s.addedLatencies)
 	b.ReportMetric(float64(s.writes)/simSeconds, "writes/s")
-	b.ReportMetric(float64(len(s.store.store))/simSeconds, "deletes/s") // of each object, once
+	b.ReportMetric(float64(len(s.store.store))/simSeconds, "deletes/s") // each object is deleted once
 	b.ReportMetric(float64(s.bytes)/simSeconds/1024, "KB/s")
 	b.ReportMetric(float64(sum.Microseconds())/1000/float64(count), "mean-ms")
-	b.ReportMetric(float64(s.added[count*99/100].Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(s.addedLatencies[count*99/100].Microseconds())/1000, "p99-ms")
 }
--- a/internal/ledger/memory_bench_test.go
+++ b/internal/ledger/memory_bench_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// BenchmarkChainMemory measures what a recorded order keeps in its writer's
-// memory while its minute is loaded.
+// BenchmarkChainMemory measures the memory that each record takes in its writer's
+// view of a chain.
 func BenchmarkChainMemory(b *testing.B) {
-	const records = 30_000 // a minute at 500 a second
+	const records = 30_000 // one minute at 500 requests a second
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		c := newChain(0)
 		for n := range records {
-			in := order(Owner(fmt.Sprintf("instance-12/%020d", n)), 1)
+			in := newIntent(Owner(fmt.Sprintf("instance-12/%020d", n)), 1)
 			in.Key.ID[14], in.Key.ID[15] = byte(n>>8), byte(n)
 			r := in.record(1)
 			r.State, r.Outcome = Stored, &Outcome{Status: 201, Body: make([]byte, 64)}
-			c.known[keyOf(in)] = r
+			c.records[keyOf(in)] = r
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -29,27 +29,27 @@
 	}
 }
 
-// BenchmarkGroupCommit is one order granted in a batch of 64 by a store that
-// answers at once.
+// BenchmarkGroupCommit measures one intent granted in a batch of 64, with a store
+// that answers at once.
 func BenchmarkGroupCommit(b *testing.B) {
 	b.ReportAllocs()
 	const batch = 64
 	policy := DefaultGroupPolicy()
 	policy.Linger = 0
-	w := newWorld(func() layout { return nil })
+	h := newHarness(func() layout { return nil })
 	var g *GroupCommit
 	var out []Action
 	n := 0
 	for b.Loop() {
 		if n%4096 == 0 {
-			w.store = map[string]Object{}
+			h.store = map[string]Object{}
 			g = NewGroupCommit(0, policy)
 		}
-		in := order("instance-12/00000000000000000001", 1)
+		in := newIntent("instance-12/00000000000000000001", 1)
 		in.Key.ID[14], in.Key.ID[15] = byte(n>>8), byte(n)
-		out = append(out, g.Intend(w.now, in)...)
+		out = append(out, g.Intend(h.now, in)...)
 		if n++; n%batch == 0 {
-			healthy(w, g, out)
+			answerCalls(h, g, out)
 			out = out[:0]
 		}
 	}
