--- a/internal/daemon/reclaim.go
+++ b/internal/daemon/reclaim.go
@@ -193,10 +193,10 @@
 	}
 }
 
-func (d *reclaimDuty) places(m fleet.ModelRef) []routing.Place {
-	var out []routing.Place
+func (d *reclaimDuty) places(m fleet.ModelRef) []routing.Destination {
+	var out []routing.Destination
 	d.routing.ask(func(now time.Time, r *routing.Router) {
-		out = r.Places(now, &routing.Request{Model: m}, reclaimTargets, nil)
+		out = r.Destinations(now, &routing.Request{Model: m}, reclaimTargets, nil)
 	})
 	return out
 }
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -76,7 +76,7 @@
 // was sent, and the caller is told so.
 func (d *routingDuty) Pick(q *routing.Request) (routing.Choice, error) {
 	var choice routing.Choice
-	err := error(routing.NoEndpoint{Why: routing.NotServed})
+	err := error(routing.NoEndpoint{Cause: routing.NotServed})
 	d.ask(func(now time.Time, r *routing.Router) { choice, err = r.Pick(now, q) })
 	return choice, err
 }
@@ -113,7 +113,7 @@
 
 // Silent implements dispatch.Router.
 func (d *routingDuty) Silent(id fleet.EndpointID) {
-	d.tell(func(now time.Time, r *routing.Router) { d.act(r.Silent(now, id)) })
+	d.tell(func(now time.Time, r *routing.Router) { d.act(r.Stalled(now, id)) })
 }
 
 // DialFailed implements dispatch.Router.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -153,7 +153,7 @@
 	}
 	address, ok := r.d.o.Router.Address(a.endpoint)
 	if !ok {
-		return routing.Choice{}, routing.NoEndpoint{Why: routing.NotServed}
+		return routing.Choice{}, routing.NoEndpoint{Cause: routing.NotServed}
 	}
 	return routing.Choice{Endpoint: a.endpoint, Address: address, PredictedCachedTokens: q.PromptTokens}, nil
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -115,7 +115,7 @@
 
 func (f *fakeDeps) Pick(*routing.Request) (routing.Choice, error) {
 	if f.noEndpoint {
-		return routing.Choice{}, routing.NoEndpoint{Why: routing.NotServed}
+		return routing.Choice{}, routing.NoEndpoint{Cause: routing.NotServed}
 	}
 	c := routing.Choice{Endpoint: "e", Address: "e:1"}
 	if f.overloaded {
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -43,7 +43,7 @@
 			return routing.Choice{Endpoint: e, Address: string(e)}, nil
 		}
 	}
-	return routing.Choice{}, routing.NoEndpoint{Why: routing.NotServed}
+	return routing.Choice{}, routing.NoEndpoint{Cause: routing.NotServed}
 }
 
 // refusingEngines takes connections at the address "alive" alone.
--- a/internal/routing/affinity_test.go
+++ b/internal/routing/affinity_test.go
@@ -10,8 +10,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// busy reports an engine as full on each router.
-func busy(id fleet.EndpointID, routers ...*Router) {
+// reportFull reports an engine as full on each router.
+func reportFull(id fleet.EndpointID, routers ...*Router) {
 	for _, r := range routers {
 		r.ReportLoad(start, id, engineapi.Load{TakenAtMillis: start.UnixMilli(), Running: 64, Queued: 20, Slots: 16})
 	}
@@ -29,7 +29,7 @@
 		assert.NilError(t, err)
 		again, _ := b.Pick(start, q)
 		assert.Equal(t, owner.Endpoint, again.Endpoint)
-		busy(owner.Endpoint, a, b)
+		reportFull(owner.Endpoint, a, b)
 		spill, _ := a.Pick(start, q)
 		assert.Assert(t, spill.Endpoint != owner.Endpoint)
 		assert.Equal(t, spill.Reason, BySpill)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestConversationGrowsWhereItIs(t *testing.T) {
+func TestGrowingConversationStaysOnItsEngine(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(18))
 	whole := prompt(7, 300)
 	first := fleet.EndpointID("")
@@ -59,7 +59,7 @@
 
 // All prompts of an application start with the same long instructions. Keyed
 // by those, every conversation would belong to one engine.
-func TestCommonInstructionsDoNotMakeOneOwner(t *testing.T) {
+func TestSharedInstructionsDoNotMakeOneOwner(t *testing.T) {
 	r := testRouter(1, Config{Policy: PureAffinity}, endpoints(18))
 	shared := simChain(1, 0, 40)
 	for i := range 18 { // everybody has met the instructions
@@ -131,7 +131,7 @@
 // All daemons see the same stale load. If they refused together, the engine
 // would drain and fill in turns; the share that is refused has to grow with
 // the load instead.
-func TestRefusalsGrowWithTheLoad(t *testing.T) {
+func TestShareOfRefusalsGrowsWithLoad(t *testing.T) {
 	refused := func(running int) (n int) {
 		r := testRouter(1, Config{}, endpoints(1))
 		r.ReportLoad(start, "engine-0", engineapi.Load{TakenAtMillis: start.UnixMilli(), Running: running, Slots: 100})
@@ -150,7 +150,7 @@
 	assert.Equal(t, refused(130), 100)
 }
 
-func TestLargerEnginesOwnMore(t *testing.T) {
+func TestEnginesWithMoreSlotsOwnMorePrompts(t *testing.T) {
 	r := testRouter(1, Config{Policy: PureAffinity}, endpoints(2))
 	r.ReportLoad(start, "engine-0", engineapi.Load{TakenAtMillis: start.UnixMilli(), Slots: 30})
 	r.ReportLoad(start, "engine-1", engineapi.Load{TakenAtMillis: start.UnixMilli(), Slots: 10})
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -12,10 +12,10 @@
 
 // attempt is an unfinished attempt, or a place reserved for one.
 type attempt struct {
-	at       int64 // ns
-	first    int64 // ns of the first token; 0 is none yet
-	uncached int   // prompt tokens counted as waiting
-	until    int64 // of a reservation; 0 is a dispatched attempt
+	started    int64 // ns
+	firstToken int64 // ns of the first token; 0 is none yet
+	uncached   int   // prompt tokens counted as waiting
+	expires    int64 // of a reservation; 0 is a dispatched attempt
 }
 
 // Outcome says how an attempt ended.
--- a/internal/routing/baselines.go
+++ b/internal/routing/baselines.go
@@ -3,10 +3,10 @@
 import "math/rand/v2"
 
 // roundRobin takes the members in turn.
-func (s *set) roundRobin(f filter) *endpoint {
+func (s *replicaSet) roundRobin(f filter) *endpoint {
 	for range s.members {
-		s.turn++
-		if e := s.members[s.turn%len(s.members)]; f.ok(e) {
+		s.cursor++
+		if e := s.members[s.cursor%len(s.members)]; f.ok(e) {
 			return e
 		}
 	}
@@ -15,7 +15,7 @@
 
 // leastOutstanding takes the member with the fewest unfinished requests of
 // this daemon, a random one of equals.
-func (s *set) leastOutstanding(f filter, rng *rand.Rand) *endpoint {
+func (s *replicaSet) leastOutstanding(f filter, rng *rand.Rand) *endpoint {
 	var best *endpoint
 	equal := 0
 	for _, e := range s.members {
@@ -39,7 +39,7 @@
 
 // randomOfTwo draws two members and takes the one with fewer unfinished
 // requests of this daemon.
-func (s *set) randomOfTwo(f filter, rng *rand.Rand) *endpoint {
+func (s *replicaSet) randomOfTwo(f filter, rng *rand.Rand) *endpoint {
 	first := s.random(f, rng)
 	second := s.random(f, rng)
 	if first == nil || first.outstanding() <= second.outstanding() {
@@ -49,13 +49,13 @@
 }
 
 // owner takes the first rendezvous choice, whatever its load.
-func (s *set) owner(key uint64, f filter) *endpoint {
+func (s *replicaSet) owner(key uint64, f filter) *endpoint {
 	r := s.rank(key, f.ok)
-	return r.at[0]
+	return r.endpoints[0]
 }
 
 // random draws a member: from a random place the first that passes.
-func (s *set) random(f filter, rng *rand.Rand) *endpoint {
+func (s *replicaSet) random(f filter, rng *rand.Rand) *endpoint {
 	start := rng.IntN(len(s.members))
 	for i := range s.members {
 		if e := s.members[(start+i)%len(s.members)]; f.ok(e) {
--- a/internal/routing/best.go
+++ b/internal/routing/best.go
@@ -7,15 +7,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/scorer"
 )
 
-// draws is the number of random members among the candidates, for load. With
+// randomDraws is the number of random members among the candidates, for load. With
 // the index's matches and the rendezvous choices they are all a pick looks at,
 // whatever the fleet's size.
-const draws = 2
+const randomDraws = 2
 
-// keyBlocks is the least depth, in blocks, of the beginning that decides
+// affinityBlocks is the least depth, in blocks, of the beginning that decides
 // where a prompt belongs, where the prompt is that long. Within 256 tokens
 // most prompts have come to what sets them apart.
-const keyBlocks = 16
+const affinityBlocks = 16
 
 // scratch is reused by every pick, so that none allocates.
 type scratch struct {
@@ -33,7 +33,7 @@
 		return 0
 	}
 	depth := 1
-	for 2*depth <= min(len(q.Blocks), keyBlocks) {
+	for 2*depth <= min(len(q.Blocks), affinityBlocks) {
 		depth *= 2
 	}
 	for 2*depth <= len(q.Blocks) && r.index.Common(q.Blocks[depth-1]) {
@@ -42,11 +42,11 @@
 	return q.Blocks[depth-1]
 }
 
-// best is our policy: candidates from the prefix index, from rendezvous and
+// cheapest is our policy: candidates from the prefix index, from rendezvous and
 // from random draws, priced by the scorers; the cheapest wins. The draws keep
 // a lagging report from sending everybody to the engine that was idle when it
 // was made: few requests look at it at once (Mitzenmacher, 2001).
-func (r *Router) best(now int64, s *set, q *Request, f filter) candidate {
+func (r *Router) cheapest(now int64, s *replicaSet, q *Request, f filter) candidate {
 	r.gather(now, s, q, f)
 	least, at := math.Inf(1), -1
 	for i := range r.scratch.candidates {
@@ -60,20 +60,20 @@
 	return r.scratch.candidates[at]
 }
 
-func (r *Router) gather(now int64, s *set, q *Request, f filter) {
-	r.round++
-	w := &r.scratch
-	w.candidates = w.candidates[:0]
+func (r *Router) gather(now int64, s *replicaSet, q *Request, f filter) {
+	r.picks++
+	sc := &r.scratch
+	sc.candidates = sc.candidates[:0]
 	common := 0
-	w.matches, common = r.index.Lookup(q.Blocks, w.matches[:0])
-	for _, m := range w.matches {
-		e := r.slots[m.Slot]
+	sc.matches, common = r.index.Lookup(q.Blocks, sc.matches[:0])
+	for _, m := range sc.matches {
+		e := r.byHandle[m.Handle]
 		if m.Blocks > common && e != nil && e.usable() && e.in(s) && f.ok(e) {
 			r.addCandidate(now, e, q, m.Blocks, ByCache)
 		}
 	}
 	r.gatherRanked(now, s, q, f, common)
-	for range draws {
+	for range randomDraws {
 		if e := s.random(f, r.rng); e != nil {
 			r.addCandidate(now, e, q, common, ByLoad)
 		}
@@ -85,14 +85,14 @@
 // with bounded loads; Mirrokni, Thorup and Zadimoghaddam, 2016, with the
 // engine's own limits as the bound). When all are, spilling would only add
 // recomputed tokens to the overload, and it is the first again.
-func (r *Router) gatherRanked(now int64, s *set, q *Request, f filter, common int) {
+func (r *Router) gatherRanked(now int64, s *replicaSet, q *Request, f filter, common int) {
 	key := r.affinityKey(q)
 	if key == 0 {
 		return
 	}
 	best := s.rank(key, f.ok)
 	reason := ByOwner
-	for _, e := range best.at[:best.n] {
+	for _, e := range best.endpoints[:best.n] {
 		c := r.addCandidate(now, e, q, common, reason)
 		if !c.overloaded(r.target, 1) {
 			c.agreed = true
@@ -101,48 +101,48 @@
 		reason = BySpill
 	}
 	if best.n > 0 {
-		r.scratch.find(best.at[0]).agreed = true
+		r.scratch.find(best.endpoints[0]).agreed = true
 	}
 }
 
 // addCandidate adds an endpoint once and returns it. Its place may move with
 // the next call.
 func (r *Router) addCandidate(now int64, e *endpoint, q *Request, blocks int, reason Reason) *candidate {
-	w := &r.scratch
-	if e.round == r.round {
-		return w.find(e)
+	sc := &r.scratch
+	if e.lastPick == r.picks {
+		return sc.find(e)
 	}
-	e.round = r.round
-	c := r.foretell(now, e, q, blocks)
+	e.lastPick = r.picks
+	c := r.predict(now, e, q, blocks)
 	c.reason = reason
-	w.candidates = append(w.candidates, c)
-	return &w.candidates[len(w.candidates)-1]
+	sc.candidates = append(sc.candidates, c)
+	return &sc.candidates[len(sc.candidates)-1]
 }
 
-func (w *scratch) find(e *endpoint) *candidate {
-	for i := range w.candidates {
-		if w.candidates[i].endpoint == e {
-			return &w.candidates[i]
+func (sc *scratch) find(e *endpoint) *candidate {
+	for i := range sc.candidates {
+		if sc.candidates[i].endpoint == e {
+			return &sc.candidates[i]
 		}
 	}
 	return nil
 }
 
-func (r *Router) cost(s *set, q *Request, c *candidate) float64 {
+func (r *Router) cost(s *replicaSet, q *Request, c *candidate) float64 {
 	in := scorer.Input{
-		FirstToken: c.first,
-		Target:     r.target.first,
-		Uncached:   float64(q.PromptTokens - c.cached),
-		Answer:     q.MaxTokens,
-		Share:      c.share(),
-		Saving:     s.saving(c.endpoint),
-		Agreed:     c.agreed,
-		Doubtful:   c.endpoint.health.Doubtful(),
+		FirstToken:   c.firstToken,
+		Target:       r.target.firstToken,
+		Uncached:     float64(q.PromptTokens - c.cached),
+		MaxTokens:    q.MaxTokens,
+		Utilisation:  c.utilisation(),
+		Saving:       s.saving(c.endpoint),
+		Agreed:       c.agreed,
+		DialsFailing: c.endpoint.health.DialsFailing(),
 	}
 	return scorer.Cost(r.config.Weights, &in)
 }
 
-func (e *endpoint) in(s *set) bool {
+func (e *endpoint) in(s *replicaSet) bool {
 	for _, have := range e.sets {
 		if have == s {
 			return true
--- a/internal/routing/compare_test.go
+++ b/internal/routing/compare_test.go
@@ -16,14 +16,14 @@
 // The comparison drives the routers of several daemons against engines that
 // batch continuously, in virtual time, without network or daemon.
 const (
-	simSeed    = 5
-	simDaemons = 6
-	simEngines = 18
-	simEnd     = 300 * time.Second
-	simWarm    = 120 * time.Second // earlier arrivals aren't counted
-	simLag     = 5 * time.Second   // of load reports and cache events
-	simLost    = 0.3               // share of cache events
-	simShared  = 4                 // blocks that start every prompt
+	simSeed         = 5
+	simDaemons      = 6
+	simEngines      = 18
+	simEnd          = 300 * time.Second
+	simWarmUp       = 120 * time.Second // earlier arrivals aren't counted
+	simLag          = 5 * time.Second   // of load reports and cache events
+	simLostEvents   = 0.3               // share of cache events
+	simSharedBlocks = 4                 // blocks that start every prompt
 	// simFull is the share of the engines' time that counts as full load: as
 	// steps lengthen towards the target, answers pass it well before 1.
 	simFull = 0.75
@@ -56,12 +56,12 @@
 	for at := time.Duration(0); at < simEnd; at += time.Duration(rng.ExpFloat64() / starts * 1e9) {
 		workspace, serial := rng.IntN(5), uint64(1e6+len(turns))
 		if rng.Float64() < checks*rate/starts {
-			add(at, workspace, simChain(serial, simShared, simShared+rng.IntN(8)), 20+rng.IntN(40))
+			add(at, workspace, simChain(serial, simSharedBlocks, simSharedBlocks+rng.IntN(8)), 20+rng.IntN(40))
 			continue
 		}
 		machine := uint64(rng.IntN(machines))
-		history := simShared + 36 + int(machine)/3
-		chain := append(simChain(machine, simShared, history), simChain(serial, 0, 200)...)
+		history := simSharedBlocks + 36 + int(machine)/3
+		chain := append(simChain(machine, simSharedBlocks, history), simChain(serial, 0, 200)...)
 		length, t := history+4+rng.IntN(12), at
 		for range 1 + rng.IntN(2*meanTurns-1) {
 			answer := 150 + rng.IntN(150)
@@ -105,8 +105,8 @@
 	rate := 0.0
 	for i := range simEngines {
 		c := simClasses[i%2]
-		share := simFull * (1 - c.step/defaultTokenInterval.Seconds()) // of each step
-		rate += float64(len(turns)) * share / (float64(answers)*c.each + float64(fresh)/c.prefill)
+		share := simFull * (1 - c.emptyStep/defaultTokenInterval.Seconds()) // of each step
+		rate += float64(len(turns)) * share / (float64(answers)*c.perRequest + float64(fresh)/c.prefill)
 	}
 	return rate
 }
@@ -131,7 +131,7 @@
 	without := map[string]func(*Config, *scorer.Weights){
 		"nothing":   func(*Config, *scorer.Weights) {},
 		"recompute": func(_ *Config, w *scorer.Weights) { w.Recompute = 0 },
-		"owner":     func(_ *Config, w *scorer.Weights) { w.Owner = 0 },
+		"owner":     func(_ *Config, w *scorer.Weights) { w.AgreedCached = 0 },
 		"wait":      func(_ *Config, w *scorer.Weights) { w.Wait = 0 },
 		"load":      func(_ *Config, w *scorer.Weights) { w.Load = 0 },
 		"price":     func(_ *Config, w *scorer.Weights) { w.Price = 0 },
@@ -157,7 +157,7 @@
 		f.run(turns)
 	}
 	b.ReportMetric(100*float64(f.good)/float64(f.counted), "%within")
-	b.ReportMetric(float64(f.good)/(simEnd-simWarm).Seconds(), "good/s")
+	b.ReportMetric(float64(f.good)/(simEnd-simWarmUp).Seconds(), "good/s")
 	b.ReportMetric(100*float64(f.recomputed)/float64(f.prompt), "%recomputed")
 	b.ReportMetric(1000*f.work/3600/float64(f.good), "work/1k")
 	b.ReportMetric(0, "ns/op")
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -16,28 +16,28 @@
 	TokenInterval time.Duration // target between tokens
 	// IndexBlocks bounds the prefix index; an entry takes 48 bytes.
 	IndexBlocks int
-	// SameRegion and OtherRegion are the round trips assumed to a data centre
+	// SameRegionRTT and OtherRegionRTT are the round trips assumed to a data centre
 	// of this region and of another one.
-	SameRegion, OtherRegion time.Duration
+	SameRegionRTT, OtherRegionRTT time.Duration
 }
 
 // Defaults: the targets are the users' (95 in 100 answers within them).
 const (
-	defaultFirstToken    = 1500 * time.Millisecond
-	defaultTokenInterval = 34 * time.Millisecond
-	defaultIndexBlocks   = 1 << 16 // 3 MB
-	defaultSameRegion    = 2 * time.Millisecond
-	defaultOtherRegion   = 60 * time.Millisecond
+	defaultFirstToken     = 1500 * time.Millisecond
+	defaultTokenInterval  = 34 * time.Millisecond
+	defaultIndexBlocks    = 1 << 16 // 3 MB
+	defaultSameRegionRTT  = 2 * time.Millisecond
+	defaultOtherRegionRTT = 60 * time.Millisecond
 )
 
 // DefaultWeights were found by the comparison in docs/adr/0006-routing.md.
 var DefaultWeights = scorer.Weights{
-	Recompute: 2,
-	Owner:     0.3,
-	Wait:      1000,
-	Load:      2000,
-	Price:     2,
-	Doubt:     20000,
+	Recompute:    2,
+	AgreedCached: 0.3,
+	Wait:         1000,
+	Load:         2000,
+	Price:        2,
+	DialFailure:  20000,
 }
 
 func (c Config) withDefaults() Config {
@@ -48,8 +48,8 @@
 	c.FirstToken = or(c.FirstToken, defaultFirstToken)
 	c.TokenInterval = or(c.TokenInterval, defaultTokenInterval)
 	c.IndexBlocks = or(c.IndexBlocks, defaultIndexBlocks)
-	c.SameRegion = or(c.SameRegion, defaultSameRegion)
-	c.OtherRegion = or(c.OtherRegion, defaultOtherRegion)
+	c.SameRegionRTT = or(c.SameRegionRTT, defaultSameRegionRTT)
+	c.OtherRegionRTT = or(c.OtherRegionRTT, defaultOtherRegionRTT)
 	return c
 }
 
--- a/internal/routing/estimate/engine.go
+++ b/internal/routing/estimate/engine.go
@@ -9,19 +9,19 @@
 	defaultTokenMillis      = 20.0
 )
 
-// reportLife is the age past which a report says nothing about the present.
-const reportLife = int64(60e9)
+// maxReportAge is the age past which a report says nothing about the present.
+const maxReportAge = int64(60e9)
 
 // Engine is the estimate of one engine's load. The zero value is an engine
 // that is idle as far as anyone knows.
 type Engine struct {
 	report   engineapi.Load
-	takenAt  int64 // 0 before the first report
-	others   Own   // requests of other daemons when the report was taken
-	usual    usual // of others
-	own      Own
+	takenAt  int64       // 0 before the first report
+	others   Outstanding // requests of other daemons when the report was taken
+	average  average     // of others
+	own      Outstanding
 	history  history
-	reserved Own // moves that were promised a place
+	reserved Outstanding // moves that were promised a place
 }
 
 // View is the estimate at one moment.
@@ -29,7 +29,7 @@
 	Requests      float64 // running and waiting, all daemons
 	WaitingTokens float64 // uncached prompt tokens that nobody has prefilled yet
 	Slots         float64 // requests that run at once
-	Prefill       float64 // tokens a second
+	PrefillRate   float64 // tokens a second
 	TokenSeconds  float64 // between tokens, as reported
 }
 
@@ -41,11 +41,11 @@
 	}
 	e.report, e.takenAt = load, at
 	own := e.history.at(at)
-	e.others = Own{
+	e.others = Outstanding{
 		Requests:      max(0, load.Running+load.Queued-own.Requests),
 		WaitingTokens: max(0, load.QueuedPromptTokens-own.WaitingTokens),
 	}
-	e.usual.add(at, e.others)
+	e.average.add(at, e.others)
 }
 
 // Dispatched counts a request of this daemon.
@@ -81,13 +81,13 @@
 }
 
 // Own returns this daemon's unfinished requests.
-func (e *Engine) Own() Own { return e.own }
+func (e *Engine) Own() Outstanding { return e.own }
 
 // Slots returns the requests that run at once.
 func (e *Engine) Slots() float64 { return positive(float64(e.report.Slots), defaultSlots) }
 
-// Prefill returns the prompt tokens computed in a second.
-func (e *Engine) Prefill() float64 {
+// PrefillRate returns the prompt tokens computed in a second.
+func (e *Engine) PrefillRate() float64 {
 	return positive(float64(e.report.PrefillPerSecond), defaultPrefillPerSecond)
 }
 
@@ -97,15 +97,15 @@
 		Requests:      float64(e.own.Requests + e.reserved.Requests),
 		WaitingTokens: float64(e.own.WaitingTokens + e.reserved.WaitingTokens),
 		Slots:         e.Slots(),
-		Prefill:       e.Prefill(),
+		PrefillRate:   e.PrefillRate(),
 		TokenSeconds:  positive(e.report.TokenMillis, defaultTokenMillis) / 1000,
 	}
 	age := max(0, now-e.takenAt)
-	if e.takenAt == 0 || age > reportLife {
+	if e.takenAt == 0 || age > maxReportAge {
 		return v
 	}
-	v.Requests += e.usual.requests.expect(float64(e.others.Requests), age)
-	v.WaitingTokens += e.usual.waiting.expect(float64(e.others.WaitingTokens), age)
+	v.Requests += e.average.requests.expect(float64(e.others.Requests), age)
+	v.WaitingTokens += e.average.waiting.expect(float64(e.others.WaitingTokens), age)
 	return v
 }
 
--- a/internal/routing/estimate/engine_test.go
+++ b/internal/routing/estimate/engine_test.go
@@ -13,7 +13,7 @@
 // A daemon sends three requests, of which the report, five seconds late, had
 // seen two. Counted twice, the engine would look fuller than it is; left out,
 // emptier.
-func TestOwnRequestsCountOnce(t *testing.T) {
+func TestOwnRequestsAreCountedOnce(t *testing.T) {
 	var e Engine
 	e.Dispatched(100*second, 500)
 	e.Dispatched(101*second, 500)
@@ -31,7 +31,7 @@
 
 // A report says that the engine is idle, but it usually isn't: by the time the
 // report arrives, that moment is gone.
-func TestOldReportFadesIntoWhatIsUsual(t *testing.T) {
+func TestOldReportConvergesToAverage(t *testing.T) {
 	var e Engine
 	for at := int64(1); at <= 60; at++ {
 		e.Report(engineapi.Load{TakenAtMillis: at * 1000, Running: 20})
@@ -43,14 +43,14 @@
 }
 
 func TestFirstToken(t *testing.T) {
-	v := View{Requests: 10, WaitingTokens: 2000, Slots: 16, Prefill: 1000, TokenSeconds: 0.02}
-	assert.Equal(t, v.FirstToken(Request{Uncached: 500, Answer: 4}), 2.52)
+	v := View{Requests: 10, WaitingTokens: 2000, Slots: 16, PrefillRate: 1000, TokenSeconds: 0.02}
+	assert.Equal(t, v.FirstToken(Request{Uncached: 500, Decode: 4}), 2.52)
 	v.Requests = 19 // and this one: four more than there are places
-	assert.Equal(t, v.FirstToken(Request{Uncached: 500, Answer: 4}), 3.52)
+	assert.Equal(t, v.FirstToken(Request{Uncached: 500, Decode: 4}), 3.52)
 }
 
-func TestPaceLimit(t *testing.T) {
-	var p Pace
+func TestTokenLatencyLimit(t *testing.T) {
+	var p TokenLatency
 	assert.Equal(t, p.Limit(0.034, 64), 64.0)
 	for i := range 500 {
 		running := 5 + i%20
--- a/internal/routing/estimate/own.go
+++ b/internal/routing/estimate/outstanding.go
@@ -1,7 +1,7 @@
 package estimate
 
-// Own counts this daemon's unfinished requests at one engine.
-type Own struct {
+// Outstanding counts this daemon's unfinished requests at one engine.
+type Outstanding struct {
 	Requests      int // dispatched and not finished
 	WaitingTokens int // uncached prompt tokens of those without a first token
 }
@@ -16,7 +16,7 @@
 
 type sample struct {
 	at  int64
-	own Own
+	own Outstanding
 }
 
 // history keeps what Own was in the recent past, one sample a step.
@@ -26,7 +26,7 @@
 }
 
 // add records own as it is from now on.
-func (h *history) add(now int64, own Own) {
+func (h *history) add(now int64, own Outstanding) {
 	last := &h.ring[(h.next+historyLen-1)%historyLen]
 	if last.at != 0 && now/historyStep == last.at/historyStep {
 		last.own = own
@@ -37,12 +37,12 @@
 }
 
 // at returns what Own was at a time, zero before the oldest sample.
-func (h *history) at(t int64) Own {
+func (h *history) at(t int64) Outstanding {
 	for i := 1; i <= historyLen; i++ {
 		s := &h.ring[(int(h.next)+historyLen-i)%historyLen]
 		if s.at != 0 && s.at <= t {
 			return s.own
 		}
 	}
-	return Own{}
+	return Outstanding{}
 }
--- a/internal/routing/health/health.go
+++ b/internal/routing/health/health.go
@@ -11,14 +11,14 @@
 	// ejectAfter failures of new connections in a row eject: one can be a
 	// lost packet or a listener's full backlog.
 	ejectAfter = 2
-	// firstProbe and lastProbe bound the time between probes of an ejected
+	// minProbeInterval and lastProbe bound the time between probes of an ejected
 	// endpoint; it doubles from one to the other, so that a dead one costs a
 	// connection every 8 s and a returning one waits no longer than that.
-	firstProbe = 500 * time.Millisecond
-	lastProbe  = 8 * time.Second
-	// progressProof: an endpoint whose streams made progress this recently is
+	minProbeInterval = 500 * time.Millisecond
+	maxProbeInterval = 8 * time.Second
+	// progressWindow: an endpoint whose streams made progress this recently is
 	// alive; failing dials then are the daemon's own trouble (no free ports).
-	progressProof = 2 * time.Second
+	progressWindow = 2 * time.Second
 )
 
 // State is an endpoint's health.
@@ -41,11 +41,11 @@
 // Tracker is the health of one endpoint. The zero value is healthy. Times are
 // nanoseconds of one clock.
 type Tracker struct {
-	state    State
-	failures uint8 // of new connections, in a row
-	progress int64 // last byte received
-	probeAt  int64 // when the next probe is due; 0 is none
-	backoff  time.Duration
+	state        State
+	failures     uint8 // of new connections, in a row
+	lastProgress int64 // last byte received
+	probeAt      int64 // when the next probe is due; 0 is none
+	backoff      time.Duration
 }
 
 // State returns the current state.
@@ -54,15 +54,15 @@
 // Usable reports whether the endpoint may receive requests.
 func (t *Tracker) Usable() bool { return t.state != Ejected }
 
-// Doubtful reports whether new connections failed lately.
-func (t *Tracker) Doubtful() bool { return t.failures > 0 || t.state == Failing }
+// DialsFailing reports whether new connections failed lately.
+func (t *Tracker) DialsFailing() bool { return t.failures > 0 || t.state == Failing }
 
 // Progress notes a byte received from the endpoint.
-func (t *Tracker) Progress(now int64) { t.progress = now }
+func (t *Tracker) Progress(now int64) { t.lastProgress = now }
 
-// Silent notes that an open connection stopped making progress. It reports
+// Stalled notes that an open connection stopped making progress. It reports
 // whether a probe on a new connection is to be made now.
-func (t *Tracker) Silent(now int64) (probe bool) {
+func (t *Tracker) Stalled(now int64) (probe bool) {
 	if t.state != Healthy {
 		return false
 	}
@@ -96,7 +96,7 @@
 // the endpoint comes back into use by this.
 func (t *Tracker) Connected() (restored bool) {
 	restored = t.state == Ejected
-	*t = Tracker{progress: t.progress}
+	*t = Tracker{lastProgress: t.lastProgress}
 	return restored
 }
 
@@ -118,14 +118,14 @@
 }
 
 func (t *Tracker) progressing(now int64) bool {
-	return t.progress != 0 && now-t.progress < int64(progressProof)
+	return t.lastProgress != 0 && now-t.lastProgress < int64(progressWindow)
 }
 
 // schedule plans the next probe, doubling the wait up to lastProbe.
 func (t *Tracker) schedule(now int64) {
 	if t.backoff == 0 {
-		t.backoff = firstProbe / 2
+		t.backoff = minProbeInterval / 2
 	}
-	t.backoff = min(2*t.backoff, lastProbe)
+	t.backoff = min(2*t.backoff, maxProbeInterval)
 	t.probeAt = now + int64(t.backoff)
 }
--- a/internal/routing/health/health_test.go
+++ b/internal/routing/health/health_test.go
@@ -15,7 +15,7 @@
 	assert.Assert(t, !MayEject(5, 10))
 }
 
-func TestProbesBackOffAndStopWhenConnected(t *testing.T) {
+func TestProbesBackOffAndStopOnceConnected(t *testing.T) {
 	var h Tracker
 	h.DialFailed(0, true)
 	assert.Assert(t, h.DialFailed(0, true))
@@ -30,11 +30,11 @@
 	assert.Assert(t, !h.ProbeDue(int64(time.Hour)))
 }
 
-func TestFailingStaysInUseWhenItCannotBeSpared(t *testing.T) {
+func TestFailingEndpointStaysInUseWhileItMayNotBeEjected(t *testing.T) {
 	var h Tracker
 	h.DialFailed(0, false)
 	assert.Assert(t, !h.DialFailed(0, false))
 	assert.Equal(t, h.State(), Failing)
-	assert.Assert(t, h.Usable() && h.Doubtful())
+	assert.Assert(t, h.Usable() && h.DialsFailing())
 	assert.Assert(t, h.DialFailed(0, true))
 }
--- a/internal/routing/health_events.go
+++ b/internal/routing/health_events.go
@@ -23,11 +23,11 @@
 	r.stale = true
 }
 
-// Silent says that an open connection to the endpoint stopped making
+// Stalled says that an open connection to the endpoint stopped making
 // progress. The answer may be a probe on a new connection.
-func (r *Router) Silent(now time.Time, id fleet.EndpointID) Action {
+func (r *Router) Stalled(now time.Time, id fleet.EndpointID) Action {
 	e := r.endpoints[id]
-	if e == nil || !e.health.Silent(now.UnixNano()) {
+	if e == nil || !e.health.Stalled(now.UnixNano()) {
 		return Action{}
 	}
 	return e.action(Probe)
@@ -57,8 +57,8 @@
 	return e.action(Restore)
 }
 
-// Token says that a byte came from the endpoint, which proves it alive.
-func (r *Router) Token(now time.Time, id fleet.EndpointID) {
+// Progress says that a byte came from the endpoint, which proves it alive.
+func (r *Router) Progress(now time.Time, id fleet.EndpointID) {
 	if e := r.endpoints[id]; e != nil {
 		e.health.Progress(now.UnixNano())
 	}
@@ -66,7 +66,7 @@
 
 // Probes appends the probes that are due. Call it a few times a second.
 func (r *Router) Probes(now time.Time, dst []Action) []Action {
-	for _, e := range r.slots {
+	for _, e := range r.byHandle {
 		if e != nil && e.health.ProbeDue(now.UnixNano()) {
 			dst = append(dst, e.action(Probe))
 		}
@@ -88,7 +88,7 @@
 // those present ejected. It reports whether any was.
 func (r *Router) reinstate() bool {
 	changed := false
-	for _, e := range r.slots {
+	for _, e := range r.byHandle {
 		if e == nil || e.leaving || e.health.State() != health.Ejected || !e.overEjected() {
 			continue
 		}
--- a/internal/routing/health_events_test.go
+++ b/internal/routing/health_events_test.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-func fail(r *Router, now time.Time, id fleet.EndpointID) Action {
+func failTwoDials(r *Router, now time.Time, id fleet.EndpointID) Action {
 	r.DialFailed(now, id)
 	return r.DialFailed(now, id)
 }
@@ -17,19 +17,19 @@
 // Open connections to an endpoint go silent for good while new ones work.
 // Ejected for that, a healthy engine would leave the set; instead it is
 // probed, and goes on receiving.
-func TestSilenceAloneProbesAndNeverEjects(t *testing.T) {
+func TestStalledConnectionProbesWithoutEjecting(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(1))
-	assert.Equal(t, r.Silent(start, "engine-0").Kind, Probe)
-	assert.Equal(t, r.Silent(start, "engine-0").Kind, NoAction)
+	assert.Equal(t, r.Stalled(start, "engine-0").Kind, Probe)
+	assert.Equal(t, r.Stalled(start, "engine-0").Kind, NoAction)
 	_, err := r.Pick(start, prompt(1, 4))
 	assert.NilError(t, err)
 	assert.Equal(t, r.ProbeOK(start, "engine-0").Kind, NoAction)
-	assert.Equal(t, r.Silent(start, "engine-0").Kind, Probe)
+	assert.Equal(t, r.Stalled(start, "engine-0").Kind, Probe)
 }
 
-func TestEjectedComesBackAfterProbe(t *testing.T) {
+func TestSuccessfulProbeRestoresEjectedEndpoint(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(2))
-	assert.Equal(t, fail(r, start, "engine-0").Kind, Eject)
+	assert.Equal(t, failTwoDials(r, start, "engine-0").Kind, Eject)
 	for seed := range uint64(20) {
 		c, err := r.Pick(start, prompt(seed, 20))
 		assert.NilError(t, err)
@@ -50,7 +50,7 @@
 	r := testRouter(1, Config{}, list)
 	ejected := 0
 	for _, e := range list[:9] {
-		if fail(r, start, e.ID).Kind == Eject {
+		if failTwoDials(r, start, e.ID).Kind == Eject {
 			ejected++
 		}
 	}
@@ -69,12 +69,12 @@
 // streams go on. That says nothing about the endpoint.
 func TestProgressingEndpointIsNotEjected(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(4))
-	r.Token(start, "engine-0")
-	assert.Equal(t, fail(r, start.Add(time.Second), "engine-0").Kind, NoAction)
+	r.Progress(start, "engine-0")
+	assert.Equal(t, failTwoDials(r, start.Add(time.Second), "engine-0").Kind, NoAction)
 	assert.Equal(t, r.DialFailed(start.Add(time.Minute), "engine-0").Kind, Eject)
 }
 
-func TestDoubtfulEndpointIsPassedOver(t *testing.T) {
+func TestEndpointWithFailedDialIsNotChosen(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(8))
 	q := prompt(1, 40)
 	owner, _ := r.Pick(start, q)
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -3,8 +3,8 @@
 // latencyGain is the weight of the newest answer.
 const latencyGain = 0.2
 
-// defaultAnswer is the time of an answer, in seconds, before one was seen.
-const defaultAnswer = 5.0
+// defaultDecodeSeconds is the time of an answer, in seconds, before one was seen.
+const defaultDecodeSeconds = 5.0
 
 // latency is a moving average of answer times in seconds.
 type latency struct {
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -26,14 +26,14 @@
 func (r *Router) put(now int64, info fleet.Endpoint) {
 	e := r.endpoints[info.ID]
 	if e == nil {
-		e = newEndpoint(info, r.takeSlot())
-		r.slots[e.slot] = e
+		e = newEndpoint(info, r.takeHandle())
+		r.byHandle[e.handle] = e
 		r.endpoints[info.ID] = e
 	}
 	e.info = info
 	e.listed = r.generation
-	e.distance = r.distance(info)
-	e.pace = r.class(info.Class)
+	e.rtt = r.rtt(info)
+	e.tokenLatency = r.tokenLatency(info.Class)
 	if info.State == fleet.Leaving {
 		r.notices.add(now, info.ID)
 	}
@@ -47,37 +47,37 @@
 			delete(r.attempts, key)
 		}
 	}
-	r.index.Forget(e.slot)
-	r.slots[e.slot] = nil
-	r.free = append(r.free, e.slot)
+	r.index.Forget(e.handle)
+	r.byHandle[e.handle] = nil
+	r.freeHandles = append(r.freeHandles, e.handle)
 }
 
-func (r *Router) takeSlot() uint32 {
-	if n := len(r.free); n > 0 {
-		slot := r.free[n-1]
-		r.free = r.free[:n-1]
-		return slot
+func (r *Router) takeHandle() uint32 {
+	if n := len(r.freeHandles); n > 0 {
+		handle := r.freeHandles[n-1]
+		r.freeHandles = r.freeHandles[:n-1]
+		return handle
 	}
-	r.slots = append(r.slots, nil)
-	return uint32(len(r.slots) - 1)
+	r.byHandle = append(r.byHandle, nil)
+	return uint32(len(r.byHandle) - 1)
 }
 
-// distance returns the round trip to the endpoint in seconds.
-func (r *Router) distance(info fleet.Endpoint) float64 {
+// rtt returns the round trip to the endpoint in seconds.
+func (r *Router) rtt(info fleet.Endpoint) float64 {
 	switch {
 	case info.DataCentre == r.self:
 		return 0
 	case info.Region == r.config.Region:
-		return r.config.SameRegion.Seconds()
+		return r.config.SameRegionRTT.Seconds()
 	default:
-		return r.config.OtherRegion.Seconds()
+		return r.config.OtherRegionRTT.Seconds()
 	}
 }
 
-func (r *Router) class(name string) *estimate.Pace {
+func (r *Router) tokenLatency(name string) *estimate.TokenLatency {
 	p := r.classes[name]
 	if p == nil {
-		p = &estimate.Pace{}
+		p = &estimate.TokenLatency{}
 		r.classes[name] = p
 	}
 	return p
@@ -86,8 +86,8 @@
 // regroup says anew which sets each endpoint belongs to.
 func (r *Router) regroup() {
 	old := r.sets
-	r.sets = make(map[setKey]*set, len(old))
-	for _, e := range r.slots {
+	r.sets = make(map[setKey]*replicaSet, len(old))
+	for _, e := range r.byHandle {
 		if e == nil {
 			continue
 		}
@@ -106,12 +106,12 @@
 }
 
 // join adds the endpoint to a set, once.
-func (r *Router) join(e *endpoint, key setKey, old map[setKey]*set) {
+func (r *Router) join(e *endpoint, key setKey, old map[setKey]*replicaSet) {
 	s := r.sets[key]
 	if s == nil {
 		s = old[key]
 		if s == nil {
-			s = &set{}
+			s = &replicaSet{}
 		}
 		r.sets[key] = s
 	}
@@ -140,7 +140,7 @@
 	for _, s := range r.sets {
 		s.reset()
 	}
-	for _, e := range r.slots {
+	for _, e := range r.byHandle {
 		if e == nil {
 			continue
 		}
--- a/internal/routing/load_events.go
+++ b/internal/routing/load_events.go
@@ -13,13 +13,13 @@
 	if e == nil {
 		return
 	}
-	slots, prefill := e.load.Slots(), e.load.Prefill()
+	slots, prefill := e.load.Slots(), e.load.PrefillRate()
 	e.load.Report(load)
-	if slots != e.load.Slots() || prefill != e.load.Prefill() {
+	if slots != e.load.Slots() || prefill != e.load.PrefillRate() {
 		r.stale = true // ranks and prices rest on them
 	}
-	e.pace.Add(load.Running, load.TokenMillis/1000)
-	r.index.SetCapacity(e.slot, load.CacheBlocks)
+	e.tokenLatency.Add(load.Running, load.TokenMillis/1000)
+	r.index.SetCapacity(e.handle, load.CacheBlocks)
 }
 
 // ReportCache takes in a page of an engine's cache events, late and with
@@ -32,7 +32,7 @@
 		return
 	}
 	if page.Next < e.nextSeq {
-		r.index.Forget(e.slot)
+		r.index.Forget(e.handle)
 		e.nextSeq = 0
 	}
 	for _, event := range page.Events {
@@ -48,9 +48,9 @@
 	r.skipTo(e, event.Seq)
 	e.nextSeq = event.Seq + 1
 	if event.Stored {
-		r.index.Store(e.slot, event.Hash)
+		r.index.Store(e.handle, event.Hash)
 	} else {
-		r.index.Evicted(e.slot, event.Hash)
+		r.index.Evicted(e.handle, event.Hash)
 	}
 }
 
@@ -58,7 +58,7 @@
 // isn't counted.
 func (r *Router) skipTo(e *endpoint, seq uint64) {
 	if e.nextSeq != 0 && seq > e.nextSeq {
-		r.index.Lost(e.slot, seq-e.nextSeq)
+		r.index.Lost(e.handle, seq-e.nextSeq)
 	}
 	e.nextSeq = max(e.nextSeq, seq)
 }
@@ -73,12 +73,12 @@
 	r.end(now.UnixNano(), key) // a reservation, or the same attempt told twice
 	uncached := max(0, q.PromptTokens-c.PredictedCachedTokens)
 	r.attempts[key] = attempt{
-		at:       now.UnixNano(),
+		started:  now.UnixNano(),
 		uncached: uncached,
 	}
 	e.load.Dispatched(now.UnixNano(), uncached)
 	for _, hash := range q.Blocks {
-		r.index.Store(e.slot, hash)
+		r.index.Store(e.handle, hash)
 	}
 }
 
@@ -87,13 +87,13 @@
 	e := r.endpoints[id]
 	key := attemptKey{endpoint: id, request: req}
 	a, ok := r.attempts[key]
-	if e == nil || !ok || a.first != 0 || a.until != 0 {
+	if e == nil || !ok || a.firstToken != 0 || a.expires != 0 {
 		return
 	}
 	at := now.UnixNano()
 	e.load.Prefilled(at, a.uncached)
 	e.health.Progress(at)
-	a.first, a.uncached = at, 0
+	a.firstToken, a.uncached = at, 0
 	r.attempts[key] = a
 }
 
@@ -106,10 +106,10 @@
 	}
 	e := r.endpoints[id]
 	if e != nil {
-		e.latency.add(seconds(now.UnixNano() - a.at))
+		e.latency.add(seconds(now.UnixNano() - a.started))
 	}
-	if a.first != 0 {
-		r.answer.add(seconds(now.UnixNano() - a.first))
+	if a.firstToken != 0 {
+		r.decode.add(seconds(now.UnixNano() - a.firstToken))
 	}
 }
 
@@ -123,7 +123,7 @@
 	e := r.endpoints[key.endpoint]
 	switch {
 	case e == nil:
-	case a.until != 0:
+	case a.expires != 0:
 		e.load.Release(a.uncached)
 	default:
 		e.load.Finished(now, a.uncached)
--- a/internal/routing/notices.go
+++ b/internal/routing/notices.go
@@ -6,9 +6,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// noticeLife is how long a notice is remembered after the endpoint's list
+// noticeTTL is how long a notice is remembered after the endpoint's list
 // entry went: longer than any lag of the instance list.
-const noticeLife = 10 * time.Minute
+const noticeTTL = 10 * time.Minute
 
 // notices remembers which endpoints are under notice, by the time at which
 // that may be forgotten (ns). The instance list lags: it names an endpoint as
@@ -18,7 +18,7 @@
 type notices map[fleet.EndpointID]int64
 
 func (n notices) add(now int64, id fleet.EndpointID) {
-	n[id] = now + int64(noticeLife)
+	n[id] = now + int64(noticeTTL)
 }
 
 func (n notices) has(id fleet.EndpointID) bool {
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -11,41 +11,41 @@
 	r.expire(now.UnixNano())
 	s := r.sets[setKey{model: q.Model, service: q.Service}]
 	if s == nil {
-		return Choice{}, NoEndpoint{Why: NotServed}
+		return Choice{}, NoEndpoint{Cause: NotServed}
 	}
 	if len(s.members) == 0 {
-		return Choice{}, NoEndpoint{Why: AllLeaving}
+		return Choice{}, NoEndpoint{Cause: AllLeaving}
 	}
 	c := r.choose(now.UnixNano(), s, q)
 	if c.endpoint == nil {
-		return Choice{}, NoEndpoint{Why: AllTried}
+		return Choice{}, NoEndpoint{Cause: AllTried}
 	}
 	return c.choice(c.overloaded(r.target, r.refusalSlack())), nil
 }
 
 // choose runs the policy; the data centre to avoid is used when there is no
 // other way.
-func (r *Router) choose(now int64, s *set, q *Request) candidate {
+func (r *Router) choose(now int64, s *replicaSet, q *Request) candidate {
 	f := filter{request: q, avoid: q.Avoid}
-	c := r.policy(now, s, q, f)
+	c := r.applyPolicy(now, s, q, f)
 	if c.endpoint == nil && q.Avoid != "" {
 		f.avoid = ""
-		c = r.policy(now, s, q, f)
+		c = r.applyPolicy(now, s, q, f)
 	}
 	return c
 }
 
-func (r *Router) policy(now int64, s *set, q *Request, f filter) candidate {
+func (r *Router) applyPolicy(now int64, s *replicaSet, q *Request, f filter) candidate {
 	switch r.config.Policy {
 	case RoundRobin:
-		return r.plain(now, s, q, s.roundRobin(f))
+		return r.baseline(now, s, q, s.roundRobin(f))
 	case LeastOutstanding:
-		return r.plain(now, s, q, s.leastOutstanding(f, r.rng))
+		return r.baseline(now, s, q, s.leastOutstanding(f, r.rng))
 	case RandomOfTwo:
-		return r.plain(now, s, q, s.randomOfTwo(f, r.rng))
+		return r.baseline(now, s, q, s.randomOfTwo(f, r.rng))
 	case PureAffinity:
-		return r.plain(now, s, q, s.owner(r.affinityKey(q), f))
+		return r.baseline(now, s, q, s.owner(r.affinityKey(q), f))
 	default:
-		return r.best(now, s, q, f)
+		return r.cheapest(now, s, q, f)
 	}
 }
--- a/internal/routing/pick_test.go
+++ b/internal/routing/pick_test.go
@@ -16,25 +16,25 @@
 	list[3].Kind, list[3].Service, list[3].Models = fleet.ServiceEndpoint, "parts", nil
 	cane := fleet.ModelRef{Model: "m", Adapter: "cane"}
 	tests := map[string]struct {
-		q    Request
-		want fleet.EndpointID
-		why  Why
+		q     Request
+		want  fleet.EndpointID
+		cause Cause
 	}{
 		"model":           {q: Request{Model: testModel}, want: "engine-0"},
 		"adapter":         {q: Request{Model: cane}, want: "engine-1"},
 		"version":         {q: Request{Model: fleet.ModelRef{Model: "m", Adapter: "cane", Version: "2"}}, want: "engine-1"},
-		"another version": {q: Request{Model: fleet.ModelRef{Model: "m", Adapter: "cane", Version: "1"}}, why: NotServed},
+		"another version": {q: Request{Model: fleet.ModelRef{Model: "m", Adapter: "cane", Version: "1"}}, cause: NotServed},
 		"service":         {q: Request{Service: "parts"}, want: "engine-3"},
-		"unknown":         {q: Request{Service: "notices"}, why: NotServed},
-		"tried":           {q: Request{Model: testModel, Exclude: []fleet.EndpointID{"engine-0"}}, why: AllTried},
+		"unknown":         {q: Request{Service: "notices"}, cause: NotServed},
+		"tried":           {q: Request{Model: testModel, Exclude: []fleet.EndpointID{"engine-0"}}, cause: AllTried},
 		"avoided":         {q: Request{Model: testModel, Avoid: "dc-0"}, want: "engine-0"},
 	}
 	for name, test := range tests {
 		for _, policy := range Policies {
 			t.Run(name+"/"+string(policy), func(t *testing.T) {
 				c, err := testRouter(1, Config{Policy: policy}, list).Pick(start, &test.q)
-				if test.why != 0 {
-					assert.ErrorIs(t, err, NoEndpoint{Why: test.why})
+				if test.cause != 0 {
+					assert.ErrorIs(t, err, NoEndpoint{Cause: test.cause})
 					return
 				}
 				assert.NilError(t, err)
@@ -59,7 +59,7 @@
 // vanishes with it when (1) a notice comes, (2) a list made before it still
 // says live, (3) another answer omits the endpoint and a third, older one
 // names it again. Ids are never reused, so the notice holds throughout.
-func TestNoticeHoldsWhateverTheListSays(t *testing.T) {
+func TestNoticeOverridesStaleLists(t *testing.T) {
 	list := endpoints(2)
 	r := testRouter(1, Config{}, list)
 	r.Notice(start, "engine-0", start.Add(30*time.Second))
@@ -74,7 +74,7 @@
 	}
 	r.Notice(start, "engine-1", time.Time{})
 	_, err := r.Pick(start, prompt(1, 20))
-	assert.ErrorIs(t, err, NoEndpoint{Why: AllLeaving})
+	assert.ErrorIs(t, err, NoEndpoint{Cause: AllLeaving})
 }
 
 func TestPickAllocatesNothing(t *testing.T) {
@@ -109,7 +109,7 @@
 		assert.Assert(t, !c.Overloaded)
 		r.Dispatched(start, c.Endpoint, q, c)
 	}
-	for _, e := range r.slots {
+	for _, e := range r.byHandle {
 		assert.Assert(t, e.outstanding() >= 17 && e.outstanding() <= 23, "%d of 60", e.outstanding())
 	}
 }
--- a/internal/routing/prefix/index.go
+++ b/internal/routing/prefix/index.go
@@ -7,32 +7,32 @@
 	// ways is the number of entries that share a bucket; the least recently
 	// used of them is replaced.
 	ways = 4
-	// holders is the number of engines remembered for one block. A block that
+	// maxHolders is the number of engines remembered for one block. A block that
 	// more engines hold is the start of everybody's prompt and costs little
 	// to recompute.
-	holders = 4
+	maxHolders = 4
 	// DefaultCacheBlocks is an engine's assumed capacity until it reports one.
 	DefaultCacheBlocks = 4096
 )
 
 // Match says that an engine is believed to hold a prompt's leading blocks.
 type Match struct {
-	Slot   uint32 // the engine's number, as given to Store
+	Handle uint32 // the engine's number, as given to Store
 	Blocks int    // leading blocks held
 }
 
 // holder is one engine's copy of a block. stamp is the engine's clock when
 // the block was last used there.
 type holder struct {
-	slot  uint32
-	stamp uint32
+	handle uint32
+	stamp  uint32
 }
 
 type entry struct {
-	hash  uint64
-	used  uint32 // the index's clock at the last use
-	count uint32 // holders in use
-	held  [holders]holder
+	hash    uint64
+	used    uint32 // the index's clock at the last use
+	count   uint32 // holders in use
+	holders [maxHolders]holder
 }
 
 // engine tracks how many blocks entered an engine's cache. An engine evicts
@@ -65,9 +65,9 @@
 }
 
 // SetCapacity tells how many blocks the engine's cache holds.
-func (x *Index) SetCapacity(slot uint32, blocks int) {
+func (x *Index) SetCapacity(handle uint32, blocks int) {
 	if blocks > 0 {
-		x.engine(slot).capacity = uint32(blocks)
+		x.engine(handle).capacity = uint32(blocks)
 	}
 }
 
@@ -78,39 +78,39 @@
 
 // Forget drops all knowledge of an engine: its cache is lost, or its slot is
 // about to be reused.
-func (x *Index) Forget(slot uint32) { x.engine(slot).clock += forgetGap }
+func (x *Index) Forget(handle uint32) { x.engine(handle).clock += forgetGap }
 
 // Store notes that the engine holds the block, or used it just now.
-func (x *Index) Store(slot uint32, hash uint64) {
-	g := x.engine(slot)
+func (x *Index) Store(handle uint32, hash uint64) {
+	g := x.engine(handle)
 	x.clock++
 	e := x.insert(hash)
 	e.used = x.clock
-	for i := range e.held[:e.count] {
-		if e.held[i].slot == slot {
-			e.held[i].stamp = g.clock
+	for i := range e.holders[:e.count] {
+		if e.holders[i].handle == handle {
+			e.holders[i].stamp = g.clock
 			return
 		}
 	}
 	g.clock++
-	x.addHolder(e, holder{slot: slot, stamp: g.clock})
+	x.addHolder(e, holder{handle: handle, stamp: g.clock})
 }
 
 // Evicted notes an engine's word that it dropped the block. Events are late:
 // one about a block that was used there lately is older than that use, since
 // an engine drops its least recently used blocks, and is ignored; otherwise
 // the warm engine of a running conversation would look cold.
-func (x *Index) Evicted(slot uint32, hash uint64) {
+func (x *Index) Evicted(handle uint32, hash uint64) {
 	e := x.find(hash)
 	if e == nil {
 		return
 	}
-	g := x.engine(slot)
-	for i := range e.held[:e.count] {
-		if e.held[i].slot != slot {
+	g := x.engine(handle)
+	for i := range e.holders[:e.count] {
+		if e.holders[i].handle != handle {
 			continue
 		}
-		if g.clock-e.held[i].stamp >= g.capacity/2 {
+		if g.clock-e.holders[i].stamp >= g.capacity/2 {
 			e.removeHolder(i)
 		}
 		return
@@ -119,8 +119,8 @@
 
 // Lost notes that events of the engine went missing: about half of them were
 // blocks stored, each of which pushed out an older one.
-func (x *Index) Lost(slot uint32, events uint64) {
-	g := x.engine(slot)
+func (x *Index) Lost(handle uint32, events uint64) {
+	g := x.engine(handle)
 	g.clock += uint32(min(events/2, uint64(g.capacity)+1))
 }
 
@@ -158,40 +158,40 @@
 // addHolder adds h, in place of the holder that is nearest to eviction when
 // all places are taken.
 func (x *Index) addHolder(e *entry, h holder) {
-	if int(e.count) < len(e.held) {
-		e.held[e.count] = h
+	if int(e.count) < len(e.holders) {
+		e.holders[e.count] = h
 		e.count++
 		return
 	}
 	oldest := 0
-	for i := range e.held {
-		if x.age(e.held[i]) > x.age(e.held[oldest]) {
+	for i := range e.holders {
+		if x.age(e.holders[i]) > x.age(e.holders[oldest]) {
 			oldest = i
 		}
 	}
-	e.held[oldest] = h
+	e.holders[oldest] = h
 }
 
 func (e *entry) removeHolder(i int) {
 	e.count--
-	e.held[i] = e.held[e.count]
+	e.holders[i] = e.holders[e.count]
 }
 
 // age is the share of the engine's cache that was replaced since the last
 // use, in thousandths.
 func (x *Index) age(h holder) uint64 {
-	g := x.engine(h.slot)
+	g := x.engine(h.handle)
 	return uint64(g.clock-h.stamp) * 1000 / uint64(g.capacity)
 }
 
 func (x *Index) live(h holder) bool {
-	g := &x.engines[h.slot]
+	g := &x.engines[h.handle]
 	return g.clock-h.stamp <= g.capacity
 }
 
-func (x *Index) engine(slot uint32) *engine {
-	for int(slot) >= len(x.engines) {
+func (x *Index) engine(handle uint32) *engine {
+	for int(handle) >= len(x.engines) {
 		x.engines = append(x.engines, engine{capacity: DefaultCacheBlocks})
 	}
-	return &x.engines[slot]
+	return &x.engines[handle]
 }
--- a/internal/routing/prefix/index_test.go
+++ b/internal/routing/prefix/index_test.go
@@ -21,9 +21,9 @@
 	return matches
 }
 
-func store(x *Index, slot uint32, blocks []uint64) {
+func store(x *Index, handle uint32, blocks []uint64) {
 	for _, b := range blocks {
-		x.Store(slot, b)
+		x.Store(handle, b)
 	}
 }
 
@@ -33,13 +33,13 @@
 	store(x, 3, blocks[:217])
 	store(x, 5, blocks[:40])
 	got := lookup(x, blocks)
-	assert.Equal(t, got[len(got)-1], Match{Slot: 3, Blocks: 217})
+	assert.Equal(t, got[len(got)-1], Match{Handle: 3, Blocks: 217})
 	assert.Equal(t, len(lookup(x, chainOf(2, 50))), 0)
 }
 
 // Cache events get lost. The caller would see its conversation recomputed
 // though an engine holds it, if one missing block hid all blocks behind it.
-func TestLookupSeesPastLostEvents(t *testing.T) {
+func TestLookupToleratesLostEvents(t *testing.T) {
 	x := NewIndex(1 << 12)
 	blocks := chainOf(1, 64)
 	for i, b := range blocks {
@@ -52,7 +52,7 @@
 	assert.Assert(t, got[0].Blocks >= 63)
 }
 
-func TestBlocksExpireWithTheEnginesCapacity(t *testing.T) {
+func TestBlocksExpireByTheEnginesCapacity(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
 	old := chainOf(1, 10)
@@ -72,10 +72,10 @@
 	blocks := chainOf(1, 4)
 	store(x, 1, blocks)
 	x.Evicted(1, blocks[3])
-	assert.DeepEqual(t, lookup(x, blocks), []Match{{Slot: 1, Blocks: 4}})
+	assert.DeepEqual(t, lookup(x, blocks), []Match{{Handle: 1, Blocks: 4}})
 	store(x, 1, chainOf(2, 60))
 	x.Evicted(1, blocks[3])
-	assert.DeepEqual(t, lookup(x, blocks), []Match{{Slot: 1, Blocks: 3}})
+	assert.DeepEqual(t, lookup(x, blocks), []Match{{Handle: 1, Blocks: 3}})
 }
 
 func TestForgottenEngineHoldsNothing(t *testing.T) {
@@ -99,7 +99,7 @@
 
 // Most events of a busy engine got lost. Counting only those that came, the
 // index would go on naming blocks that were evicted long ago.
-func TestLostEventsAgeWhatIsHeld(t *testing.T) {
+func TestLostEventsAgeHeldBlocks(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
 	blocks := chainOf(1, 4)
--- a/internal/routing/prefix/lookup.go
+++ b/internal/routing/prefix/lookup.go
@@ -21,7 +21,7 @@
 		if live == 0 && mid-1 > low {
 			dst, live = x.probe(blocks, mid-1, dst)
 		}
-		if live == holders {
+		if live == maxHolders {
 			common = mid
 		}
 		if live > 0 {
@@ -39,20 +39,20 @@
 	if e == nil {
 		return dst, 0
 	}
-	for _, h := range e.held[:e.count] {
+	for _, h := range e.holders[:e.count] {
 		if !x.live(h) {
 			continue
 		}
 		live++
-		dst = raise(dst, Match{Slot: h.slot, Blocks: depth})
+		dst = mergeMatch(dst, Match{Handle: h.handle, Blocks: depth})
 	}
 	return dst, live
 }
 
-// raise adds m or deepens the match of the same engine.
-func raise(dst []Match, m Match) []Match {
+// mergeMatch adds m or deepens the match of the same engine.
+func mergeMatch(dst []Match, m Match) []Match {
 	for i := range dst {
-		if dst[i].Slot == m.Slot {
+		if dst[i].Handle == m.Handle {
 			dst[i].Blocks = max(dst[i].Blocks, m.Blocks)
 			return dst
 		}
@@ -77,10 +77,10 @@
 // that is in use all over the fleet.
 func (x *Index) Common(hash uint64) bool {
 	e := x.find(hash)
-	if e == nil || e.count < holders {
+	if e == nil || e.count < maxHolders {
 		return false
 	}
-	for _, h := range e.held {
+	for _, h := range e.holders {
 		if !x.live(h) {
 			return false
 		}
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// ranks is how many rendezvous choices of a prompt are candidates: with an
+// maxRanked is how many rendezvous choices of a prompt are candidates: with an
 // owner overloaded the second takes its spill, and so on.
-const ranks = 4
+const maxRanked = 4
 
 // ranked holds the best members for a key, best first.
 type ranked[S uint64 | float64] struct {
-	at    [ranks]*endpoint
-	score [ranks]S
-	n     int
+	endpoints [maxRanked]*endpoint
+	score     [maxRanked]S
+	n         int
 }
 
 // rank finds the best members that ok accepts. Any daemon with the same
@@ -18,13 +18,13 @@
 // twice the slots wins twice as many keys (weighted: Schindelhauer and
 // Schomaker, 2005). Within a group of one weight the greatest hash wins, so
 // that logarithms are taken only of the groups' best.
-func (s *set) rank(key uint64, ok func(*endpoint) bool) ranked[float64] {
+func (s *replicaSet) rank(key uint64, ok func(*endpoint) bool) ranked[float64] {
 	var all ranked[float64]
 	for i := range s.groups {
 		g := &s.groups[i]
 		best := g.rank(key, ok)
-		for j, e := range best.at[:best.n] {
-			all.insert(e, weigh(best.score[j], g.weight))
+		for j, e := range best.endpoints[:best.n] {
+			all.insert(e, weightedScore(best.score[j], g.weight))
 		}
 	}
 	return all
@@ -39,8 +39,8 @@
 			continue
 		}
 		best.insert(g.members[i], score)
-		if best.n == ranks {
-			least = best.score[ranks-1]
+		if best.n == maxRanked {
+			least = best.score[maxRanked-1]
 		}
 	}
 	return best
@@ -48,19 +48,19 @@
 
 // insert adds a member unless there are enough better ones.
 func (r *ranked[S]) insert(e *endpoint, score S) {
-	if r.n == ranks && score <= r.score[ranks-1] {
+	if r.n == maxRanked && score <= r.score[maxRanked-1] {
 		return
 	}
-	r.n = min(r.n+1, ranks)
+	r.n = min(r.n+1, maxRanked)
 	i := r.n - 1
 	for ; i > 0 && r.score[i-1] < score; i-- {
-		r.at[i], r.score[i] = r.at[i-1], r.score[i-1]
+		r.endpoints[i], r.score[i] = r.endpoints[i-1], r.score[i-1]
 	}
-	r.at[i], r.score[i] = e, score
+	r.endpoints[i], r.score[i] = e, score
 }
 
-// weigh returns weight / -ln(u) of the number u in (0,1) that the hash stands for.
-func weigh(hash uint64, weight float64) float64 {
+// weightedScore returns weight / -ln(u) of the number u in (0,1) that the hash stands for.
+func weightedScore(hash uint64, weight float64) float64 {
 	const unit = 1.0 / (1 << 53)
 	u := (float64(hash>>11) + 0.5) * unit
 	return weight / -math.Log(u)
--- a/internal/routing/set.go
+++ b/internal/routing/replica_set.go
@@ -17,28 +17,28 @@
 	members []*endpoint
 }
 
-// set holds the endpoints of one key. Only usable ones are members, so that a
+// replicaSet holds the endpoints of one key. Only usable ones are members, so that a
 // pick filters nothing; the lists are rebuilt when an endpoint's state changes.
-type set struct {
-	members []*endpoint
-	groups  []group // the members by rendezvous weight
-	present int     // not leaving
-	ejected int
-	dearest float64 // token price of the dearest member
-	turn    int     // round robin
+type replicaSet struct {
+	members       []*endpoint
+	groups        []group // the members by rendezvous weight
+	present       int     // not leaving
+	ejected       int
+	maxTokenPrice float64 // token price of the dearest member
+	cursor        int     // round robin
 }
 
-func (s *set) reset() {
+func (s *replicaSet) reset() {
 	s.members = s.members[:0]
 	for i := range s.groups {
 		g := &s.groups[i]
 		g.hashes, g.members = g.hashes[:0], g.members[:0]
 	}
-	s.present, s.ejected, s.dearest = 0, 0, 0
+	s.present, s.ejected, s.maxTokenPrice = 0, 0, 0
 }
 
 // add counts the endpoint and makes it a member when it is usable.
-func (s *set) add(e *endpoint) {
+func (s *replicaSet) add(e *endpoint) {
 	if e.leaving {
 		return
 	}
@@ -51,11 +51,11 @@
 	g := s.group(e.load.Slots())
 	g.hashes = append(g.hashes, e.hash)
 	g.members = append(g.members, e)
-	s.dearest = max(s.dearest, e.tokenPrice())
+	s.maxTokenPrice = max(s.maxTokenPrice, e.tokenPrice())
 }
 
 // group returns the group of a weight.
-func (s *set) group(weight float64) *group {
+func (s *replicaSet) group(weight float64) *group {
 	for i := range s.groups {
 		if s.groups[i].weight == weight {
 			return &s.groups[i]
@@ -67,9 +67,9 @@
 
 // saving returns the share by which the endpoint computes a token more
 // cheaply than the dearest member; 0 when its price is not known.
-func (s *set) saving(e *endpoint) float64 {
-	if s.dearest == 0 || e.info.HourPrice == 0 {
+func (s *replicaSet) saving(e *endpoint) float64 {
+	if s.maxTokenPrice == 0 || e.info.HourPrice == 0 {
 		return 0
 	}
-	return 1 - e.tokenPrice()/s.dearest
+	return 1 - e.tokenPrice()/s.maxTokenPrice
 }
--- a/internal/routing/targets_test.go
+++ b/internal/routing/reservations_test.go
@@ -12,26 +12,26 @@
 // A wave moves many streams with one history at once. Until they are
 // dispatched no load shows, and without reservations all would be sent to
 // the engine that holds the history.
-func TestWaveIsSpreadByReservations(t *testing.T) {
+func TestReservationsSpreadConcurrentMoves(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(6))
-	targets := map[fleet.EndpointID]int{}
+	moved := map[fleet.EndpointID]int{}
 	for i := range uint64(60) {
 		q := prompt(1, 40)
 		q.ID = fleet.RequestID(rune('a' + i))
-		c, err := r.Target(start, q)
+		c, err := r.PickAndReserve(start, q)
 		assert.NilError(t, err)
-		targets[c.Endpoint]++
+		moved[c.Endpoint]++
 	}
-	for id, n := range targets {
+	for id, n := range moved {
 		assert.Assert(t, n <= 20, "%d to %s", n, id)
 	}
-	assert.Assert(t, len(targets) >= 4)
+	assert.Assert(t, len(moved) >= 4)
 }
 
 func TestReservationEnds(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(1))
 	q := prompt(1, 40)
-	free := func(now time.Time) int { return r.Places(now, q, 5, nil)[0].Free }
+	free := func(now time.Time) int { return r.Destinations(now, q, 5, nil)[0].Free }
 	all := free(start)
 	r.Reserve(start, "engine-0", "a", 100)
 	r.Reserve(start, "engine-0", "a", 100)
@@ -51,13 +51,13 @@
 	r.Finished(start, "engine-0", "b", Cancelled)
 	r.Reserve(start, "engine-0", "c", 100)
 	assert.Equal(t, free(start), all-1)
-	assert.Equal(t, free(start.Add(reserveLife)), all)
+	assert.Equal(t, free(start.Add(reservationTTL)), all)
 }
 
 // The list omits an endpoint for a moment, so its load starts from nothing
 // when it is back. The end of a request from before must not take it below,
 // or the engine would look emptier than any other for good.
-func TestEndOfForgottenAttemptIsIgnored(t *testing.T) {
+func TestEndOfDroppedAttemptIsIgnored(t *testing.T) {
 	list := endpoints(2)
 	r := testRouter(1, Config{}, list)
 	q := prompt(1, 40)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -13,23 +13,23 @@
 	config Config
 	self   fleet.DataCentre
 	rng    *rand.Rand
-	target targets
+	target latencyTargets
 
-	endpoints  map[fleet.EndpointID]*endpoint
-	slots      []*endpoint // by slot; nil is free
-	free       []uint32    // free slots
-	generation uint64      // of the endpoint list
-	notices    notices
-	classes    map[string]*estimate.Pace
-	sets       map[setKey]*set
-	stale      bool // the sets' members need rebuilding
+	endpoints   map[fleet.EndpointID]*endpoint
+	byHandle    []*endpoint // by slot; nil is free
+	freeHandles []uint32    // free slots
+	generation  uint64      // of the endpoint list
+	notices     notices
+	classes     map[string]*estimate.TokenLatency
+	sets        map[setKey]*replicaSet
+	stale       bool // the sets' members need rebuilding
 
 	index    *prefix.Index
 	attempts map[attemptKey]attempt
 	reserved []reservation
-	answer   latency // of all engines: first token to last
+	decode   latency // of all engines: first token to last
 
-	round   uint64 // counts picks
+	picks   uint64 // counts picks
 	scratch scratch
 }
 
@@ -41,18 +41,18 @@
 		config:    config,
 		self:      self,
 		rng:       rng,
-		target:    targets{first: config.FirstToken.Seconds(), token: config.TokenInterval.Seconds()},
+		target:    latencyTargets{firstToken: config.FirstToken.Seconds(), tokenInterval: config.TokenInterval.Seconds()},
 		endpoints: map[fleet.EndpointID]*endpoint{},
 		notices:   notices{},
-		classes:   map[string]*estimate.Pace{},
-		sets:      map[setKey]*set{},
+		classes:   map[string]*estimate.TokenLatency{},
+		sets:      map[setKey]*replicaSet{},
 		index:     prefix.NewIndex(config.IndexBlocks),
 		attempts:  map[attemptKey]attempt{},
 	}
 }
 
-// targets are the latencies to keep, in seconds.
-type targets struct {
-	first float64 // to the first token
-	token float64 // between tokens
+// latencyTargets are the latencies to keep, in seconds.
+type latencyTargets struct {
+	firstToken    float64 // to the first token
+	tokenInterval float64 // between tokens
 }
--- a/internal/routing/scorer/scorer.go
+++ b/internal/routing/scorer/scorer.go
@@ -6,29 +6,29 @@
 // Weights say how much each drawback counts. A workspace that weighs
 // recomputed tokens higher raises Recompute.
 type Weights struct {
-	Recompute float64 // tokens for each token to recompute
-	Owner     float64 // share of the uncached tokens that the agreed engine is taken to hold
-	Wait      float64 // tokens for each second to the first token
-	Load      float64 // tokens for an engine at its limit
-	Price     float64 // tokens for each token that would be computed for nothing
-	Doubt     float64 // tokens for an endpoint whose new connections failed lately
+	Recompute    float64 // tokens for each token to recompute
+	AgreedCached float64 // share of the uncached tokens that the agreed engine is taken to hold
+	Wait         float64 // tokens for each second to the first token
+	Load         float64 // tokens for an engine at its limit
+	Price        float64 // tokens for each token that would be computed for nothing
+	DialFailure  float64 // tokens for an endpoint whose new connections failed lately
 }
 
 // Input is what the scorers look at: one candidate for one request.
 type Input struct {
-	FirstToken float64 // predicted seconds, with the distance
-	Target     float64 // of the first token, in seconds
-	Uncached   float64 // predicted prompt tokens to compute
-	Answer     int     // bound of the answer in tokens
-	Share      float64 // of the engine's limit in use, this request included
-	Saving     float64 // share by which a token is computed more cheaply than on the dearest of the set
-	Agreed     bool    // the rendezvous choice that other daemons make as well
-	Doubtful   bool    // new connections failed lately
+	FirstToken   float64 // predicted seconds, with the distance
+	Target       float64 // of the first token, in seconds
+	Uncached     float64 // predicted prompt tokens to compute
+	MaxTokens    int     // bound of the answer in tokens
+	Utilisation  float64 // of the engine's limit in use, this request included
+	Saving       float64 // share by which a token is computed more cheaply than on the dearest of the set
+	Agreed       bool    // the rendezvous choice that other daemons make as well
+	DialsFailing bool    // new connections failed lately
 }
 
 // Cost adds up all scorers.
 func Cost(w *Weights, in *Input) float64 {
-	return recompute(w, in) + wait(w, in) + load(w, in) + price(w, in) + doubt(w, in)
+	return recompute(w, in) + wait(w, in) + load(w, in) + price(w, in) + dialFailure(w, in)
 }
 
 // recompute is the prefix affinity: what a cold engine has to do over again.
@@ -37,7 +37,7 @@
 func recompute(w *Weights, in *Input) float64 {
 	uncached := in.Uncached
 	if in.Agreed {
-		uncached *= 1 - w.Owner
+		uncached *= 1 - w.AgreedCached
 	}
 	return w.Recompute * uncached
 }
@@ -52,21 +52,21 @@
 // rises with the square, so that it hardly moves a conversation from an idle
 // engine, and stops at the limit for the reason given at wait.
 func load(w *Weights, in *Input) float64 {
-	share := min(in.Share, 1)
-	return w.Load * share * share
+	utilisation := min(in.Utilisation, 1)
+	return w.Load * utilisation * utilisation
 }
 
 // price prefers the engine that computes the request's tokens more cheaply,
 // while it has room: the preference is gone when the engine is half full.
 // Past that it would fill the cheap engines and break the targets there.
 func price(w *Weights, in *Input) float64 {
-	room := max(0, 1-2*in.Share)
-	return -w.Price * in.Saving * room * (in.Uncached + float64(in.Answer))
+	room := max(0, 1-2*in.Utilisation)
+	return -w.Price * in.Saving * room * (in.Uncached + float64(in.MaxTokens))
 }
 
-func doubt(w *Weights, in *Input) float64 {
-	if in.Doubtful {
-		return w.Doubt
+func dialFailure(w *Weights, in *Input) float64 {
+	if in.DialsFailing {
+		return w.DialFailure
 	}
 	return 0
 }
--- a/internal/routing/sim_test.go
+++ b/internal/routing/sim_test.go
@@ -14,27 +14,27 @@
 // simClass is a machine class: a step of its batch takes step seconds, each
 // for every answer in it, and the computing of up to chunk prompt tokens.
 type simClass struct {
-	price, step, each, prefill float64 // an hour; seconds; seconds; tokens a second
-	slots, blocks, chunk       int
+	price, emptyStep, perRequest, prefill float64 // an hour; seconds; seconds; tokens a second
+	slots, blocks, chunk                  int
 }
 
 // The large machines are bought on demand, the small ones are reclaimable.
 var simClasses = [2]simClass{
-	{price: 3.2, step: 0.011, each: 0.00035, prefill: 14000, slots: 64, blocks: 14000, chunk: 256},
-	{price: 0.6, step: 0.013, each: 0.0006, prefill: 8000, slots: 40, blocks: 8000, chunk: 128},
+	{price: 3.2, emptyStep: 0.011, perRequest: 0.00035, prefill: 14000, slots: 64, blocks: 14000, chunk: 256},
+	{price: 0.6, emptyStep: 0.013, perRequest: 0.0006, prefill: 8000, slots: 40, blocks: 8000, chunk: 128},
 }
 
 // simEngine batches continuously and keeps a cache of prefix blocks.
 type simEngine struct {
 	simClass
-	id      fleet.EndpointID
-	next    time.Duration // end of the step that runs; 0 is idle
-	waiting []*simTurn
-	batch   []*simTurn
-	cache   map[uint64]*list.Element
-	recent  list.List // of blocks, the last used in front
-	pace    float64   // moving average of a step's seconds
-	page    engineapi.CacheEvents
+	id       fleet.EndpointID
+	next     time.Duration // end of the step that runs; 0 is idle
+	waiting  []*simTurn
+	batch    []*simTurn
+	cache    map[uint64]*list.Element
+	lru      list.List // of blocks, the last used in front
+	meanStep float64   // moving average of a step's seconds
+	page     engineapi.CacheEvents
 }
 
 // simReport is an engine's report on its late way to the daemons.
@@ -45,12 +45,12 @@
 
 // simFleet is the virtual time, the daemons and engines, and what is counted.
 type simFleet struct {
-	now     time.Duration
-	rng     *rand.Rand
-	routers []*Router
-	engines []*simEngine
-	late    []simReport
-	known   map[uint64]bool // blocks that some engine computed
+	now      time.Duration
+	rng      *rand.Rand
+	routers  []*Router
+	engines  []*simEngine
+	delayed  []simReport
+	computed map[uint64]bool // blocks that some engine computed
 
 	counted, good, prompt, recomputed int
 	work                              float64 // seconds beyond an empty step's, times price
@@ -83,9 +83,9 @@
 		}
 	}
 	f.now = until
-	for ; len(f.late) > 0 && f.late[0].at <= until; f.late = f.late[1:] {
+	for ; len(f.delayed) > 0 && f.delayed[0].at <= until; f.delayed = f.delayed[1:] {
 		for _, r := range f.routers {
-			f.late[0].deliver(r)
+			f.delayed[0].deliver(r)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // arrive sends a turn where its daemon's router says, or refuses it: all
 // policies have the same simple admission.
 func (f *simFleet) arrive(t *simTurn) {
-	if t.at >= simWarm {
+	if t.at >= simWarmUp {
 		f.counted++
 	}
 	r := f.routers[t.daemon]
@@ -112,44 +112,44 @@
 
 func (f *simFleet) startStep(e *simEngine) {
 	for len(e.waiting) > 0 && len(e.batch) < e.slots {
-		j := e.waiting[0]
+		t := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		j.todo = max(1, j.q.PromptTokens-f.prefill(e, j.q.Blocks))
-		e.batch = append(e.batch, j)
+		t.todo = max(1, t.q.PromptTokens-f.prefill(e, t.q.Blocks))
+		e.batch = append(e.batch, t)
 	}
 	e.next = 0
 	if len(e.batch) == 0 {
 		return
 	}
-	room, seconds := e.chunk, e.step
-	for _, j := range e.batch {
-		n := min(room, j.todo)
-		room, j.todo = room-n, j.todo-n
-		seconds += e.each
+	room, seconds := e.chunk, e.emptyStep
+	for _, t := range e.batch {
+		n := min(room, t.todo)
+		room, t.todo = room-n, t.todo-n
+		seconds += e.perRequest
 	}
 	seconds += float64(e.chunk-room) / e.prefill
-	f.work += (seconds - e.step) * e.price
-	e.pace += 0.05 * (seconds - e.pace)
+	f.work += (seconds - e.emptyStep) * e.price
+	e.meanStep += 0.05 * (seconds - e.meanStep)
 	e.next = f.now + time.Duration(seconds*1e9)
 }
 
 // endStep gives each answer whose prompt is computed its next token.
 func (f *simFleet) endStep(e *simEngine) {
-	e.batch = slices.DeleteFunc(e.batch, func(j *simTurn) bool {
-		if j.todo > 0 {
+	e.batch = slices.DeleteFunc(e.batch, func(t *simTurn) bool {
+		if t.todo > 0 {
 			return false
 		}
-		j.tokens++
-		if j.tokens == 1 {
-			j.first = f.now
-			f.routers[j.daemon].FirstToken(f.clock(), e.id, j.q.ID)
+		t.tokens++
+		if t.tokens == 1 {
+			t.first = f.now
+			f.routers[t.daemon].FirstToken(f.clock(), e.id, t.q.ID)
 		}
-		if j.tokens < j.q.MaxTokens {
+		if t.tokens < t.q.MaxTokens {
 			return false
 		}
-		f.routers[j.daemon].Finished(f.clock(), e.id, j.q.ID, Answered)
-		pace := (f.now - j.first) / time.Duration(max(1, j.tokens-1))
-		if j.at >= simWarm && j.first-j.at <= defaultFirstToken && pace <= defaultTokenInterval {
+		f.routers[t.daemon].Finished(f.clock(), e.id, t.q.ID, Answered)
+		interval := (f.now - t.first) / time.Duration(max(1, t.tokens-1))
+		if t.at >= simWarmUp && t.first-t.at <= defaultFirstToken && interval <= defaultTokenInterval {
 			f.good++
 		}
 		return true
@@ -164,22 +164,22 @@
 		held++
 	}
 	for i, b := range slices.Backward(blocks) {
-		if f.now >= simWarm {
+		if f.now >= simWarmUp {
 			f.prompt += engineapi.BlockTokens
-			if i >= held && f.known[b] {
+			if i >= held && f.computed[b] {
 				f.recomputed += engineapi.BlockTokens
 			}
 		}
-		f.known[b] = true
+		f.computed[b] = true
 		if at := e.cache[b]; at != nil {
-			e.recent.MoveToFront(at)
+			e.lru.MoveToFront(at)
 			continue
 		}
-		e.cache[b] = e.recent.PushFront(b)
+		e.cache[b] = e.lru.PushFront(b)
 		f.publish(e, true, b)
 	}
-	for e.recent.Len() > e.blocks {
-		b := e.recent.Remove(e.recent.Back()).(uint64)
+	for e.lru.Len() > e.blocks {
+		b := e.lru.Remove(e.lru.Back()).(uint64)
 		delete(e.cache, b)
 		f.publish(e, false, b)
 	}
@@ -187,7 +187,7 @@
 }
 
 func (f *simFleet) publish(e *simEngine, stored bool, hash uint64) {
-	if f.rng.Float64() >= simLost {
+	if f.rng.Float64() >= simLostEvents {
 		e.page.Events = append(e.page.Events, engineapi.CacheEvent{Seq: e.page.Next, Stored: stored, Hash: hash})
 	}
 	e.page.Next++
@@ -198,14 +198,14 @@
 	for _, e := range f.engines {
 		load := engineapi.Load{
 			TakenAtMillis: f.clock().UnixMilli(), Running: len(e.batch), Queued: len(e.waiting), Slots: e.slots,
-			CacheBlocks: e.blocks, PrefillPerSecond: int(e.prefill), TokenMillis: 1000 * e.pace,
+			CacheBlocks: e.blocks, PrefillPerSecond: int(e.prefill), TokenMillis: 1000 * e.meanStep,
 		}
-		for _, j := range slices.Concat(e.batch, e.waiting) {
-			load.QueuedPromptTokens += j.todo
+		for _, t := range slices.Concat(e.batch, e.waiting) {
+			load.QueuedPromptTokens += t.todo
 		}
 		page := e.page
 		e.page.Events = nil
-		f.late = append(f.late, simReport{at: f.now + simLag, deliver: func(r *Router) {
+		f.delayed = append(f.delayed, simReport{at: f.now + simLag, deliver: func(r *Router) {
 			r.ReportLoad(f.clock(), e.id, load)
 			r.ReportCache(f.clock(), e.id, page)
 		}})
@@ -213,7 +213,7 @@
 }
 
 func newSim(config Config) *simFleet {
-	f := &simFleet{rng: rand.New(rand.NewPCG(simSeed, 1)), known: map[uint64]bool{}}
+	f := &simFleet{rng: rand.New(rand.NewPCG(simSeed, 1)), computed: map[uint64]bool{}}
 	served := endpoints(simEngines)
 	for i := range served {
 		e := &simEngine{simClass: simClasses[i%2], id: served[i].ID, cache: map[uint64]*list.Element{}}
--- a/internal/routing/slack.go
+++ b/internal/routing/slack.go
@@ -2,8 +2,8 @@
 
 // Bounds of the slack of a refusal, as shares of a limit.
 const (
-	refusalFrom = 0.65
-	refusalTo   = 1.15
+	minRefusalSlack = 0.65
+	maxRefusalSlack = 1.15
 )
 
 // refusalSlack spreads refusals. Reports lag, so all daemons that compare the
@@ -14,5 +14,5 @@
 // jumping from none to all, and the swing dies out (figures in
 // docs/adr/0006-routing.md).
 func (r *Router) refusalSlack() float64 {
-	return refusalFrom + (refusalTo-refusalFrom)*r.rng.Float64()
+	return minRefusalSlack + (maxRefusalSlack-minRefusalSlack)*r.rng.Float64()
 }
