--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -23,11 +23,11 @@
 
 // Budget is one daemon's part for one service. It is not safe for concurrent use.
 type Budget struct {
-	config  Config
-	daemons int
-	at      int64 // number of the newest bucket
-	asked   [buckets + 1]int
-	again   [buckets + 1]int
+	config   Config
+	daemons  int
+	bucket   int64 // number of the newest bucket
+	requests [buckets + 1]int
+	retries  [buckets + 1]int
 }
 
 // New returns a budget for a daemon that is alone.
@@ -37,41 +37,41 @@
 func (b *Budget) Daemons(n int) { b.daemons = max(n, 1) }
 
 // Request counts a caller's request.
-func (b *Budget) Request(now time.Time) { b.asked[b.turn(now)]++ }
+func (b *Budget) Request(now time.Time) { b.requests[b.advance(now)]++ }
 
 // Take asks for one send beyond the first.
 func (b *Budget) Take(now time.Time) bool {
 	if b.Left(now) < 1 {
 		return false
 	}
-	b.again[b.turn(now)]++
+	b.retries[b.advance(now)]++
 	return true
 }
 
 // Left returns how many sends beyond the first this daemon has now.
 func (b *Budget) Left(now time.Time) float64 {
-	newest := b.turn(now)
-	asked, again := 0, 0
-	for i := range b.asked {
-		again += b.again[i]
-		if i != (newest+1)%len(b.asked) { // the oldest may be outside the window
-			asked += b.asked[i]
+	current := b.advance(now)
+	requests, retries := 0, 0
+	for i := range b.requests {
+		retries += b.retries[i]
+		if i != (current+1)%len(b.requests) { // the oldest may be outside the window
+			requests += b.requests[i]
 		}
 	}
-	allowed := margin * (b.config.Ratio*float64(asked) + b.config.Slack/float64(b.daemons))
-	return allowed - float64(again)
+	allowed := margin * (b.config.Ratio*float64(requests) + b.config.Slack/float64(b.daemons))
+	return allowed - float64(retries)
 }
 
-// turn clears the buckets that time has passed over and returns the newest's index.
-func (b *Budget) turn(now time.Time) int {
+// advance clears the buckets that time has passed over and returns the newest's index.
+func (b *Budget) advance(now time.Time) int {
 	width := int64(b.config.Window) / buckets
-	at := now.UnixNano() / width
-	if at-b.at > int64(len(b.asked)) {
-		b.at = at - int64(len(b.asked))
+	bucket := now.UnixNano() / width
+	if bucket-b.bucket > int64(len(b.requests)) {
+		b.bucket = bucket - int64(len(b.requests))
 	}
-	for ; b.at < at; b.at++ {
-		i := int((b.at + 1) % int64(len(b.asked)))
-		b.asked[i], b.again[i] = 0, 0
+	for ; b.bucket < bucket; b.bucket++ {
+		i := int((b.bucket + 1) % int64(len(b.requests)))
+		b.requests[i], b.retries[i] = 0, 0
 	}
-	return int(b.at % int64(len(b.asked)))
+	return int(b.bucket % int64(len(b.requests)))
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -18,27 +18,27 @@
 		fleet[i] = New(config)
 		fleet[i].Daemons(daemons)
 	}
-	var asked, again []int // by 100 ms
+	var requests, retries []int // by 100 ms
 	for step := range 400 {
 		now := time.Unix(1000, 0).Add(time.Duration(step) * 100 * time.Millisecond)
-		a, r := 0, 0
+		sent, retried := 0, 0
 		for range perSecond / 10 {
 			for _, b := range fleet {
 				b.Request(now)
-				a++
+				sent++
 				if b.Take(now) {
-					r++
+					retried++
 				}
 			}
 		}
-		asked, again = append(asked, a), append(again, r)
+		requests, retries = append(requests, sent), append(retries, retried)
 	}
-	for end := 100; end <= len(asked); end++ {
-		a, r := 0, 0
+	for end := 100; end <= len(requests); end++ {
+		sent, retried := 0, 0
 		for i := end - 100; i < end; i++ {
-			a, r = a+asked[i], r+again[i]
+			sent, retried = sent+requests[i], retried+retries[i]
 		}
-		assert.Assert(t, float64(r) <= 0.2*float64(a)+52, "%d again of %d in the window that ends at %d", r, a, end)
+		assert.Assert(t, float64(retried) <= 0.2*float64(sent)+52, "%d again of %d in the window that ends at %d", retried, sent, end)
 	}
 }
 
