--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -2,44 +2,47 @@
 
 import "time"
 
-// Config is the fleet's bound for one service.
+// Config is the fleet-wide bound for one service.
 type Config struct {
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Ratio is the sends beyond the first for each request of a window.
+	// Ratio is the number of retries allowed per request in a window.
 	Ratio float64
-	// Slack is the sends that are always allowed in a window, fleet-wide.
+	// Slack is the number of retries allowed in a window besides, shared by
+	// all daemons.
 	Slack float64
 }
 
-// margin is the part of the bound that is used: windows of this daemon and of
-// who judges are cut at different times, and requests are counted when they
-// are read, not when they were sent.
+// margin is the fraction of the bound that is used. The rest covers two
+// differences from an observer's count: its windows begin at other times, and
+// it counts requests when they are sent, a Budget when they are read.
 const margin = 0.8
 
-// buckets is the number of parts of a window; the oldest part is let go as a
-// whole, so one more than the window's parts is kept.
+// buckets is the number of equal parts of a window. A Budget keeps one bucket
+// more, because it drops only whole buckets and the oldest may still overlap
+// the window.
 const buckets = 10
 
-// Budget is one daemon's part for one service. It is not safe for concurrent use.
+// Budget is one daemon's part of the bound for one service. It is not safe for
+// concurrent use.
 type Budget struct {
 	config   Config
 	daemons  int
-	bucket   int64 // number of the newest bucket
+	bucket   int64 // newest bucket, numbered from the Unix epoch
 	requests [buckets + 1]int
 	retries  [buckets + 1]int
 }
 
-// New returns a budget for a daemon that is alone.
+// New returns a budget for a single daemon; Daemons changes their number.
 func New(config Config) *Budget { return &Budget{config: config, daemons: 1} }
 
-// Daemons sets how many daemons share the bound.
+// Daemons sets how many daemons share the slack.
 func (b *Budget) Daemons(n int) { b.daemons = max(n, 1) }
 
 // Request counts a caller's request.
 func (b *Budget) Request(now time.Time) { b.requests[b.advance(now)]++ }
 
-// Take asks for one send beyond the first.
+// Take counts one retry and returns true if the budget allows it.
 func (b *Budget) Take(now time.Time) bool {
 	if b.Left(now) < 1 {
 		return false
@@ -48,13 +51,14 @@
 	return true
 }
 
-// Left returns how many sends beyond the first this daemon has now.
+// Left returns how many retries this daemon may send now. It is negative when
+// the requests that allowed earlier retries have left the window.
 func (b *Budget) Left(now time.Time) float64 {
 	current := b.advance(now)
 	requests, retries := 0, 0
 	for i := range b.requests {
 		retries += b.retries[i]
-		if i != (current+1)%len(b.requests) { // the oldest may be outside the window
+		if i != (current+1)%len(b.requests) { // the oldest may lie outside the window
 			requests += b.requests[i]
 		}
 	}
@@ -62,7 +66,8 @@
 	return allowed - float64(retries)
 }
 
-// advance clears the buckets that time has passed over and returns the newest's index.
+// advance moves on to the bucket of now, clears those in between and returns
+// its index.
 func (b *Budget) advance(now time.Time) int {
 	width := int64(b.config.Window) / buckets
 	bucket := now.UnixNano() / width
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -9,8 +9,9 @@
 
 var config = Config{Window: 10 * time.Second, Ratio: 0.2, Slack: 52}
 
-// Every request fails on its first endpoint. Six daemons repeat what they may.
-// No sliding window of ten seconds may see more than the fleet's bound.
+// Every request fails on its first endpoint, and six daemons retry as often as
+// their budgets allow. Unless their parts add up to no more than the bound,
+// some sliding window of ten seconds has too many retries.
 func TestFleetStaysWithinTheBound(t *testing.T) {
 	const daemons, perSecond = 6, 30
 	var fleet [daemons]*Budget
@@ -18,7 +19,7 @@
 		fleet[i] = New(config)
 		fleet[i].Daemons(daemons)
 	}
-	var requests, retries []int // by 100 ms
+	var requests, retries []int // in steps of 100 ms
 	for step := range 400 {
 		now := time.Unix(1000, 0).Add(time.Duration(step) * 100 * time.Millisecond)
 		sent, retried := 0, 0
@@ -38,7 +39,7 @@
 		for i := end - 100; i < end; i++ {
 			sent, retried = sent+requests[i], retried+retries[i]
 		}
-		assert.Assert(t, float64(retried) <= 0.2*float64(sent)+52, "%d again of %d in the window that ends at %d", retried, sent, end)
+		assert.Assert(t, float64(retried) <= 0.2*float64(sent)+52, "%d retries of %d requests in the window that ends at step %d", retried, sent, end)
 	}
 }
 
@@ -50,6 +51,6 @@
 	for b.Take(now) {
 		n++
 	}
-	assert.Equal(t, n, 10) // 0.8 of 52 for four
+	assert.Equal(t, n, 10) // floor(0.8 * 52 / 4)
 	assert.Assert(t, b.Take(now.Add(12*time.Second)))
 }
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -1,5 +1,6 @@
-// Package retry bounds the sends beyond the first of each request, for all
-// daemons together: a share of the requests of a window and a small constant.
-// Every daemon keeps to its part without asking the others, so that the sum
-// holds also when they cannot hear each other. It is a plain decision.
+// Package retry is a retry budget that all daemons share. In a sliding window,
+// the retries of a service (sends after a request's first) are bounded by a
+// ratio of its requests plus a small constant. Each daemon enforces its part
+// without coordination, so the total also holds during a network partition.
+// The package does no I/O and reads no clock.
 package retry
