--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -16,7 +16,7 @@
 var causeNames = [...]string{"", "no endpoint serves it", "all endpoints that serve it are leaving", "all endpoints that serve it were tried"}
 
 // String returns the cause in words.
-func (w Cause) String() string { return causeNames[w] }
+func (c Cause) String() string { return causeNames[c] }
 
 // NoEndpoint is the error of a Pick that found none. Nothing was sent.
 type NoEndpoint struct {
--- a/internal/routing/estimate/average.go
+++ b/internal/routing/estimate/average.go
@@ -27,11 +27,11 @@
 	requests, waiting ewma
 }
 
-func (a *average) add(at int64, own Outstanding) {
+func (a *average) add(at int64, others Outstanding) {
 	gain := float64(at-a.at) / float64(averagingTime)
 	a.at = at
-	a.requests.add(float64(own.Requests), min(1, gain))
-	a.waiting.add(float64(own.WaitingTokens), min(1, gain))
+	a.requests.add(float64(others.Requests), min(1, gain))
+	a.waiting.add(float64(others.WaitingTokens), min(1, gain))
 }
 
 func (m *ewma) add(x, gain float64) {
--- a/internal/routing/estimate/engine_test.go
+++ b/internal/routing/estimate/engine_test.go
@@ -50,13 +50,13 @@
 }
 
 func TestTokenLatencyLimit(t *testing.T) {
-	var p TokenLatency
-	assert.Equal(t, p.Limit(0.034, 64), 64.0)
+	var l TokenLatency
+	assert.Equal(t, l.Limit(0.034, 64), 64.0)
 	for i := range 500 {
 		running := 5 + i%20
-		p.Add(running, 0.010+0.001*float64(running))
+		l.Add(running, 0.010+0.001*float64(running))
 	}
-	limit := p.Limit(0.034, 64)
+	limit := l.Limit(0.034, 64)
 	assert.Assert(t, limit > 23.9 && limit < 24.1, "%f", limit)
-	assert.Equal(t, p.Limit(0.034, 16), 16.0)
+	assert.Equal(t, l.Limit(0.034, 16), 16.0)
 }
--- a/internal/routing/estimate/token_latency.go
+++ b/internal/routing/estimate/token_latency.go
@@ -16,32 +16,32 @@
 }
 
 // Add takes in one report: requests running and seconds between tokens.
-func (p *TokenLatency) Add(running int, seconds float64) {
+func (l *TokenLatency) Add(running int, seconds float64) {
 	if running <= 0 || seconds <= 0 {
 		return
 	}
 	x := float64(running)
 	keep := 1 - fitGain
-	p.n = p.n*keep + fitGain
-	p.x = p.x*keep + fitGain*x
-	p.y = p.y*keep + fitGain*seconds
-	p.xx = p.xx*keep + fitGain*x*x
-	p.xy = p.xy*keep + fitGain*x*seconds
+	l.n = l.n*keep + fitGain
+	l.x = l.x*keep + fitGain*x
+	l.y = l.y*keep + fitGain*seconds
+	l.xx = l.xx*keep + fitGain*x*x
+	l.xy = l.xy*keep + fitGain*x*seconds
 }
 
 // Limit returns the requests that may run at once on an engine before the
 // time between tokens passes target seconds, between 1 and slots. With too
 // little known it is slots.
-func (p *TokenLatency) Limit(target, slots float64) float64 {
-	if p.n == 0 {
+func (l *TokenLatency) Limit(target, slots float64) float64 {
+	if l.n == 0 {
 		return slots
 	}
-	x, y := p.x/p.n, p.y/p.n
-	variance := p.xx/p.n - x*x
+	x, y := l.x/l.n, l.y/l.n
+	variance := l.xx/l.n - x*x
 	if variance < minVariance {
 		return slots
 	}
-	slope := (p.xy/p.n - x*y) / variance
+	slope := (l.xy/l.n - x*y) / variance
 	if slope <= 0 {
 		return slots
 	}
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -75,12 +75,12 @@
 }
 
 func (r *Router) tokenLatency(name string) *estimate.TokenLatency {
-	p := r.classes[name]
-	if p == nil {
-		p = &estimate.TokenLatency{}
-		r.classes[name] = p
+	l := r.classes[name]
+	if l == nil {
+		l = &estimate.TokenLatency{}
+		r.classes[name] = l
 	}
-	return p
+	return l
 }
 
 // regroup says anew which sets each endpoint belongs to.
--- a/internal/routing/reservations.go
+++ b/internal/routing/reservations.go
@@ -65,10 +65,10 @@
 		return // it runs there already
 	}
 	r.end(now.UnixNano(), key)
-	until := now.Add(reservationTTL).UnixNano()
-	r.attempts[key] = attempt{started: now.UnixNano(), uncached: tokens, expires: until}
+	expires := now.Add(reservationTTL).UnixNano()
+	r.attempts[key] = attempt{started: now.UnixNano(), uncached: tokens, expires: expires}
 	e.load.Reserve(tokens)
-	r.reserved = append(r.reserved, reservation{key: key, expires: until})
+	r.reserved = append(r.reserved, reservation{key: key, expires: expires})
 }
 
 // Release takes a promise back. It does nothing to a dispatched attempt.
