--- a/internal/routing/affinity_test.go
+++ b/internal/routing/affinity_test.go
@@ -10,16 +10,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// reportFull reports an engine as full on each router.
+// reportFull gives each router a load report of a full engine.
 func reportFull(id fleet.EndpointID, routers ...*Router) {
 	for _, r := range routers {
 		r.ReportLoad(start, id, engineapi.Load{TakenAtMillis: start.UnixMilli(), Running: 64, Queued: 20, Slots: 16})
 	}
 }
 
-// Two daemons that share nothing but the list get turns of one conversation.
-// Each would recompute its history if they disagreed on the engine, also when
-// its owner is overloaded and they have to disagree with the hash.
+// Two daemons, which share only the list of endpoints, receive turns of the same
+// conversation. If they chose different engines, each would recompute its
+// history. They must also agree on the engine to spill to while the owner is
+// overloaded.
 func TestDaemonsAgreeOnOwnerAndOnSpill(t *testing.T) {
 	for seed := range uint64(50) {
 		a := testRouter(seed, Config{}, endpoints(18))
@@ -57,12 +58,12 @@
 	}
 }
 
-// All prompts of an application start with the same long instructions. Keyed
-// by those, every conversation would belong to one engine.
+// All prompts of an application start with the same long instructions. If the
+// affinity key covered only these, one engine would own every conversation.
 func TestSharedInstructionsDoNotMakeOneOwner(t *testing.T) {
 	r := testRouter(1, Config{Policy: PureAffinity}, endpoints(18))
 	shared := simChain(1, 0, 40)
-	for i := range 18 { // everybody has met the instructions
+	for i := range 18 { // every engine holds the instructions
 		for _, b := range shared {
 			r.index.Store(uint32(i), b)
 		}
@@ -99,9 +100,10 @@
 	assert.Equal(t, c.Endpoint, owner.Endpoint)
 }
 
-// An engine was idle when it last reported, and the others half full. For the
-// seconds until the next report every daemon holds that against them. Sent by
-// the least load alone, all short prompts of all daemons would arrive there.
+// One engine was idle at its last report and all others were half full. Until
+// the next report, several seconds later, every daemon uses these values. If
+// they chose by load alone, they would all send their short prompts to the idle
+// engine.
 func TestLaggingReportCausesNoHerd(t *testing.T) {
 	const daemons, requests, engines = 8, 40, 18
 	sent := map[fleet.EndpointID]int{}
@@ -128,9 +130,9 @@
 	assert.Assert(t, sent["engine-0"] < 4*fair, "%d of %d to the idle engine", sent["engine-0"], daemons*requests)
 }
 
-// All daemons see the same stale load. If they refused together, the engine
-// would drain and fill in turns; the share that is refused has to grow with
-// the load instead.
+// All daemons use the same stale load. If they all refused at the same value, the
+// engine's batch would oscillate between empty and full. The share of refusals
+// must grow with the load instead.
 func TestShareOfRefusalsGrowsWithLoad(t *testing.T) {
 	refused := func(running int) (n int) {
 		r := testRouter(1, Config{}, endpoints(1))
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -4,26 +4,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// attemptKey names one attempt: a retried request has one for each endpoint.
+// attemptKey identifies an attempt: a retried request has one at each endpoint.
 type attemptKey struct {
 	endpoint fleet.EndpointID
 	request  fleet.RequestID
 }
 
-// attempt is an unfinished attempt, or a place reserved for one.
+// attempt is an unfinished attempt, or a reservation for one.
 type attempt struct {
 	started    int64 // ns
-	firstToken int64 // ns of the first token; 0 is none yet
-	uncached   int   // prompt tokens counted as waiting
-	expires    int64 // of a reservation; 0 is a dispatched attempt
+	firstToken int64 // ns; 0 before the first token
+	uncached   int   // prompt tokens that still count as waiting for prefill
+	expires    int64 // ns, of a reservation; 0 for a dispatched attempt
 }
 
-// Outcome says how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
 	Answered Outcome = iota
 	Failed
-	Cancelled // by the caller, or moved elsewhere
+	Cancelled // by the caller, or moved to another endpoint
 )
--- a/internal/routing/baselines.go
+++ b/internal/routing/baselines.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// roundRobin takes the members in turn.
+// roundRobin returns the members in turn.
 func (s *replicaSet) roundRobin(f filter) *endpoint {
 	for range s.members {
 		s.cursor++
@@ -13,8 +13,8 @@
 	return nil
 }
 
-// leastOutstanding takes the member with the fewest unfinished requests of
-// this daemon, a random one of equals.
+// leastOutstanding returns the member with the fewest unfinished requests of
+// this daemon, and a random one among equals.
 func (s *replicaSet) leastOutstanding(f filter, rng *rand.Rand) *endpoint {
 	var best *endpoint
 	equal := 0
@@ -37,7 +37,7 @@
 	return best
 }
 
-// randomOfTwo draws two members and takes the one with fewer unfinished
+// randomOfTwo draws two members and returns the one with fewer unfinished
 // requests of this daemon.
 func (s *replicaSet) randomOfTwo(f filter, rng *rand.Rand) *endpoint {
 	first := s.random(f, rng)
@@ -48,13 +48,13 @@
 	return second
 }
 
-// owner takes the first rendezvous choice, whatever its load.
+// owner returns the first rendezvous choice, whatever its load.
 func (s *replicaSet) owner(key uint64, f filter) *endpoint {
 	r := s.rank(key, f.ok)
 	return r.endpoints[0]
 }
 
-// random draws a member: from a random place the first that passes.
+// random returns the first member that passes the filter, from a random start.
 func (s *replicaSet) random(f filter, rng *rand.Rand) *endpoint {
 	start := rng.IntN(len(s.members))
 	for i := range s.members {
@@ -65,4 +65,5 @@
 	return nil
 }
 
+// outstanding returns the number of this daemon's unfinished requests.
 func (e *endpoint) outstanding() int { return e.load.Own().Requests }
--- a/internal/routing/best.go
+++ b/internal/routing/best.go
@@ -7,27 +7,28 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/scorer"
 )
 
-// randomDraws is the number of random members among the candidates, for load. With
-// the index's matches and the rendezvous choices they are all a pick looks at,
-// whatever the fleet's size.
+// randomDraws is the number of members that each pick draws at random, to
+// balance the load. Beside them, only the prefix index's matches and the
+// rendezvous choices are candidates, whatever the fleet's size.
 const randomDraws = 2
 
-// affinityBlocks is the least depth, in blocks, of the beginning that decides
-// where a prompt belongs, where the prompt is that long. Within 256 tokens
-// most prompts have come to what sets them apart.
+// affinityBlocks is the number of leading blocks that decide on a prompt's
+// owner, unless the prompt is shorter or these blocks are common to many
+// prompts. Most prompts differ within 256 tokens.
 const affinityBlocks = 16
 
-// scratch is reused by every pick, so that none allocates.
+// scratch holds slices that are reused so that a pick does not allocate.
 type scratch struct {
 	matches    []prefix.Match
 	candidates []candidate
 }
 
-// affinityKey names the group of prompts that belong together: the hash of
-// the leading blocks down to a power of two, so that a growing conversation
-// keeps its key. The depth doubles past blocks that are common: keyed by the
-// instructions that all prompts of an application share, all would have one
-// owner. 0 is a prompt without a full block.
+// affinityKey returns the key by which a prompt is assigned to its owner: the
+// chained hash of its leading blocks. Their number is a power of two, so that a
+// growing conversation seldom changes its key. It doubles while the blocks are
+// common to many prompts: if the key covered only the instructions that all
+// prompts of an application share, these would all have one owner. The key of a
+// prompt without a full block is 0.
 func (r *Router) affinityKey(q *Request) uint64 {
 	if len(q.Blocks) == 0 {
 		return 0
@@ -42,10 +43,10 @@
 	return q.Blocks[depth-1]
 }
 
-// cheapest is our policy: candidates from the prefix index, from rendezvous and
-// from random draws, priced by the scorers; the cheapest wins. The draws keep
-// a lagging report from sending everybody to the engine that was idle when it
-// was made: few requests look at it at once (Mitzenmacher, 2001).
+// cheapest is the policy Cyclamenbeam: it returns the candidate of least cost
+// among the prefix index's matches, the rendezvous choices and some random
+// draws. As each pick draws only a few engines, a stale report can't attract all
+// requests to the engine that was idle when it was made (Mitzenmacher, 2001).
 func (r *Router) cheapest(now int64, s *replicaSet, q *Request, f filter) candidate {
 	r.gather(now, s, q, f)
 	least, at := math.Inf(1), -1
@@ -60,6 +61,7 @@
 	return r.scratch.candidates[at]
 }
 
+// gather collects the candidates of a pick in the scratch slices.
 func (r *Router) gather(now int64, s *replicaSet, q *Request, f filter) {
 	r.picks++
 	sc := &r.scratch
@@ -80,11 +82,12 @@
 	}
 }
 
-// gatherRanked adds the rendezvous choices and marks the one that other
-// daemons choose as well: the first that is not overloaded (consistent hashing
-// with bounded loads; Mirrokni, Thorup and Zadimoghaddam, 2016, with the
-// engine's own limits as the bound). When all are, spilling would only add
-// recomputed tokens to the overload, and it is the first again.
+// gatherRanked adds rendezvous choices in their order, up to the first that is
+// not overloaded, and marks that one as agreed: other daemons choose it too.
+// This is consistent hashing with bounded loads (Mirrokni, Thorup and
+// Zadimoghaddam, 2016), with the engines' own limits as the bound. If all are
+// overloaded, the agreed one is the first, since spilling would only add
+// recomputed tokens to the overload.
 func (r *Router) gatherRanked(now int64, s *replicaSet, q *Request, f filter, common int) {
 	key := r.affinityKey(q)
 	if key == 0 {
@@ -105,8 +108,8 @@
 	}
 }
 
-// addCandidate adds an endpoint once and returns it. Its place may move with
-// the next call.
+// addCandidate adds an endpoint unless it is a candidate already, and returns
+// the candidate. The pointer is valid until the next call.
 func (r *Router) addCandidate(now int64, e *endpoint, q *Request, blocks int, reason Reason) *candidate {
 	sc := &r.scratch
 	if e.lastPick == r.picks {
@@ -142,6 +145,7 @@
 	return scorer.Cost(r.config.Weights, &in)
 }
 
+// in reports whether the endpoint belongs to a set.
 func (e *endpoint) in(s *replicaSet) bool {
 	for _, have := range e.sets {
 		if have == s {
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -7,16 +7,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/estimate"
 )
 
-// candidate is an endpoint with what is foretold for one request.
+// candidate is an endpoint with the predictions for one request.
 type candidate struct {
 	endpoint   *endpoint
 	reason     Reason
-	agreed     bool    // the rendezvous choice that other daemons make as well
-	cached     int     // prompt tokens
-	firstToken float64 // seconds to the first token
+	agreed     bool    // the rendezvous choice on which all daemons agree
+	cached     int     // prompt tokens predicted to be cached
+	firstToken float64 // predicted seconds to the first token
 	requests   float64 // at the endpoint now
-	limit      float64 // requests at which tokens come too slowly
-	service    bool    // a plain service, whose real limit nobody reports
+	limit      float64 // requests at which the time between tokens reaches its target
+	service    bool    // a plain service, which reports no limit
 }
 
 func (c *candidate) choice(overloaded bool) Choice {
@@ -31,11 +31,11 @@
 	}
 }
 
-// utilisation is how much of the endpoint's limit is in use with one more request.
+// utilisation is the used fraction of the limit, one more request included.
 func (c *candidate) utilisation() float64 { return (c.requests + 1) / c.limit }
 
-// overloaded reports whether one more request would break a target, with the
-// limits multiplied by slack.
+// overloaded reports whether one more request would miss a latency target, with
+// the limits multiplied by slack. A plain service is never overloaded.
 func (c *candidate) overloaded(t latencyTargets, slack float64) bool {
 	if c.service {
 		return false
@@ -43,7 +43,8 @@
 	return c.utilisation() > slack || c.firstToken > t.firstToken*slack
 }
 
-// predict fills in what the request would meet at the endpoint.
+// predict returns the candidate of an endpoint that has the given number of the
+// prompt's leading blocks cached.
 func (r *Router) predict(now int64, e *endpoint, q *Request, blocks int) candidate {
 	if q.Service != "" {
 		return r.predictService(e)
@@ -63,12 +64,12 @@
 	}
 }
 
-// serviceLimit is the number of requests that is taken as a full load of a
-// plain service's replica, to compare replicas by.
+// serviceLimit is the number of requests assumed to be the full load of a plain
+// service's replica. It serves only to compare replicas.
 const serviceLimit = 64
 
-// predictService has only this daemon's own requests to go by; their mean
-// time holds whatever queueing there was.
+// predictService predicts from this daemon's own requests, since plain services
+// send no load reports. Their mean latency includes any queueing.
 func (r *Router) predictService(e *endpoint) candidate {
 	return candidate{
 		endpoint:   e,
@@ -79,7 +80,8 @@
 	}
 }
 
-// baseline wraps a baseline's choice.
+// baseline returns the candidate of e, the choice of a baseline policy; e may be
+// nil.
 func (r *Router) baseline(now int64, s *replicaSet, q *Request, e *endpoint) candidate {
 	if e == nil {
 		return candidate{}
@@ -89,7 +91,8 @@
 	return c
 }
 
-// cachedBlocks returns the leading blocks that the endpoint is believed to hold.
+// cachedBlocks returns the number of the prompt's leading blocks that the
+// endpoint probably has cached.
 func (r *Router) cachedBlocks(e *endpoint, q *Request) int {
 	matches, common := r.index.Lookup(q.Blocks, r.scratch.matches[:0])
 	r.scratch.matches = matches
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -6,16 +6,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Reason says what led to a choice, for metrics and traces.
+// Reason is why an endpoint was chosen, for metrics and traces.
 type Reason uint8
 
-// The reasons.
+// Reasons for a choice.
 const (
-	ByPolicy Reason = iota // a baseline's rule
-	ByOwner                // the prompt's first rendezvous choice
-	BySpill                // a later rendezvous choice: those before are overloaded
-	ByCache                // believed to hold the prompt's leading blocks
-	ByLoad                 // drawn at random and cheapest
+	ByPolicy Reason = iota // by a baseline policy
+	ByOwner                // first rendezvous choice for the prompt
+	BySpill                // later rendezvous choice, as those before it are overloaded
+	ByCache                // probably has leading blocks of the prompt cached
+	ByLoad                 // random draw, and the cheapest candidate
 )
 
 var reasonNames = [...]string{"policy", "owner", "spill", "cache", "load"}
@@ -23,15 +23,16 @@
 // String returns the reason's name, usable as a metric label.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Choice is where an attempt goes.
+// Choice is the endpoint chosen for an attempt.
 type Choice struct {
 	Endpoint              fleet.EndpointID
 	Address               string // host:port
 	DataCentre            fleet.DataCentre
 	PredictedFirstToken   time.Duration
 	PredictedCachedTokens int // of the prompt
-	// Overloaded says that the answer would likely miss a latency target
-	// there, and nowhere was better: the time to refuse or to queue.
+	// Overloaded says that the answer would probably miss a latency target at
+	// this endpoint, although no candidate was better. The request should then
+	// be refused or queued.
 	Overloaded bool
 	Reason     Reason
 }
--- a/internal/routing/compare_test.go
+++ b/internal/routing/compare_test.go
@@ -13,35 +13,36 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/scorer"
 )
 
-// The comparison drives the routers of several daemons against engines that
-// batch continuously, in virtual time, without network or daemon.
+// The comparison simulates, in virtual time, the routers of several daemons and
+// engines with continuous batching, without network or daemon.
 const (
 	simSeed         = 5
 	simDaemons      = 6
 	simEngines      = 18
 	simEnd          = 300 * time.Second
-	simWarmUp       = 120 * time.Second // earlier arrivals aren't counted
+	simWarmUp       = 120 * time.Second // arrivals before it aren't counted
 	simLag          = 5 * time.Second   // of load reports and cache events
-	simLostEvents   = 0.3               // share of cache events
-	simSharedBlocks = 4                 // blocks that start every prompt
-	// simFull is the share of the engines' time that counts as full load: as
-	// steps lengthen towards the target, answers pass it well before 1.
+	simLostEvents   = 0.3               // fraction of cache events
+	simSharedBlocks = 4                 // leading blocks common to all prompts
+	// simFull is the fraction of the engines' time that counts as full load.
+	// Steps lengthen with the load, so answers miss the target between tokens
+	// well before 1.
 	simFull = 0.75
 )
 
-// simTurn is one request of a generated load.
+// simTurn is a request of the generated load, and its progress.
 type simTurn struct {
 	at     time.Duration
 	daemon int
 	q      Request
-	todo   int // prompt tokens to compute
-	tokens int // answered
-	first  time.Duration
+	todo   int           // prompt tokens still to compute
+	tokens int           // of the answer so far
+	first  time.Duration // time of the first token
 }
 
-// simLoad generates conversations about machines, whose service histories
-// they share, and short checks, at a mean rate of requests a second. The
-// turns of a conversation come through the three entries of its workspace.
+// simLoad generates requests at a mean rate per second: turns of conversations
+// about a machine, which start with that machine's service history, and short
+// single checks. Each request arrives at one of its workspace's three entries.
 func simLoad(rate float64) []simTurn {
 	const machines, meanTurns, checks = 300, 5, 0.4
 	rng := rand.New(rand.NewPCG(simSeed, 2))
@@ -76,7 +77,8 @@
 	return turns
 }
 
-// simChain returns n block hashes of which the first shared are everybody's.
+// simChain returns n block hashes, of which the first shared are the same for all
+// seeds.
 func simChain(seed uint64, shared, n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
@@ -88,8 +90,9 @@
 	return out
 }
 
-// simCapacity is the rate at which the load's work fills simFull of the
-// engines' time at the target between tokens, with nothing computed twice.
+// simCapacity returns the requests per second whose work takes simFull of the
+// engines' time, with steps as long as the target between tokens and no block
+// computed twice.
 func simCapacity() float64 {
 	fresh, answers, known := 0, 0, map[uint64]bool{}
 	turns := simLoad(50)
@@ -105,14 +108,15 @@
 	rate := 0.0
 	for i := range simEngines {
 		c := simClasses[i%2]
-		share := simFull * (1 - c.emptyStep/defaultTokenInterval.Seconds()) // of each step
+		share := simFull * (1 - c.emptyStep/defaultTokenInterval.Seconds()) // of each step at the target, without the empty step
 		rate += float64(len(turns)) * share / (float64(answers)*c.perRequest + float64(fresh)/c.prefill)
 	}
 	return rate
 }
 
-// BenchmarkCompare prints, for each load and policy, the share of answers
-// within both targets, the prompt tokens recomputed and the price of the work.
+// BenchmarkCompare reports, for each load and policy, the percentage of requests
+// answered within both latency targets, the percentage of prompt tokens
+// recomputed, and the price of the work.
 func BenchmarkCompare(b *testing.B) {
 	capacity := simCapacity()
 	for _, percent := range []int{30, 60, 90, 100, 130} {
@@ -125,7 +129,7 @@
 	}
 }
 
-// BenchmarkAblation prints the same without one scorer at a time.
+// BenchmarkAblation reports the same with one scorer removed at a time.
 func BenchmarkAblation(b *testing.B) {
 	capacity := simCapacity()
 	without := map[string]func(*Config, *scorer.Weights){
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -7,21 +7,21 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/scorer"
 )
 
-// Config is a router's settings. Zero fields take the defaults.
+// Config is a router's configuration. Zero fields take the defaults.
 type Config struct {
 	Policy        PolicyName
 	Region        fleet.Region // of this daemon
 	Weights       *scorer.Weights
-	FirstToken    time.Duration // target of the first token
-	TokenInterval time.Duration // target between tokens
-	// IndexBlocks bounds the prefix index; an entry takes 48 bytes.
+	FirstToken    time.Duration // latency target until the first token
+	TokenInterval time.Duration // latency target between tokens
+	// IndexBlocks is the number of blocks in the prefix index, 48 bytes each.
 	IndexBlocks int
-	// SameRegionRTT and OtherRegionRTT are the round trips assumed to a data centre
-	// of this region and of another one.
+	// SameRegionRTT and OtherRegionRTT are the assumed round trips to another
+	// data centre of the same region and to one of another region.
 	SameRegionRTT, OtherRegionRTT time.Duration
 }
 
-// Defaults: the targets are the users' (95 in 100 answers within them).
+// Defaults. Of all answers, 95% must meet the latency targets.
 const (
 	defaultFirstToken     = 1500 * time.Millisecond
 	defaultTokenInterval  = 34 * time.Millisecond
@@ -30,7 +30,8 @@
 	defaultOtherRegionRTT = 60 * time.Millisecond
 )
 
-// DefaultWeights were found by the comparison in docs/adr/0006-routing.md.
+// DefaultWeights are the weights where Config has none. Their comparison with
+// other weights is in docs/adr/0006-routing.md.
 var DefaultWeights = scorer.Weights{
 	Recompute:    2,
 	AgreedCached: 0.3,
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,11 +1,11 @@
-// Package routing chooses the endpoint of each attempt. A choice goes through
-// filters (which endpoints may serve the request at all), candidates (a
-// bounded number of those, whatever the fleet's size), scorers (what each
-// candidate would cost, in tokens) and a picker, which takes the cheapest.
+// Package routing chooses the endpoint of each attempt to serve a request. A
+// pick filters the endpoints that can serve it, gathers a bounded number of
+// candidates among them whatever the fleet's size, scores each candidate's cost
+// in tokens, and returns the cheapest.
 //
-// A Router is a plain type without clock, goroutine or lock: its owner passes
-// the time and the events in. All daemons that know the same endpoints rank
-// them alike for a prompt, so they agree on where a conversation goes without
-// a shared index; cache events and load reports are late and lossy
-// corrections.
+// A Router has no clock, goroutine or lock: the goroutine that owns it passes
+// in the time and the events. Daemons with the same list of endpoints rank them
+// identically for a prompt, so they send a conversation to the same engine
+// without a shared index. Cache events and load reports correct that choice;
+// they arrive late, and some are lost.
 package routing
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -1,27 +1,27 @@
 package routing
 
-// Cause says why no endpoint can be had.
+// Cause is why no endpoint was found.
 type Cause uint8
 
-// The causes.
+// Causes of NoEndpoint.
 const (
-	// NotServed: no endpoint of the list serves the model or service.
+	// NotServed: no listed endpoint serves the model or service.
 	NotServed Cause = iota + 1
-	// AllLeaving: those that serve it are under notice.
+	// AllLeaving: all endpoints that serve it are under notice.
 	AllLeaving
-	// AllTried: the request excludes those that are left.
+	// AllTried: the request excludes all endpoints that could serve it.
 	AllTried
 )
 
 var causeNames = [...]string{"", "no endpoint serves it", "all endpoints that serve it are leaving", "all endpoints that serve it were tried"}
 
-// String returns the cause in words.
+// String returns the cause as part of an error message.
 func (c Cause) String() string { return causeNames[c] }
 
-// NoEndpoint is the error of a Pick that found none. Nothing was sent.
+// NoEndpoint is the error of a Pick that found no endpoint. Nothing was sent.
 type NoEndpoint struct {
 	Cause Cause
 }
 
-// Error returns the message.
+// Error implements error.
 func (e NoEndpoint) Error() string { return "routing: " + e.Cause.String() }
--- a/internal/routing/estimate/doc.go
+++ b/internal/routing/estimate/doc.go
@@ -1,4 +1,5 @@
-// Package estimate says how busy an engine is now, from its lagging report
-// and from what this daemon sent it, and how soon it would produce a first
-// token. Times passed in are nanoseconds of one clock, durations seconds.
+// Package estimate estimates an engine's present load from its lagging reports
+// and from the requests that this daemon sent it, and predicts the time to the
+// first token. Times are int64 nanoseconds of one clock, durations are float64
+// seconds.
 package estimate
--- a/internal/routing/estimate/engine.go
+++ b/internal/routing/estimate/engine.go
@@ -9,31 +9,31 @@
 	defaultTokenMillis      = 20.0
 )
 
-// maxReportAge is the age past which a report says nothing about the present.
+// maxReportAge is the age in ns above which a report is ignored.
 const maxReportAge = int64(60e9)
 
-// Engine is the estimate of one engine's load. The zero value is an engine
-// that is idle as far as anyone knows.
+// Engine estimates the load of one engine. The zero value is an engine without
+// reports and requests, which is estimated to be idle.
 type Engine struct {
 	report   engineapi.Load
-	takenAt  int64       // 0 before the first report
-	others   Outstanding // requests of other daemons when the report was taken
+	takenAt  int64       // ns; 0 before the first report
+	others   Outstanding // of other daemons when the report was taken
 	average  average     // of others
-	own      Outstanding
-	history  history
-	reserved Outstanding // moves that were promised a place
+	own      Outstanding // of this daemon
+	history  history     // of own
+	reserved Outstanding // for requests that are being moved here
 }
 
-// View is the estimate at one moment.
+// View is an engine's estimated load at one moment.
 type View struct {
-	Requests      float64 // running and waiting, all daemons
-	WaitingTokens float64 // uncached prompt tokens that nobody has prefilled yet
+	Requests      float64 // running and queued, of all daemons
+	WaitingTokens float64 // uncached prompt tokens to prefill
 	Slots         float64 // requests that run at once
 	PrefillRate   float64 // tokens a second
 	TokenSeconds  float64 // between tokens, as reported
 }
 
-// Report takes in a load report. One older than the last is ignored.
+// Report records a load report. It ignores one that is not newer than the last.
 func (e *Engine) Report(load engineapi.Load) {
 	at := load.TakenAtMillis * 1e6
 	if at <= e.takenAt {
@@ -48,50 +48,52 @@
 	e.average.add(at, e.others)
 }
 
-// Dispatched counts a request of this daemon.
+// Dispatched counts a request that this daemon sent, with its uncached prompt
+// tokens.
 func (e *Engine) Dispatched(now int64, uncached int) {
 	e.own.Requests++
 	e.own.WaitingTokens += uncached
 	e.history.add(now, e.own)
 }
 
-// Prefilled notes that a request's prompt needs no more work.
+// Prefilled records that the prompt of a request has been prefilled.
 func (e *Engine) Prefilled(now int64, uncached int) {
 	e.own.WaitingTokens -= uncached
 	e.history.add(now, e.own)
 }
 
-// Finished ends a request; uncached is 0 after Prefilled.
+// Finished removes a request. uncached is 0 after Prefilled.
 func (e *Engine) Finished(now int64, uncached int) {
 	e.own.Requests--
 	e.own.WaitingTokens -= uncached
 	e.history.add(now, e.own)
 }
 
-// Reserve promises a place to a request that is being moved here.
+// Reserve counts a request that is being moved here, with its prompt tokens to
+// prefill.
 func (e *Engine) Reserve(tokens int) {
 	e.reserved.Requests++
 	e.reserved.WaitingTokens += tokens
 }
 
-// Release takes a promise back.
+// Release removes a request counted by Reserve.
 func (e *Engine) Release(tokens int) {
 	e.reserved.Requests--
 	e.reserved.WaitingTokens -= tokens
 }
 
-// Own returns this daemon's unfinished requests.
+// Own returns this daemon's outstanding requests.
 func (e *Engine) Own() Outstanding { return e.own }
 
-// Slots returns the requests that run at once.
+// Slots returns how many requests the engine can run at once.
 func (e *Engine) Slots() float64 { return positive(float64(e.report.Slots), defaultSlots) }
 
-// PrefillRate returns the prompt tokens computed in a second.
+// PrefillRate returns the engine's prefill rate in tokens a second.
 func (e *Engine) PrefillRate() float64 {
 	return positive(float64(e.report.PrefillPerSecond), defaultPrefillPerSecond)
 }
 
-// View returns the estimate at now.
+// View returns the estimate at a time in ns.
 func (e *Engine) View(now int64) View {
 	v := View{
 		Requests:      float64(e.own.Requests + e.reserved.Requests),
--- a/internal/routing/estimate/engine_test.go
+++ b/internal/routing/estimate/engine_test.go
@@ -10,9 +10,9 @@
 
 const second = int64(1e9)
 
-// A daemon sends three requests, of which the report, five seconds late, had
-// seen two. Counted twice, the engine would look fuller than it is; left out,
-// emptier.
+// A daemon sends three requests, of which a late load report counts two. If these
+// two were counted twice, the load would be overestimated; if they were left out,
+// it would be underestimated.
 func TestOwnRequestsAreCountedOnce(t *testing.T) {
 	var e Engine
 	e.Dispatched(100*second, 500)
@@ -20,7 +20,7 @@
 	e.Dispatched(104*second, 500)
 	e.Report(engineapi.Load{TakenAtMillis: 102_000, Running: 1, Queued: 4, QueuedPromptTokens: 1500})
 	v := e.View(102 * second)
-	assert.Equal(t, v.Requests, 6.0) // three of others, three of its own
+	assert.Equal(t, v.Requests, 6.0) // three of other daemons, three of its own
 	assert.Equal(t, v.WaitingTokens, 2000.0)
 	e.Prefilled(105*second, 500)
 	e.Finished(106*second, 0)
@@ -29,8 +29,8 @@
 	assert.Equal(t, v.WaitingTokens, 1500.0)
 }
 
-// A report says that the engine is idle, but it usually isn't: by the time the
-// report arrives, that moment is gone.
+// The latest report is of an idle moment of a busy engine. As the report ages, the
+// estimate must return to the engine's average.
 func TestOldReportConvergesToAverage(t *testing.T) {
 	var e Engine
 	for at := int64(1); at <= 60; at++ {
@@ -39,13 +39,13 @@
 	e.Report(engineapi.Load{TakenAtMillis: 60_001})
 	assert.Assert(t, e.View(60*second).Requests < 1)
 	assert.Assert(t, e.View(65*second).Requests > 15)
-	assert.Equal(t, e.View(200*second).Requests, 0.0) // too old to say anything
+	assert.Equal(t, e.View(200*second).Requests, 0.0) // the report is ignored
 }
 
 func TestFirstToken(t *testing.T) {
 	v := View{Requests: 10, WaitingTokens: 2000, Slots: 16, PrefillRate: 1000, TokenSeconds: 0.02}
 	assert.Equal(t, v.FirstToken(Request{Uncached: 500, Decode: 4}), 2.52)
-	v.Requests = 19 // and this one: four more than there are places
+	v.Requests = 19 // with this request, four more than the slots
 	assert.Equal(t, v.FirstToken(Request{Uncached: 500, Decode: 4}), 3.52)
 }
 
--- a/internal/routing/estimate/outstanding.go
+++ b/internal/routing/estimate/outstanding.go
@@ -1,31 +1,33 @@
 package estimate
 
-// Outstanding counts this daemon's unfinished requests at one engine.
+// Outstanding counts unfinished requests at one engine.
 type Outstanding struct {
 	Requests      int // dispatched and not finished
-	WaitingTokens int // uncached prompt tokens of those without a first token
+	WaitingTokens int // uncached prompt tokens of the requests without a first token
 }
 
-// Bounds of the history of Own.
+// Bounds of a history.
 const (
-	// historyLen times historyStep covers a report that is 16 s old; an older
-	// one counts all own requests as made since, which errs to the safe side.
+	// historyLen times historyStep covers reports that are up to 16 s old. An
+	// older report may be taken to count none of this daemon's requests, which
+	// overestimates the load.
 	historyLen  = 32
 	historyStep = int64(500e6) // ns
 )
 
 type sample struct {
-	at  int64
+	at  int64 // ns; 0 is an unused sample
 	own Outstanding
 }
 
-// history keeps what Own was in the recent past, one sample a step.
+// history is a ring buffer of this daemon's outstanding requests in the recent
+// past, with one sample for each step in which they changed.
 type history struct {
 	ring [historyLen]sample
-	next uint8
+	next uint8 // index of the next sample to write
 }
 
-// add records own as it is from now on.
+// add records that own is outstanding from now on.
 func (h *history) add(now int64, own Outstanding) {
 	last := &h.ring[(h.next+historyLen-1)%historyLen]
 	if last.at != 0 && now/historyStep == last.at/historyStep {
@@ -36,7 +38,7 @@
 	h.next = (h.next + 1) % historyLen
 }
 
-// at returns what Own was at a time, zero before the oldest sample.
+// at returns what was outstanding at a time, and zero before the oldest sample.
 func (h *history) at(t int64) Outstanding {
 	for i := 1; i <= historyLen; i++ {
 		s := &h.ring[(int(h.next)+historyLen-i)%historyLen]
--- a/internal/routing/estimate/token_latency.go
+++ b/internal/routing/estimate/token_latency.go
@@ -1,21 +1,23 @@
 package estimate
 
-// fitGain is the weight of the newest report in a class's line; at one
-// report a second from each of a few engines it follows within a minute.
+// fitGain is the weight of the newest report in the fit. With one report a second
+// from each of a few engines, the fit follows a change within a minute.
 const fitGain = 0.02
 
-// minVariance is the variance of the running requests below which the reports
-// lie too close together to draw a line through.
+// minVariance is the variance of the running requests below which the reports are
+// too similar for a fit.
 const minVariance = 0.5
 
-// TokenLatency learns for one machine class how the time between tokens grows with
-// the requests that run at once: a line fitted by least squares to the
-// engines' reports, older ones fading. The zero value knows nothing.
+// TokenLatency models, for one machine class, the time between tokens as a linear
+// function of the requests that run at once. It is a least-squares fit to the
+// engines' reports, weighted exponentially by their age. The zero value is a
+// model without reports.
 type TokenLatency struct {
-	n, x, y, xx, xy float64 // faded means; n in 0..1 is the weight so far
+	n, x, y, xx, xy float64 // sums weighted by age: of the weights (at most 1), x, y, x*x and x*y
 }
 
-// Add takes in one report: requests running and seconds between tokens.
+// Add records a report of the requests running and the seconds between tokens. It
+// ignores one in which either is not positive.
 func (l *TokenLatency) Add(running int, seconds float64) {
 	if running <= 0 || seconds <= 0 {
 		return
@@ -29,9 +31,9 @@
 	l.xy = l.xy*keep + fitGain*x*seconds
 }
 
-// Limit returns the requests that may run at once on an engine before the
-// time between tokens passes target seconds, between 1 and slots. With too
-// little known it is slots.
+// Limit returns how many requests can run at once on an engine with a time between
+// tokens of at most target seconds, from 1 to slots. It returns slots while the
+// reports don't suffice for a fit.
 func (l *TokenLatency) Limit(target, slots float64) float64 {
 	if l.n == 0 {
 		return slots
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -2,11 +2,11 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// filter holds what a request rules out. What serves it, is not leaving and
-// not ejected is the set's business.
+// filter excludes endpoints for one request. Members of a replicaSet already
+// serve the request's model or service and are neither leaving nor ejected.
 type filter struct {
 	request *Request
-	avoid   fleet.DataCentre
+	avoid   fleet.DataCentre // empty means none
 }
 
 func (f filter) ok(e *endpoint) bool {
--- a/internal/routing/health_events.go
+++ b/internal/routing/health_events.go
@@ -7,9 +7,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/health"
 )
 
-// Notice says that an endpoint is leaving; from now on it receives nothing.
-// leaveAt may be zero when not known. It may be repeated, and may come before
-// the list names the endpoint.
+// Notice records that an endpoint is leaving. From now on it receives no new
+// requests. A zero leaveAt means unknown. A notice may be repeated, and may come
+// before the list names the endpoint.
 func (r *Router) Notice(now time.Time, id fleet.EndpointID, leaveAt time.Time) {
 	r.notices.add(now.UnixNano(), id)
 	e := r.endpoints[id]
@@ -23,8 +23,8 @@
 	r.stale = true
 }
 
-// Stalled says that an open connection to the endpoint stopped making
-// progress. The answer may be a probe on a new connection.
+// Stalled records that an open connection to the endpoint stopped making
+// progress. The action may be a probe on a new connection.
 func (r *Router) Stalled(now time.Time, id fleet.EndpointID) Action {
 	e := r.endpoints[id]
 	if e == nil || !e.health.Stalled(now.UnixNano()) {
@@ -33,7 +33,8 @@
 	return e.action(Probe)
 }
 
-// DialFailed says that a new connection or a probe failed.
+// DialFailed records that a new connection or a probe failed. The action may be
+// an ejection.
 func (r *Router) DialFailed(now time.Time, id fleet.EndpointID) Action {
 	e := r.endpoints[id]
 	if e == nil {
@@ -47,7 +48,8 @@
 	return e.action(Eject)
 }
 
-// ProbeOK says that a new connection or a probe worked.
+// ProbeOK records that a new connection or a probe succeeded. The action may be
+// a restoration.
 func (r *Router) ProbeOK(now time.Time, id fleet.EndpointID) Action {
 	e := r.endpoints[id]
 	if e == nil || !e.health.Connected() {
@@ -57,14 +59,14 @@
 	return e.action(Restore)
 }
 
-// Progress says that a byte came from the endpoint, which proves it alive.
+// Progress records that data arrived from the endpoint, which proves it alive.
 func (r *Router) Progress(now time.Time, id fleet.EndpointID) {
 	if e := r.endpoints[id]; e != nil {
 		e.health.Progress(now.UnixNano())
 	}
 }
 
-// Probes appends the probes that are due. Call it a few times a second.
+// Probes appends to dst the probes that are due. Call it a few times a second.
 func (r *Router) Probes(now time.Time, dst []Action) []Action {
 	for _, e := range r.byHandle {
 		if e != nil && e.health.ProbeDue(now.UnixNano()) {
@@ -74,7 +76,7 @@
 	return dst
 }
 
-// mayEject reports whether every set of the endpoint can spare it.
+// mayEject reports whether the endpoint may be ejected from all of its sets.
 func (e *endpoint) mayEject() bool {
 	for _, s := range e.sets {
 		if !health.MayEject(s.ejected, s.present) {
@@ -84,8 +86,8 @@
 	return true
 }
 
-// reinstate puts ejected endpoints back while a set has more than half of
-// those present ejected. It reports whether any was.
+// reinstate returns ejected endpoints to use while one of their sets has more
+// than half of its present endpoints ejected. It reports whether it did so.
 func (r *Router) reinstate() bool {
 	changed := false
 	for _, e := range r.byHandle {
@@ -101,6 +103,7 @@
 	return changed
 }
 
+// overEjected reports whether more than half of a set of the endpoint is ejected.
 func (e *endpoint) overEjected() bool {
 	for _, s := range e.sets {
 		if 2*s.ejected > s.present {
--- a/internal/routing/health_events_test.go
+++ b/internal/routing/health_events_test.go
@@ -14,9 +14,9 @@
 	return r.DialFailed(now, id)
 }
 
-// Open connections to an endpoint go silent for good while new ones work.
-// Ejected for that, a healthy engine would leave the set; instead it is
-// probed, and goes on receiving.
+// Open connections to an endpoint stall for ever while new ones work, as when a
+// device between the two ends loses their state. The endpoint is healthy: it
+// must be probed and still receive requests.
 func TestStalledConnectionProbesWithoutEjecting(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(1))
 	assert.Equal(t, r.Stalled(start, "engine-0").Kind, Probe)
@@ -42,9 +42,9 @@
 	assert.Equal(t, len(r.Probes(start.Add(time.Hour), nil)), 0)
 }
 
-// This daemon loses its way to most engines. Were all that fail ejected, the
-// last ones would get everybody's load and fail too: at most half go, also
-// when healthy ones leave afterwards.
+// This daemon loses its network path to most engines. If it ejected all that
+// fail, the last ones would receive the whole load and fail too. At most half may
+// be ejected, also when healthy ones leave afterwards.
 func TestAtMostHalfOfSetIsEjected(t *testing.T) {
 	list := endpoints(10)
 	r := testRouter(1, Config{}, list)
@@ -65,8 +65,8 @@
 	assert.Equal(t, len(s.members), 3)
 }
 
-// Dials fail because this daemon has run out of ports while the endpoint's
-// streams go on. That says nothing about the endpoint.
+// New connections fail because this daemon has no free ports, while the
+// endpoint's streams make progress. The endpoint must not be ejected.
 func TestProgressingEndpointIsNotEjected(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(4))
 	r.Progress(start, "engine-0")
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-// prompt returns a request whose blocks depend on the seed alone.
+// prompt returns a request whose blocks depend only on the seed.
 func prompt(seed uint64, blocks int) *Request {
 	return &Request{
 		ID: fleet.RequestID(fmt.Sprint(seed)), Model: testModel, MaxTokens: 100,
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -1,12 +1,14 @@
 package routing
 
-// latencyGain is the weight of the newest answer.
+// latencyGain is the weight of the newest sample.
 const latencyGain = 0.2
 
-// defaultDecodeSeconds is the time of an answer, in seconds, before one was seen.
+// defaultDecodeSeconds is the time assumed between an answer's first token and
+// its last before one was measured.
 const defaultDecodeSeconds = 5.0
 
-// latency is a moving average of answer times in seconds.
+// latency is an exponentially weighted moving average in seconds. The zero value
+// has no sample.
 type latency struct {
 	mean float64
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -7,8 +7,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/estimate"
 )
 
-// SetEndpoints replaces the list of endpoints. What is known of those that
-// stay is kept; a notice once given holds whatever the list says.
+// SetEndpoints replaces the list of endpoints. The state of endpoints that are
+// in both lists is kept. An endpoint under notice stays so even if the list
+// reports it as live.
 func (r *Router) SetEndpoints(now time.Time, list []fleet.Endpoint) {
 	r.generation++
 	for i := range list {
@@ -62,7 +63,7 @@
 	return uint32(len(r.byHandle) - 1)
 }
 
-// rtt returns the round trip to the endpoint in seconds.
+// rtt returns the assumed round trip to an endpoint in seconds.
 func (r *Router) rtt(info fleet.Endpoint) float64 {
 	switch {
 	case info.DataCentre == r.self:
@@ -74,6 +75,7 @@
 	}
 }
 
+// tokenLatency returns the model of a machine class.
 func (r *Router) tokenLatency(name string) *estimate.TokenLatency {
 	l := r.classes[name]
 	if l == nil {
@@ -83,7 +85,8 @@
 	return l
 }
 
-// regroup says anew which sets each endpoint belongs to.
+// regroup assigns each endpoint to its sets. A set that had the same key before
+// is reused.
 func (r *Router) regroup() {
 	old := r.sets
 	r.sets = make(map[setKey]*replicaSet, len(old))
@@ -98,14 +101,14 @@
 		}
 		for _, m := range e.info.Models {
 			r.join(e, setKey{model: m}, old)
-			m.Version = "" // a request may ask for any version
+			m.Version = "" // requests without a version accept any
 			r.join(e, setKey{model: m}, old)
 		}
 	}
 	r.stale = true
 }
 
-// join adds the endpoint to a set, once.
+// join adds the set of a key to those of the endpoint, at most once.
 func (r *Router) join(e *endpoint, key setKey, old map[setKey]*replicaSet) {
 	s := r.sets[key]
 	if s == nil {
@@ -123,8 +126,8 @@
 	e.sets = append(e.sets, s)
 }
 
-// refresh rebuilds the sets' members after a change. When a set shrank so
-// that too large a share of it is ejected, the excess is put back.
+// refresh rebuilds the members of all sets after a change. If a set shrank so
+// that more than half of it is ejected, endpoints are reinstated.
 func (r *Router) refresh() {
 	if !r.stale {
 		return
--- a/internal/routing/load_events.go
+++ b/internal/routing/load_events.go
@@ -7,7 +7,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// ReportLoad takes in an engine's load report, however late.
+// ReportLoad records an engine's load report, which may be late.
 func (r *Router) ReportLoad(_ time.Time, id fleet.EndpointID, load engineapi.Load) {
 	e := r.endpoints[id]
 	if e == nil {
@@ -16,16 +16,16 @@
 	slots, prefill := e.load.Slots(), e.load.PrefillRate()
 	e.load.Report(load)
 	if slots != e.load.Slots() || prefill != e.load.PrefillRate() {
-		r.stale = true // ranks and prices rest on them
+		r.stale = true // rendezvous weights and token prices depend on them
 	}
 	e.tokenLatency.Add(load.Running, load.TokenMillis/1000)
 	r.index.SetCapacity(e.handle, load.CacheBlocks)
 }
 
-// ReportCache takes in a page of an engine's cache events, late and with
-// gaps. Pages are given in order; repeating the last one does no harm. One
-// that ends before the last page did comes from a restarted engine, whose
-// cache is empty.
+// ReportCache records a page of an engine's cache events, which may be late and
+// have gaps. Pages must come in order; repeating the last one has no effect. A
+// page that ends before the last one did is from a restarted engine, whose cache
+// was empty.
 func (r *Router) ReportCache(_ time.Time, id fleet.EndpointID, page engineapi.CacheEvents) {
 	e := r.endpoints[id]
 	if e == nil {
@@ -54,8 +54,7 @@
 	}
 }
 
-// skipTo counts the events up to seq as lost. What came before the first page
-// isn't counted.
+// skipTo counts the events before seq as lost, unless this is the first page.
 func (r *Router) skipTo(e *endpoint, seq uint64) {
 	if e.nextSeq != 0 && seq > e.nextSeq {
 		r.index.Lost(e.handle, seq-e.nextSeq)
@@ -63,14 +62,14 @@
 	e.nextSeq = max(e.nextSeq, seq)
 }
 
-// Dispatched says that an attempt left for the endpoint of the choice.
+// Dispatched records that an attempt was sent to the endpoint of the choice.
 func (r *Router) Dispatched(now time.Time, id fleet.EndpointID, q *Request, c Choice) {
 	e := r.endpoints[id]
 	if e == nil {
 		return
 	}
 	key := attemptKey{endpoint: id, request: q.ID}
-	r.end(now.UnixNano(), key) // a reservation, or the same attempt told twice
+	r.end(now.UnixNano(), key) // a reservation, or the same attempt reported before
 	uncached := max(0, q.PromptTokens-c.PredictedCachedTokens)
 	r.attempts[key] = attempt{
 		started:  now.UnixNano(),
@@ -82,7 +81,7 @@
 	}
 }
 
-// FirstToken says that the attempt's first token came.
+// FirstToken records that the first token of an attempt arrived.
 func (r *Router) FirstToken(now time.Time, id fleet.EndpointID, req fleet.RequestID) {
 	e := r.endpoints[id]
 	key := attemptKey{endpoint: id, request: req}
@@ -97,7 +96,7 @@
 	r.attempts[key] = a
 }
 
-// Finished ends an attempt, whatever became of it. An unknown one is ignored.
+// Finished ends an attempt with any outcome. It ignores an unknown attempt.
 func (r *Router) Finished(now time.Time, id fleet.EndpointID, req fleet.RequestID, outcome Outcome) {
 	key := attemptKey{endpoint: id, request: req}
 	a, ok := r.end(now.UnixNano(), key)
@@ -113,7 +112,8 @@
 	}
 }
 
-// end forgets an attempt or a reservation and takes it off the load.
+// end removes an attempt or a reservation and its load. It returns false if
+// there is none.
 func (r *Router) end(now int64, key attemptKey) (attempt, bool) {
 	a, ok := r.attempts[key]
 	if !ok {
--- a/internal/routing/notices.go
+++ b/internal/routing/notices.go
@@ -6,15 +6,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// noticeTTL is how long a notice is remembered after the endpoint's list
-// entry went: longer than any lag of the instance list.
+// noticeTTL is how long a notice is kept after the instance list stopped naming
+// the endpoint. It is longer than any lag of that list.
 const noticeTTL = 10 * time.Minute
 
-// notices remembers which endpoints are under notice, by the time at which
-// that may be forgotten (ns). The instance list lags: it names an endpoint as
-// live after its notice, or even after it was gone from an earlier answer.
-// Taken at its word, new requests would go to an instance that is vanishing.
-// Ids are never reused, so a notice holds until no list can name it.
+// notices holds, for each endpoint under notice, the time in ns after which the
+// notice may be dropped. The instance list lags: it may report an endpoint as
+// live after its notice, or name it again after a list that omitted it. Without
+// the notices, new requests would go to an instance that is about to vanish.
+// Endpoint ids are never reused, so a notice is kept until no list can name its
+// endpoint any more.
 type notices map[fleet.EndpointID]int64
 
 func (n notices) add(now int64, id fleet.EndpointID) {
@@ -26,7 +27,7 @@
 	return ok
 }
 
-// prune drops old notices of endpoints that are no longer listed.
+// prune extends the notices of listed endpoints and drops those that expired.
 func (n notices) prune(now int64, listed map[fleet.EndpointID]*endpoint) {
 	for id, until := range n {
 		if _, ok := listed[id]; ok {
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -5,7 +5,7 @@
 )
 
 // Pick chooses the endpoint of a request's next attempt. The error is a
-// NoEndpoint. The choice counts as load only once Dispatched is told.
+// NoEndpoint. The choice counts as load only after a call of Dispatched.
 func (r *Router) Pick(now time.Time, q *Request) (Choice, error) {
 	r.refresh()
 	r.expire(now.UnixNano())
@@ -23,8 +23,8 @@
 	return c.choice(c.overloaded(r.target, r.refusalSlack())), nil
 }
 
-// choose runs the policy; the data centre to avoid is used when there is no
-// other way.
+// choose applies the policy. If only endpoints in the data centre to avoid are
+// left, it chooses among these.
 func (r *Router) choose(now int64, s *replicaSet, q *Request) candidate {
 	f := filter{request: q, avoid: q.Avoid}
 	c := r.applyPolicy(now, s, q, f)
--- a/internal/routing/pick_bench_test.go
+++ b/internal/routing/pick_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/engineapi"
 )
 
-// BenchmarkPick measures the decision alone, with prompts of 1,600 tokens of
-// which half are known to the index, at the sizes of today, of the target and
-// of one endpoint an accelerator.
+// BenchmarkPick measures a pick without dispatch. Half of the prompts, of 1,600
+// tokens each, are in the prefix index. The sizes are a small deployment, a large
+// one, and a large one with one endpoint for each accelerator.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 690, 5500} {
 		for _, policy := range Policies {
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkSetEndpoints measures a repeated answer of the instance list, and
-// the memory that a router takes for each endpoint besides its index.
+// BenchmarkSetEndpoints measures the update with an unchanged list, and a
+// router's memory for each endpoint without the prefix index.
 func BenchmarkSetEndpoints(b *testing.B) {
 	for _, n := range []int{18, 690, 5500} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
--- a/internal/routing/pick_test.go
+++ b/internal/routing/pick_test.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// The instance list lags. A caller's request would go to an instance that
-// vanishes with it when (1) a notice comes, (2) a list made before it still
-// says live, (3) another answer omits the endpoint and a third, older one
-// names it again. Ids are never reused, so the notice holds throughout.
+// The instance list lags: after a notice, an older list still reports the
+// endpoint as live, a newer one omits it, and then an older one names it again.
+// If the notice did not stay in force, requests would go to an instance that is
+// about to vanish. Endpoint ids are never reused.
 func TestNoticeOverridesStaleLists(t *testing.T) {
 	list := endpoints(2)
 	r := testRouter(1, Config{}, list)
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -6,13 +6,13 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's errors of settings.
+// Error is the class of this package's configuration errors.
 var Error = errs.Class("routing")
 
-// PolicyName chooses how candidates are found and compared.
+// PolicyName names a way to find and compare candidates.
 type PolicyName string
 
-// The policies. All but the first are baselines to measure against.
+// The policies. All but Cyclamenbeam are baselines for comparison.
 const (
 	Cyclamenbeam     PolicyName = "cyclamenbeam"
 	RoundRobin       PolicyName = "round-robin"
@@ -21,11 +21,11 @@
 	PureAffinity     PolicyName = "pure-affinity"
 )
 
-// Policies lists every policy, ours first.
+// Policies lists every policy, the default first.
 var Policies = []PolicyName{Cyclamenbeam, RoundRobin, LeastOutstanding, RandomOfTwo, PureAffinity}
 
-// ParsePolicy returns the policy of a name from the settings; an empty name is
-// ours.
+// ParsePolicy returns the policy of a name from the settings. An empty name is
+// Cyclamenbeam. The error names an unknown policy and the known ones.
 func ParsePolicy(name string) (PolicyName, error) {
 	p := or(PolicyName(name), Cyclamenbeam)
 	if !slices.Contains(Policies, p) {
--- a/internal/routing/prefix/index.go
+++ b/internal/routing/prefix/index.go
@@ -1,28 +1,29 @@
-// Package prefix keeps a bounded index of which engine is believed to hold
-// which leading blocks of prompts, each named by its chained hash.
+// Package prefix is an index of bounded size of the leading prompt blocks that
+// each engine probably has in its cache. A block is identified by its chained
+// hash, an engine by a handle: a small integer, which may be reused for another
+// engine after Index.Forget.
 package prefix
 
 // Bounds of an Index.
 const (
-	// ways is the number of entries that share a bucket; the least recently
-	// used of them is replaced.
+	// ways is the number of entries in a bucket. A new entry replaces the least
+	// recently used one.
 	ways = 4
-	// maxHolders is the number of engines remembered for one block. A block that
-	// more engines hold is the start of everybody's prompt and costs little
-	// to recompute.
+	// maxHolders is the number of engines kept for one block. A block that more
+	// engines hold is at the start of many prompts and costs little to recompute.
 	maxHolders = 4
-	// DefaultCacheBlocks is an engine's assumed capacity until it reports one.
+	// DefaultCacheBlocks is the assumed capacity of an engine that reported none.
 	DefaultCacheBlocks = 4096
 )
 
-// Match says that an engine is believed to hold a prompt's leading blocks.
+// Match is an engine that probably holds leading blocks of a prompt.
 type Match struct {
-	Handle uint32 // the engine's number, as given to Store
-	Blocks int    // leading blocks held
+	Handle uint32 // of the engine
+	Blocks int    // number of leading blocks held
 }
 
-// holder is one engine's copy of a block. stamp is the engine's clock when
-// the block was last used there.
+// holder is an engine that holds a block. stamp is the value of engine.clock at
+// the block's last use there.
 type holder struct {
 	handle uint32
 	stamp  uint32
@@ -30,32 +31,32 @@
 
 type entry struct {
 	hash    uint64
-	used    uint32 // the index's clock at the last use
-	count   uint32 // holders in use
+	used    uint32 // Index.clock at the last use
+	count   uint32 // of holders in use
 	holders [maxHolders]holder
 }
 
-// engine tracks how many blocks entered an engine's cache. An engine evicts
-// the least recently used block, so a block is taken as evicted once as many
-// others have entered since its last use as the cache holds.
+// engine counts the blocks that were added to an engine's cache. An engine evicts
+// its least recently used block, so a block is assumed to be evicted once more
+// blocks than the capacity have been added since its last use.
 type engine struct {
-	clock    uint32
-	capacity uint32
+	clock    uint32 // blocks added so far
+	capacity uint32 // in blocks
 }
 
-// Index remembers, in memory fixed at New, which engines are believed to hold
-// which blocks: from prompts sent there and from the engines' cache events.
-// It is a hint and may be wrong in both directions. Not safe for concurrent
-// use.
+// Index maps blocks to the engines that probably hold them, as inferred from the
+// prompts sent there and from the engines' cache events. It may be wrong in both
+// directions. The memory for its entries is allocated by NewIndex and does not
+// grow. It is not safe for concurrent use.
 type Index struct {
 	buckets [][ways]entry
 	mask    uint64
-	clock   uint32
-	engines []engine
+	clock   uint32   // uses of any block so far
+	engines []engine // by handle
 }
 
-// NewIndex returns an index of about blocks entries of 48 bytes each,
-// rounded up to a power of two.
+// NewIndex returns an index of at least the given number of entries, of 48 bytes
+// each. The number is rounded up to a power of two.
 func NewIndex(blocks int) *Index {
 	n := 1
 	for n*ways < blocks {
@@ -64,23 +65,24 @@
 	return &Index{buckets: make([][ways]entry, n), mask: uint64(n - 1)}
 }
 
-// SetCapacity tells how many blocks the engine's cache holds.
+// SetCapacity sets the number of blocks that the engine's cache can hold. It
+// ignores a number that is not positive.
 func (x *Index) SetCapacity(handle uint32, blocks int) {
 	if blocks > 0 {
 		x.engine(handle).capacity = uint32(blocks)
 	}
 }
 
-// forgetGap, in blocks, is more than any engine's cache holds, so what was
-// stored before it is taken as evicted whatever capacity is reported later.
-// The clock wraps after 256 of them, by when old entries were replaced.
+// forgetGap, in blocks, exceeds the capacity of any engine's cache. Blocks stored
+// before it are assumed to be evicted, whatever capacity is reported later. The
+// clock wraps around after 256 gaps, by when old entries have been replaced.
 const forgetGap = 1 << 24
 
-// Forget drops all knowledge of an engine: its cache is lost, or its slot is
-// about to be reused.
+// Forget drops all blocks of an engine, because its cache is lost or its handle
+// is about to be reused.
 func (x *Index) Forget(handle uint32) { x.engine(handle).clock += forgetGap }
 
-// Store notes that the engine holds the block, or used it just now.
+// Store records that the engine has just stored or used the block.
 func (x *Index) Store(handle uint32, hash uint64) {
 	g := x.engine(handle)
 	x.clock++
@@ -96,10 +98,10 @@
 	x.addHolder(e, holder{handle: handle, stamp: g.clock})
 }
 
-// Evicted notes an engine's word that it dropped the block. Events are late:
-// one about a block that was used there lately is older than that use, since
-// an engine drops its least recently used blocks, and is ignored; otherwise
-// the warm engine of a running conversation would look cold.
+// Evicted records an event that the engine evicted the block. Events are late. As
+// an engine evicts its least recently used blocks, an event for a block that was
+// used there recently must be older than that use. It is ignored; otherwise the
+// engine of a running conversation would appear to have nothing cached.
 func (x *Index) Evicted(handle uint32, hash uint64) {
 	e := x.find(hash)
 	if e == nil {
@@ -117,15 +119,15 @@
 	}
 }
 
-// Lost notes that events of the engine went missing: about half of them were
-// blocks stored, each of which pushed out an older one.
+// Lost records that events of the engine were lost. About half of them were
+// blocks stored, each of which evicted an older one.
 func (x *Index) Lost(handle uint32, events uint64) {
 	g := x.engine(handle)
 	g.clock += uint32(min(events/2, uint64(g.capacity)+1))
 }
 
-// insert returns the entry of hash, replacing its bucket's least recently
-// used entry when there is none.
+// insert returns the entry of hash. If there is none, it takes a free entry of
+// the bucket or replaces the least recently used one.
 func (x *Index) insert(hash uint64) *entry {
 	if e := x.find(hash); e != nil {
 		return e
@@ -145,6 +147,7 @@
 	return victim
 }
 
+// find returns the entry of hash, or nil.
 func (x *Index) find(hash uint64) *entry {
 	b := &x.buckets[hash&x.mask]
 	for i := range b {
@@ -155,8 +158,8 @@
 	return nil
 }
 
-// addHolder adds h, in place of the holder that is nearest to eviction when
-// all places are taken.
+// addHolder adds h. If the entry is full, h replaces the holder that is nearest
+// to eviction.
 func (x *Index) addHolder(e *entry, h holder) {
 	if int(e.count) < len(e.holders) {
 		e.holders[e.count] = h
@@ -177,18 +180,21 @@
 	e.holders[i] = e.holders[e.count]
 }
 
-// age is the share of the engine's cache that was replaced since the last
-// use, in thousandths.
+// age returns the fraction of the engine's cache that was replaced since the
+// block's last use, in thousandths.
 func (x *Index) age(h holder) uint64 {
 	g := x.engine(h.handle)
 	return uint64(g.clock-h.stamp) * 1000 / uint64(g.capacity)
 }
 
+// live reports whether the block is probably still in the engine's cache.
 func (x *Index) live(h holder) bool {
 	g := &x.engines[h.handle]
 	return g.clock-h.stamp <= g.capacity
 }
 
+// engine returns the engine of a handle, which it adds if there is none. The
+// pointer is valid until the next call.
 func (x *Index) engine(handle uint32) *engine {
 	for int(handle) >= len(x.engines) {
 		x.engines = append(x.engines, engine{capacity: DefaultCacheBlocks})
--- a/internal/routing/prefix/index_test.go
+++ b/internal/routing/prefix/index_test.go
@@ -37,8 +37,8 @@
 	assert.Equal(t, len(lookup(x, chainOf(2, 50))), 0)
 }
 
-// Cache events get lost. The caller would see its conversation recomputed
-// though an engine holds it, if one missing block hid all blocks behind it.
+// Some cache events are lost. If a block that is missing from the index hid those
+// after it, a conversation would be recomputed although an engine holds it.
 func TestLookupToleratesLostEvents(t *testing.T) {
 	x := NewIndex(1 << 12)
 	blocks := chainOf(1, 64)
@@ -63,9 +63,9 @@
 	assert.Equal(t, len(lookup(x, old)), 0)
 }
 
-// An engine drops a block, the conversation comes back and stores it again,
-// and only then the event of the drop arrives. Believed, it would make the
-// warm engine look cold and the next turn be recomputed elsewhere.
+// An engine evicts a block, the conversation's next turn stores it again, and only
+// then the event of the eviction arrives. If it were applied, the turn after that
+// would be recomputed at another engine.
 func TestLateEvictionOfBlockInUseIsIgnored(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
@@ -97,8 +97,8 @@
 	assert.Equal(t, len(lookup(x, chainOf(10, 8))), 0)
 }
 
-// Most events of a busy engine got lost. Counting only those that came, the
-// index would go on naming blocks that were evicted long ago.
+// Most events of a busy engine are lost. If only those received counted, the index
+// would go on listing blocks that were evicted long ago.
 func TestLostEventsAgeHeldBlocks(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
--- a/internal/routing/prefix/lookup.go
+++ b/internal/routing/prefix/lookup.go
@@ -1,17 +1,18 @@
 package prefix
 
-// maxMatches bounds the engines that one lookup names.
+// maxMatches is the largest number of matches that a lookup returns.
 const maxMatches = 8
 
-// Lookup appends to dst the engines that are believed to hold leading blocks
-// of a prompt, at most maxMatches of them. The engines with the longest match
-// are exact; another's match may be understated. common is the depth down to
-// which so many engines hold the prompt that the index can't name them all:
-// the start of many prompts, which any engine is likely to hold.
+// Lookup appends to dst the engines that probably hold leading blocks of a
+// prompt, at most maxMatches of them. The longest match is exact; other matches
+// may be longer than returned. common is the number of leading blocks that more
+// engines may hold than the index can list: the start of many prompts, which any
+// engine is likely to hold.
 //
-// Whoever holds a block held the ones before it when it was stored, so the
-// longest match is found by bisection. Lost events leave holes; a probe looks
-// at two neighbouring blocks, so that one hole does not hide all behind it.
+// An engine that stored a block also held the blocks before it, so bisection
+// finds the longest match. Lost events leave holes. If no engine holds a block,
+// the one before it is probed as well, so that a single hole does not hide the
+// blocks after it.
 func (x *Index) Lookup(blocks []uint64, dst []Match) (matches []Match, common int) {
 	low, high := 0, len(blocks)
 	for low < high {
@@ -33,7 +34,8 @@
 	return dst, common
 }
 
-// probe adds the engines that hold the block at the given depth and counts them.
+// probe adds the engines that hold the block at a depth, counted from 1, to the
+// matches. It returns their number as live.
 func (x *Index) probe(blocks []uint64, depth int, dst []Match) (matches []Match, live int) {
 	e := x.find(blocks[depth-1])
 	if e == nil {
@@ -49,7 +51,8 @@
 	return dst, live
 }
 
-// mergeMatch adds m or deepens the match of the same engine.
+// mergeMatch adds m, or extends the match of the same engine. If dst is full, m
+// replaces the shortest match, provided that m is longer.
 func mergeMatch(dst []Match, m Match) []Match {
 	for i := range dst {
 		if dst[i].Handle == m.Handle {
@@ -72,9 +75,9 @@
 	return dst
 }
 
-// Common reports whether so many engines hold a block that the index can't
-// name them all: it belongs to the start of many different prompts, or to one
-// that is in use all over the fleet.
+// Common reports whether maxHolders engines hold a block, so that the index may
+// not list all of them. The block is at the start of many prompts, or of one that
+// is in use throughout the fleet.
 func (x *Index) Common(hash uint64) bool {
 	e := x.find(hash)
 	if e == nil || e.count < maxHolders {
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// maxRanked is how many rendezvous choices of a prompt are candidates: with an
-// owner overloaded the second takes its spill, and so on.
+// maxRanked is the number of rendezvous choices for a prompt. If the first one,
+// the owner, is overloaded, requests spill to the second, and so on.
 const maxRanked = 4
 
 // ranked holds the best members for a key, best first.
@@ -13,11 +13,12 @@
 	n         int
 }
 
-// rank finds the best members that ok accepts. Any daemon with the same
-// members ranks them alike (Thaler and Ravishankar, 1998); an engine with
-// twice the slots wins twice as many keys (weighted: Schindelhauer and
-// Schomaker, 2005). Within a group of one weight the greatest hash wins, so
-// that logarithms are taken only of the groups' best.
+// rank returns the best members that ok accepts. All daemons with the same
+// members rank them identically (rendezvous hashing; Thaler and Ravishankar,
+// 1998). An engine with twice the slots comes first for twice as many keys
+// (weighted; Schindelhauer and Schomaker, 2005). Within a group, whose weights
+// are equal, members rank by their hash alone, so logarithms are computed only
+// for the best of each group.
 func (s *replicaSet) rank(key uint64, ok func(*endpoint) bool) ranked[float64] {
 	var all ranked[float64]
 	for i := range s.groups {
@@ -46,7 +47,7 @@
 	return best
 }
 
-// insert adds a member unless there are enough better ones.
+// insert adds a member unless maxRanked members score at least as high.
 func (r *ranked[S]) insert(e *endpoint, score S) {
 	if r.n == maxRanked && score <= r.score[maxRanked-1] {
 		return
@@ -59,14 +60,15 @@
 	r.endpoints[i], r.score[i] = e, score
 }
 
-// weightedScore returns weight / -ln(u) of the number u in (0,1) that the hash stands for.
+// weightedScore returns weight / -ln(u), where u is the hash mapped to (0, 1).
 func weightedScore(hash uint64, weight float64) float64 {
 	const unit = 1.0 / (1 << 53)
 	u := (float64(hash>>11) + 0.5) * unit
 	return weight / -math.Log(u)
 }
 
-// mix is the finaliser of splitmix64: it spreads the XOR of two hashes.
+// mix is the finaliser of splitmix64. It makes a uniform hash of the XOR of two
+// hashes.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/routing/replica_set.go
+++ b/internal/routing/replica_set.go
@@ -2,30 +2,32 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// setKey names the endpoints that can stand in for one another: those with a
-// model, adapter and version (or any version), or those of a service.
+// setKey identifies a set of interchangeable endpoints: those that have a model
+// with an adapter and version (or any version), or those of a service.
 type setKey struct {
 	model   fleet.ModelRef
 	service string
 }
 
-// group holds the members of one rendezvous weight, their hashes side by
-// side. Machine classes are few, so groups are.
+// group holds the members with the same rendezvous weight, and their hashes in
+// a slice of their own for a fast scan. There are as few groups as machine
+// classes.
 type group struct {
 	weight  float64
 	hashes  []uint64
 	members []*endpoint
 }
 
-// replicaSet holds the endpoints of one key. Only usable ones are members, so that a
-// pick filters nothing; the lists are rebuilt when an endpoint's state changes.
+// replicaSet holds the endpoints of one key. Only usable endpoints are members,
+// so a pick need not check that; the members are rebuilt when the state of an
+// endpoint changes.
 type replicaSet struct {
 	members       []*endpoint
-	groups        []group // the members by rendezvous weight
-	present       int     // not leaving
+	groups        []group // members by rendezvous weight
+	present       int     // endpoints that are not leaving, with the ejected ones
 	ejected       int
-	maxTokenPrice float64 // token price of the dearest member
-	cursor        int     // round robin
+	maxTokenPrice float64 // of the members
+	cursor        int     // of round robin
 }
 
 func (s *replicaSet) reset() {
@@ -37,7 +39,7 @@
 	s.present, s.ejected, s.maxTokenPrice = 0, 0, 0
 }
 
-// add counts the endpoint and makes it a member when it is usable.
+// add counts the endpoint and makes it a member if it is usable.
 func (s *replicaSet) add(e *endpoint) {
 	if e.leaving {
 		return
@@ -54,7 +56,8 @@
 	s.maxTokenPrice = max(s.maxTokenPrice, e.tokenPrice())
 }
 
-// group returns the group of a weight.
+// group returns the group of a weight, which it adds if there is none. The
+// pointer is valid until the next call.
 func (s *replicaSet) group(weight float64) *group {
 	for i := range s.groups {
 		if s.groups[i].weight == weight {
@@ -65,8 +68,8 @@
 	return &s.groups[len(s.groups)-1]
 }
 
-// saving returns the share by which the endpoint computes a token more
-// cheaply than the dearest member; 0 when its price is not known.
+// saving returns the fraction by which a token is cheaper at the endpoint than
+// at the most expensive member, or 0 if the price is unknown.
 func (s *replicaSet) saving(e *endpoint) float64 {
 	if s.maxTokenPrice == 0 || e.info.HourPrice == 0 {
 		return 0
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -7,21 +7,21 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Request is what routing has to know about a request. It is for a model when
-// Service is empty, otherwise for a plain service.
+// Request describes a request to be routed. It is for a model when Service is
+// empty, otherwise for a plain service.
 type Request struct {
 	ID           fleet.RequestID
 	Workspace    fleet.WorkspaceID
 	Model        fleet.ModelRef
 	Service      string
-	Blocks       []uint64 // chained hashes of the prompt's leading blocks, as the engines name them
+	Blocks       []uint64 // chained hashes of the prompt's leading blocks, as in cache events
 	PromptTokens int
-	MaxTokens    int // bound of the answer
+	MaxTokens    int // bound on the answer's length
 	Priority     int
-	Deadline     time.Time          // zero is none
-	Exclude      []fleet.EndpointID // already tried; short
-	// Avoid names a data centre that is used only when no other serves the
-	// request, such as the one that is being reclaimed. Empty is none.
+	Deadline     time.Time          // zero means none
+	Exclude      []fleet.EndpointID // endpoints already tried; few
+	// Avoid is a data centre to use only when no other serves the request, such
+	// as one whose instances are being reclaimed. Empty means none.
 	Avoid fleet.DataCentre
 }
 
--- a/internal/routing/reservations.go
+++ b/internal/routing/reservations.go
@@ -7,14 +7,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// reservationTTL is how long a reservation holds when it is neither used nor
-// released: a mover that failed would otherwise make an engine look full for
-// good. A move takes a few seconds.
+// reservationTTL is the lifetime of a reservation that is neither used nor
+// released. Without it, a failed move would make an engine look full for ever. A
+// move takes a few seconds.
 const reservationTTL = 30 * time.Second
 
-// PickAndReserve chooses where a request under notice moves to and reserves a place
-// there, so that the next choices of the same wave see it taken. The
-// reservation ends by Dispatched, Release or after reserveLife.
+// PickAndReserve chooses the endpoint to which a request moves from one under
+// notice, and reserves capacity there, so that the choices for other requests
+// that move at the same time take it into account. The reservation ends with
+// Dispatched, with Release or after reservationTTL.
 func (r *Router) PickAndReserve(now time.Time, q *Request) (Choice, error) {
 	c, err := r.Pick(now, q)
 	if err != nil {
@@ -24,15 +25,15 @@
 	return c, nil
 }
 
-// Destination is an endpoint that could take more requests.
+// Destination is an endpoint to which requests can be moved.
 type Destination struct {
 	Choice
-	Free int // requests until a target of latency breaks, reservations counted
+	Free int // requests that it can still take within the target between tokens
 }
 
-// Destinations appends at most n endpoints that may take the request, those with
-// the most free places first. It looks at every endpoint that serves it, so
-// it is for plans and not for every request.
+// Destinations appends to dst at most n endpoints that can serve the request,
+// those with the most free capacity first. It visits every endpoint that serves
+// the request, so it is for planning, not for each request.
 func (r *Router) Destinations(now time.Time, q *Request, n int, dst []Destination) []Destination {
 	r.refresh()
 	r.expire(now.UnixNano())
@@ -53,8 +54,8 @@
 	return dst[:min(len(dst), start+n)]
 }
 
-// Reserve promises a place at an endpoint to a request that brings the given
-// prompt tokens to compute. Repeating it replaces the promise.
+// Reserve reserves capacity at an endpoint for a request that has the given
+// number of prompt tokens to compute. Repeating it replaces the reservation.
 func (r *Router) Reserve(now time.Time, id fleet.EndpointID, req fleet.RequestID, tokens int) {
 	e := r.endpoints[id]
 	if e == nil {
@@ -62,7 +63,7 @@
 	}
 	key := attemptKey{endpoint: id, request: req}
 	if a, ok := r.attempts[key]; ok && a.expires == 0 {
-		return // it runs there already
+		return // dispatched already
 	}
 	r.end(now.UnixNano(), key)
 	expires := now.Add(reservationTTL).UnixNano()
@@ -71,7 +72,7 @@
 	r.reserved = append(r.reserved, reservation{key: key, expires: expires})
 }
 
-// Release takes a promise back. It does nothing to a dispatched attempt.
+// Release ends a reservation. It has no effect on a dispatched attempt.
 func (r *Router) Release(now time.Time, id fleet.EndpointID, req fleet.RequestID) {
 	key := attemptKey{endpoint: id, request: req}
 	if a, ok := r.attempts[key]; ok && a.expires != 0 {
@@ -79,13 +80,13 @@
 	}
 }
 
-// reservation is a promise in the order made, which is that of running out.
+// reservation is an entry of Router.reserved.
 type reservation struct {
 	key     attemptKey
 	expires int64
 }
 
-// expire ends the reservations that ran out.
+// expire ends the reservations whose lifetime is over.
 func (r *Router) expire(now int64) {
 	n := 0
 	for n < len(r.reserved) && r.reserved[n].expires <= now {
--- a/internal/routing/reservations_test.go
+++ b/internal/routing/reservations_test.go
@@ -9,9 +9,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// A wave moves many streams with one history at once. Until they are
-// dispatched no load shows, and without reservations all would be sent to
-// the engine that holds the history.
+// Many streams with the same history move at once. They add no load before they
+// are dispatched, so without reservations all would move to the engine that holds
+// the history.
 func TestReservationsSpreadConcurrentMoves(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(6))
 	moved := map[fleet.EndpointID]int{}
@@ -45,7 +45,7 @@
 	q.ID = "b"
 	r.Dispatched(start, "engine-0", q, c)
 	assert.Equal(t, free(start), all-1)
-	r.Release(start, "engine-0", "b") // too late: it runs
+	r.Release(start, "engine-0", "b") // already dispatched: no effect
 	assert.Equal(t, free(start), all-1)
 	r.Finished(start, "engine-0", "b", Cancelled)
 	r.Finished(start, "engine-0", "b", Cancelled)
@@ -54,9 +54,9 @@
 	assert.Equal(t, free(start.Add(reservationTTL)), all)
 }
 
-// The list omits an endpoint for a moment, so its load starts from nothing
-// when it is back. The end of a request from before must not take it below,
-// or the engine would look emptier than any other for good.
+// A list omits an endpoint and the next one names it again, so its load restarts
+// from zero. The end of a request dispatched before must not make the load
+// negative, or the engine would appear emptier than all others for ever.
 func TestEndOfDroppedAttemptIsIgnored(t *testing.T) {
 	list := endpoints(2)
 	r := testRouter(1, Config{}, list)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -16,25 +16,25 @@
 	target latencyTargets
 
 	endpoints   map[fleet.EndpointID]*endpoint
-	byHandle    []*endpoint // by slot; nil is free
-	freeHandles []uint32    // free slots
-	generation  uint64      // of the endpoint list
+	byHandle    []*endpoint // by handle; nil is free
+	freeHandles []uint32    // to be reused
+	generation  uint64      // number of the newest endpoint list
 	notices     notices
-	classes     map[string]*estimate.TokenLatency
+	classes     map[string]*estimate.TokenLatency // by machine class
 	sets        map[setKey]*replicaSet
-	stale       bool // the sets' members need rebuilding
+	stale       bool // the members of sets must be rebuilt
 
 	index    *prefix.Index
 	attempts map[attemptKey]attempt
-	reserved []reservation
-	decode   latency // of all engines: first token to last
+	reserved []reservation // in order of expiry
+	decode   latency       // from the first token to the last, over all engines
 
-	picks   uint64 // counts picks
+	picks   uint64 // number of picks so far
 	scratch scratch
 }
 
-// New returns a router for a daemon in data centre self. The random source
-// belongs to the router from now on.
+// New returns a router for a daemon in data centre self. The router takes
+// ownership of rng.
 func New(config Config, self fleet.DataCentre, rng *rand.Rand) *Router {
 	config = config.withDefaults()
 	return &Router{
@@ -51,8 +51,8 @@
 	}
 }
 
-// latencyTargets are the latencies to keep, in seconds.
+// latencyTargets are the latency targets in seconds.
 type latencyTargets struct {
-	firstToken    float64 // to the first token
+	firstToken    float64
 	tokenInterval float64 // between tokens
 }
--- a/internal/routing/scorer/scorer.go
+++ b/internal/routing/scorer/scorer.go
@@ -1,39 +1,39 @@
-// Package scorer prices a candidate engine for one request. Every scorer
-// returns a cost in prompt tokens: the work that the fleet would rather do
-// than bear that drawback. The costs are added; the least wins.
+// Package scorer computes the cost of serving a request at a candidate engine.
+// Each scorer expresses one drawback as a cost in prompt tokens: the amount of
+// prefill that is as bad as the drawback. The candidate with the least sum wins.
 package scorer
 
-// Weights say how much each drawback counts. A workspace that weighs
-// recomputed tokens higher raises Recompute.
+// Weights are the factors of the scorers, in tokens unless stated otherwise. A
+// higher Recompute favours prefix affinity over the other scorers.
 type Weights struct {
-	Recompute    float64 // tokens for each token to recompute
-	AgreedCached float64 // share of the uncached tokens that the agreed engine is taken to hold
-	Wait         float64 // tokens for each second to the first token
-	Load         float64 // tokens for an engine at its limit
-	Price        float64 // tokens for each token that would be computed for nothing
-	DialFailure  float64 // tokens for an endpoint whose new connections failed lately
+	Recompute    float64 // for each prompt token to compute
+	AgreedCached float64 // fraction of the uncached tokens assumed to be cached at the agreed engine
+	Wait         float64 // for each second to the first token
+	Load         float64 // for an engine at its limit
+	Price        float64 // for each token of the request, at a saving of 100%
+	DialFailure  float64 // for an endpoint whose latest new connection failed
 }
 
-// Input is what the scorers look at: one candidate for one request.
+// Input describes one candidate for one request.
 type Input struct {
-	FirstToken   float64 // predicted seconds, with the distance
-	Target       float64 // of the first token, in seconds
+	FirstToken   float64 // predicted, in seconds, round trip included
+	Target       float64 // for FirstToken, in seconds
 	Uncached     float64 // predicted prompt tokens to compute
-	MaxTokens    int     // bound of the answer in tokens
-	Utilisation  float64 // of the engine's limit in use, this request included
-	Saving       float64 // share by which a token is computed more cheaply than on the dearest of the set
-	Agreed       bool    // the rendezvous choice that other daemons make as well
-	DialsFailing bool    // new connections failed lately
+	MaxTokens    int     // bound on the answer's length
+	Utilisation  float64 // used fraction of the engine's limit, this request included
+	Saving       float64 // fraction by which a token is cheaper than at the most expensive engine of the set
+	Agreed       bool    // the rendezvous choice on which all daemons agree
+	DialsFailing bool    // the latest new connection failed
 }
 
-// Cost adds up all scorers.
+// Cost returns the sum of all scorers in tokens. It may be negative.
 func Cost(w *Weights, in *Input) float64 {
 	return recompute(w, in) + wait(w, in) + load(w, in) + price(w, in) + dialFailure(w, in)
 }
 
-// recompute is the prefix affinity: what a cold engine has to do over again.
-// Other daemons' prompts went to the agreed engine before any cache event
-// says so, hence the share that is taken off there.
+// recompute is the prefix affinity: the cost of the prompt tokens that are not
+// cached. At the agreed engine it is lower by AgreedCached, since other daemons
+// sent prompts there that no cache event has reported yet.
 func recompute(w *Weights, in *Input) float64 {
 	uncached := in.Uncached
 	if in.Agreed {
@@ -42,28 +42,31 @@
 	return w.Recompute * uncached
 }
 
-// wait holds the queue and the distance. It is bounded by the target: among
-// engines that are all late, recomputing elsewhere would only add to the load.
+// wait is the cost of queueing, prefill and round trip. The target bounds it:
+// if all engines are late, preferring a shorter queue would only add recomputed
+// tokens to the load.
 func wait(w *Weights, in *Input) float64 {
 	return w.Wait * min(in.FirstToken, in.Target)
 }
 
-// load keeps the batch below the size at which all its answers slow down. It
-// rises with the square, so that it hardly moves a conversation from an idle
-// engine, and stops at the limit for the reason given at wait.
+// load keeps an engine's batch below the size at which the time between tokens
+// exceeds its target for all answers. It grows with the square of the
+// utilisation, so that it seldom moves a conversation away from a lightly loaded
+// engine, and is bounded at the limit for the same reason as wait.
 func load(w *Weights, in *Input) float64 {
 	utilisation := min(in.Utilisation, 1)
 	return w.Load * utilisation * utilisation
 }
 
-// price prefers the engine that computes the request's tokens more cheaply,
-// while it has room: the preference is gone when the engine is half full.
-// Past that it would fill the cheap engines and break the targets there.
+// price prefers the engine whose tokens are cheaper. The preference falls to
+// zero at half of the engine's limit; with more of it, the cheap engines would
+// fill up and miss the latency targets.
 func price(w *Weights, in *Input) float64 {
 	room := max(0, 1-2*in.Utilisation)
 	return -w.Price * in.Saving * room * (in.Uncached + float64(in.MaxTokens))
 }
 
+// dialFailure avoids an endpoint whose latest new connection failed.
 func dialFailure(w *Weights, in *Input) float64 {
 	if in.DialsFailing {
 		return w.DialFailure
--- a/internal/routing/scorer/scorer_test.go
+++ b/internal/routing/scorer/scorer_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Each scorer must tell two candidates apart that differ in its drawback only.
+// Of two candidates that differ in one input, the better one must cost less.
 func TestEachScorerLowersTheCostOfTheBetterCandidate(t *testing.T) {
 	w := Weights{Recompute: 1, AgreedCached: 0.5, Wait: 1000, Load: 1000, Price: 1, DialFailure: 1000}
 	base := Input{FirstToken: 0.1, Target: 1.5, Uncached: 1000, MaxTokens: 100, Utilisation: 0.2}
 	tests := map[string]func(*Input){
 		"recompute": func(in *Input) { in.Uncached = 500 },
-		"owner":     func(in *Input) { in.Agreed = true },
+		"agreed":    func(in *Input) { in.Agreed = true },
 		"wait":      func(in *Input) { in.FirstToken = 0.05 },
 		"load":      func(in *Input) { in.Utilisation = 0.1 },
 		"price":     func(in *Input) { in.Saving = 0.3 },
@@ -29,8 +29,8 @@
 	assert.Assert(t, Cost(&w, &failing) > Cost(&w, &base))
 }
 
-// Every engine is late and full. The one with the shorter queue would be late
-// all the same; recomputing there would only lengthen all queues.
+// All engines are late and full. A request would also be late at the one with the
+// shorter queue, and recomputing its prompt there would lengthen all queues.
 func TestOverloadDoesNotTradeQueuesForRecomputing(t *testing.T) {
 	w := Weights{Recompute: 1, Wait: 1000, Load: 2000}
 	warm := Input{FirstToken: 9, Target: 1.5, Uncached: 100, Utilisation: 3}
--- a/internal/routing/sim_test.go
+++ b/internal/routing/sim_test.go
@@ -11,54 +11,54 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// simClass is a machine class: a step of its batch takes step seconds, each
-// for every answer in it, and the computing of up to chunk prompt tokens.
+// simClass is a machine class. A step of its batch takes emptyStep, perRequest
+// for each request in the batch, and the prefill of up to chunk prompt tokens.
 type simClass struct {
-	price, emptyStep, perRequest, prefill float64 // an hour; seconds; seconds; tokens a second
+	price, emptyStep, perRequest, prefill float64 // per hour; seconds; seconds; tokens per second
 	slots, blocks, chunk                  int
 }
 
-// The large machines are bought on demand, the small ones are reclaimable.
+// simClasses are a large on-demand machine and a small reclaimable one.
 var simClasses = [2]simClass{
 	{price: 3.2, emptyStep: 0.011, perRequest: 0.00035, prefill: 14000, slots: 64, blocks: 14000, chunk: 256},
 	{price: 0.6, emptyStep: 0.013, perRequest: 0.0006, prefill: 8000, slots: 40, blocks: 8000, chunk: 128},
 }
 
-// simEngine batches continuously and keeps a cache of prefix blocks.
+// simEngine is an engine with continuous batching and a cache of prefix blocks.
 type simEngine struct {
 	simClass
 	id       fleet.EndpointID
-	next     time.Duration // end of the step that runs; 0 is idle
+	next     time.Duration // end of the current step; 0 is idle
 	waiting  []*simTurn
 	batch    []*simTurn
 	cache    map[uint64]*list.Element
-	lru      list.List // of blocks, the last used in front
-	meanStep float64   // moving average of a step's seconds
+	lru      list.List // of blocks, the most recently used first
+	meanStep float64   // moving average of the seconds of a step
 	page     engineapi.CacheEvents
 }
 
-// simReport is an engine's report on its late way to the daemons.
+// simReport is an engine's report to all daemons, delivered at a later time.
 type simReport struct {
 	at      time.Duration
 	deliver func(*Router)
 }
 
-// simFleet is the virtual time, the daemons and engines, and what is counted.
+// simFleet is the simulation: virtual time, routers, engines and the counts.
 type simFleet struct {
 	now      time.Duration
 	rng      *rand.Rand
 	routers  []*Router
 	engines  []*simEngine
 	delayed  []simReport
-	computed map[uint64]bool // blocks that some engine computed
+	computed map[uint64]bool // blocks that an engine has computed
 
 	counted, good, prompt, recomputed int
-	work                              float64 // seconds beyond an empty step's, times price
+	work                              float64 // seconds of steps in excess of an empty one, times price
 }
 
 func (f *simFleet) clock() time.Time { return time.Unix(1000, 0).Add(f.now) }
 
-// run takes the turns in order, and the engines' steps between them.
+// run simulates the turns, which are in order of arrival, until the last answer.
 func (f *simFleet) run(turns []simTurn) {
 	report := time.Duration(0)
 	turns = slices.Clone(turns)
@@ -73,7 +73,7 @@
 	f.advance(2 * simEnd)
 }
 
-// advance runs all engines up to a time.
+// advance runs all engines up to a time and delivers the reports due by then.
 func (f *simFleet) advance(until time.Duration) {
 	for _, e := range f.engines {
 		for e.next != 0 && e.next <= until {
@@ -90,8 +90,8 @@
 	}
 }
 
-// arrive sends a turn where its daemon's router says, or refuses it: all
-// policies have the same simple admission.
+// arrive dispatches a turn to the choice of its daemon's router, or refuses it
+// if the choice is overloaded. That admission is the same for all policies.
 func (f *simFleet) arrive(t *simTurn) {
 	if t.at >= simWarmUp {
 		f.counted++
@@ -110,6 +110,7 @@
 	}
 }
 
+// startStep fills the batch from the waiting turns and schedules its next step.
 func (f *simFleet) startStep(e *simEngine) {
 	for len(e.waiting) > 0 && len(e.batch) < e.slots {
 		t := e.waiting[0]
@@ -133,7 +134,8 @@
 	e.next = f.now + time.Duration(seconds*1e9)
 }
 
-// endStep gives each answer whose prompt is computed its next token.
+// endStep adds a token to each answer whose prompt is computed, and removes the
+// finished ones.
 func (f *simFleet) endStep(e *simEngine) {
 	e.batch = slices.DeleteFunc(e.batch, func(t *simTurn) bool {
 		if t.todo > 0 {
@@ -156,8 +158,8 @@
 	})
 }
 
-// prefill returns the prompt tokens found in the cache and stores the prompt,
-// its last block as the first to be evicted.
+// prefill returns the prompt tokens found in the cache and stores the prompt's
+// blocks in it, so that its last block is evicted first.
 func (f *simFleet) prefill(e *simEngine, blocks []uint64) (cached int) {
 	held := 0
 	for held < len(blocks) && e.cache[blocks[held]] != nil {
@@ -186,6 +188,7 @@
 	return held * engineapi.BlockTokens
 }
 
+// publish adds a cache event to the engine's page, or loses it.
 func (f *simFleet) publish(e *simEngine, stored bool, hash uint64) {
 	if f.rng.Float64() >= simLostEvents {
 		e.page.Events = append(e.page.Events, engineapi.CacheEvent{Seq: e.page.Next, Stored: stored, Hash: hash})
@@ -193,7 +196,8 @@
 	e.page.Next++
 }
 
-// report has every engine report itself.
+// report sends the load and the cache events of each engine, which arrive after
+// simLag.
 func (f *simFleet) report() {
 	for _, e := range f.engines {
 		load := engineapi.Load{
