--- a/internal/routing/compare_test.go
+++ b/internal/routing/compare_test.go
@@ -94,13 +94,13 @@
 // engines' time, with steps as long as the target between tokens and no block
 // computed twice.
 func simCapacity() float64 {
-	fresh, answers, known := 0, 0, map[uint64]bool{}
+	fresh, answers, seen := 0, 0, map[uint64]bool{}
 	turns := simLoad(50)
 	for _, t := range turns {
 		answers += t.q.MaxTokens
 		for _, b := range t.q.Blocks {
-			if !known[b] {
-				known[b] = true
+			if !seen[b] {
+				seen[b] = true
 				fresh += engineapi.BlockTokens
 			}
 		}
