--- a/internal/routing/compare_test.go
+++ b/internal/routing/compare_test.go
@@ -19,7 +19,7 @@
 	simSeed         = 5
 	simDaemons      = 6
 	simEngines      = 18
-	simEnd          = 300 * time.Second
+	simEnd          = 300 * time.Second // no arrivals after it
 	simWarmUp       = 120 * time.Second // arrivals before it aren't counted
 	simLag          = 5 * time.Second   // of load reports and cache events
 	simLostEvents   = 0.3               // fraction of cache events
@@ -53,6 +53,7 @@
 			PromptTokens: len(blocks)*engineapi.BlockTokens + rng.IntN(engineapi.BlockTokens),
 		}})
 	}
+	// rate counts requests, starts counts checks and whole conversations.
 	starts := rate * (checks + (1-checks)/meanTurns)
 	for at := time.Duration(0); at < simEnd; at += time.Duration(rng.ExpFloat64() / starts * 1e9) {
 		workspace, serial := rng.IntN(5), uint64(1e6+len(turns))
--- a/internal/routing/sim_test.go
+++ b/internal/routing/sim_test.go
@@ -58,7 +58,8 @@
 
 func (f *simFleet) clock() time.Time { return time.Unix(1000, 0).Add(f.now) }
 
-// run simulates the turns, which are in order of arrival, until the last answer.
+// run simulates the turns, which are in order of arrival, and then goes on up to
+// twice simEnd to complete the answers.
 func (f *simFleet) run(turns []simTurn) {
 	report := time.Duration(0)
 	turns = slices.Clone(turns)
