--- a/internal/routing/best.go
+++ b/internal/routing/cheapest.go
@@ -8,7 +8,7 @@
 )
 
 // randomDraws is the number of members that each pick draws at random, to
-// balance the load. Beside them, only the prefix index's matches and the
+// balance the load. Besides these, only the prefix index's matches and the
 // rendezvous choices are candidates, whatever the fleet's size.
 const randomDraws = 2
 
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -21,7 +21,7 @@
 	health       health.Tracker
 	nextSeq      uint64  // sequence number of the next cache event; 0 before the first page
 	latency      latency // of its answers
-	lastPick     uint64  // last pick that had it as a candidate
+	lastPick     uint64  // number of the last pick that had it as a candidate
 	listed       uint64  // generation of the last list that named it
 }
 
