--- a/internal/routing/compare_test.go
+++ b/internal/routing/compare_test.go
@@ -13,35 +13,36 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing/scorer"
 )
 
-// The comparison drives the routers of several daemons against engines that
-// batch continuously, in virtual time, without network or daemon.
+// The comparison simulates, in virtual time, the routers of several daemons and
+// engines with continuous batching, without network or daemon.
 const (
-	simSeed    = 5
-	simDaemons = 6
-	simEngines = 18
-	simEnd     = 300 * time.Second
-	simWarm    = 120 * time.Second // earlier arrivals aren't counted
-	simLag     = 5 * time.Second   // of load reports and cache events
-	simLost    = 0.3               // share of cache events
-	simShared  = 4                 // blocks that start every prompt
-	// simFull is the share of the engines' time that counts as full load: as
-	// steps lengthen towards the target, answers pass it well before 1.
+	simSeed         = 5
+	simDaemons      = 6
+	simEngines      = 18
+	simEnd          = 300 * time.Second // no arrivals after it
+	simWarmUp       = 120 * time.Second // arrivals before it aren't counted
+	simLag          = 5 * time.Second   // of load reports and cache events
+	simLostEvents   = 0.3               // fraction of cache events
+	simSharedBlocks = 4                 // leading blocks common to all prompts
+	// simFull is the fraction of the engines' time that counts as full load.
+	// Steps lengthen with the load, so answers miss the target between tokens
+	// well before 1.
 	simFull = 0.75
 )
 
-// simTurn is one request of a generated load.
+// simTurn is a request of the generated load, and its progress.
 type simTurn struct {
 	at     time.Duration
 	daemon int
 	q      Request
-	todo   int // prompt tokens to compute
-	tokens int // answered
-	first  time.Duration
+	todo   int           // prompt tokens still to compute
+	tokens int           // of the answer so far
+	first  time.Duration // time of the first token
 }
 
-// simLoad generates conversations about machines, whose service histories
-// they share, and short checks, at a mean rate of requests a second. The
-// turns of a conversation come through the three entries of its workspace.
+// simLoad generates requests at a mean rate per second: turns of conversations
+// about a machine, which start with that machine's service history, and short
+// single checks. Each request arrives at one of its workspace's three entries.
 func simLoad(rate float64) []simTurn {
 	const machines, meanTurns, checks = 300, 5, 0.4
 	rng := rand.New(rand.NewPCG(simSeed, 2))
@@ -52,16 +53,17 @@
 			PromptTokens: len(blocks)*engineapi.BlockTokens + rng.IntN(engineapi.BlockTokens),
 		}})
 	}
+	// rate counts requests, starts counts checks and whole conversations.
 	starts := rate * (checks + (1-checks)/meanTurns)
 	for at := time.Duration(0); at < simEnd; at += time.Duration(rng.ExpFloat64() / starts * 1e9) {
 		workspace, serial := rng.IntN(5), uint64(1e6+len(turns))
 		if rng.Float64() < checks*rate/starts {
-			add(at, workspace, simChain(serial, simShared, simShared+rng.IntN(8)), 20+rng.IntN(40))
+			add(at, workspace, simChain(serial, simSharedBlocks, simSharedBlocks+rng.IntN(8)), 20+rng.IntN(40))
 			continue
 		}
 		machine := uint64(rng.IntN(machines))
-		history := simShared + 36 + int(machine)/3
-		chain := append(simChain(machine, simShared, history), simChain(serial, 0, 200)...)
+		history := simSharedBlocks + 36 + int(machine)/3
+		chain := append(simChain(machine, simSharedBlocks, history), simChain(serial, 0, 200)...)
 		length, t := history+4+rng.IntN(12), at
 		for range 1 + rng.IntN(2*meanTurns-1) {
 			answer := 150 + rng.IntN(150)
@@ -76,7 +78,8 @@
 	return turns
 }
 
-// simChain returns n block hashes of which the first shared are everybody's.
+// simChain returns n block hashes, of which the first shared are the same for all
+// seeds.
 func simChain(seed uint64, shared, n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
@@ -88,16 +91,17 @@
 	return out
 }
 
-// simCapacity is the rate at which the load's work fills simFull of the
-// engines' time at the target between tokens, with nothing computed twice.
+// simCapacity returns the requests per second whose work takes simFull of the
+// engines' time, with steps as long as the target between tokens and no block
+// computed twice.
 func simCapacity() float64 {
-	fresh, answers, known := 0, 0, map[uint64]bool{}
+	fresh, answers, seen := 0, 0, map[uint64]bool{}
 	turns := simLoad(50)
 	for _, t := range turns {
 		answers += t.q.MaxTokens
 		for _, b := range t.q.Blocks {
-			if !known[b] {
-				known[b] = true
+			if !seen[b] {
+				seen[b] = true
 				fresh += engineapi.BlockTokens
 			}
 		}
@@ -105,14 +109,15 @@
 	rate := 0.0
 	for i := range simEngines {
 		c := simClasses[i%2]
-		share := simFull * (1 - c.step/defaultTokenInterval.Seconds()) // of each step
-		rate += float64(len(turns)) * share / (float64(answers)*c.each + float64(fresh)/c.prefill)
+		share := simFull * (1 - c.emptyStep/defaultTokenInterval.Seconds()) // of each step at the target, without the empty step
+		rate += float64(len(turns)) * share / (float64(answers)*c.perRequest + float64(fresh)/c.prefill)
 	}
 	return rate
 }
 
-// BenchmarkCompare prints, for each load and policy, the share of answers
-// within both targets, the prompt tokens recomputed and the price of the work.
+// BenchmarkCompare reports, for each load and policy, the percentage of requests
+// answered within both latency targets, the percentage of prompt tokens
+// recomputed, and the price of the work.
 func BenchmarkCompare(b *testing.B) {
 	capacity := simCapacity()
 	for _, percent := range []int{30, 60, 90, 100, 130} {
@@ -125,13 +130,13 @@
 	}
 }
 
-// BenchmarkAblation prints the same without one scorer at a time.
+// BenchmarkAblation reports the same with one scorer removed at a time.
 func BenchmarkAblation(b *testing.B) {
 	capacity := simCapacity()
 	without := map[string]func(*Config, *scorer.Weights){
 		"nothing":   func(*Config, *scorer.Weights) {},
 		"recompute": func(_ *Config, w *scorer.Weights) { w.Recompute = 0 },
-		"owner":     func(_ *Config, w *scorer.Weights) { w.Owner = 0 },
+		"owner":     func(_ *Config, w *scorer.Weights) { w.AgreedCached = 0 },
 		"wait":      func(_ *Config, w *scorer.Weights) { w.Wait = 0 },
 		"load":      func(_ *Config, w *scorer.Weights) { w.Load = 0 },
 		"price":     func(_ *Config, w *scorer.Weights) { w.Price = 0 },
@@ -157,7 +162,7 @@
 		f.run(turns)
 	}
 	b.ReportMetric(100*float64(f.good)/float64(f.counted), "%within")
-	b.ReportMetric(float64(f.good)/(simEnd-simWarm).Seconds(), "good/s")
+	b.ReportMetric(float64(f.good)/(simEnd-simWarmUp).Seconds(), "good/s")
 	b.ReportMetric(100*float64(f.recomputed)/float64(f.prompt), "%recomputed")
 	b.ReportMetric(1000*f.work/3600/float64(f.good), "work/1k")
 	b.ReportMetric(0, "ns/op")
--- a/internal/routing/health_events_test.go
+++ b/internal/routing/health_events_test.go
@@ -9,27 +9,27 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-func fail(r *Router, now time.Time, id fleet.EndpointID) Action {
+func failTwoDials(r *Router, now time.Time, id fleet.EndpointID) Action {
 	r.DialFailed(now, id)
 	return r.DialFailed(now, id)
 }
 
-// Open connections to an endpoint go silent for good while new ones work.
-// Ejected for that, a healthy engine would leave the set; instead it is
-// probed, and goes on receiving.
-func TestSilenceAloneProbesAndNeverEjects(t *testing.T) {
+// Open connections to an endpoint stall for ever while new ones work, as when a
+// device between the two ends loses their state. The endpoint is healthy: it
+// must be probed and still receive requests.
+func TestStalledConnectionProbesWithoutEjecting(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(1))
-	assert.Equal(t, r.Silent(start, "engine-0").Kind, Probe)
-	assert.Equal(t, r.Silent(start, "engine-0").Kind, NoAction)
+	assert.Equal(t, r.Stalled(start, "engine-0").Kind, Probe)
+	assert.Equal(t, r.Stalled(start, "engine-0").Kind, NoAction)
 	_, err := r.Pick(start, prompt(1, 4))
 	assert.NilError(t, err)
 	assert.Equal(t, r.ProbeOK(start, "engine-0").Kind, NoAction)
-	assert.Equal(t, r.Silent(start, "engine-0").Kind, Probe)
+	assert.Equal(t, r.Stalled(start, "engine-0").Kind, Probe)
 }
 
-func TestEjectedComesBackAfterProbe(t *testing.T) {
+func TestSuccessfulProbeRestoresEjectedEndpoint(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(2))
-	assert.Equal(t, fail(r, start, "engine-0").Kind, Eject)
+	assert.Equal(t, failTwoDials(r, start, "engine-0").Kind, Eject)
 	for seed := range uint64(20) {
 		c, err := r.Pick(start, prompt(seed, 20))
 		assert.NilError(t, err)
@@ -42,15 +42,15 @@
 	assert.Equal(t, len(r.Probes(start.Add(time.Hour), nil)), 0)
 }
 
-// This daemon loses its way to most engines. Were all that fail ejected, the
-// last ones would get everybody's load and fail too: at most half go, also
-// when healthy ones leave afterwards.
+// This daemon loses its network path to most engines. If it ejected all that
+// fail, the last ones would receive the whole load and fail too. At most half may
+// be ejected, also when healthy ones leave afterwards.
 func TestAtMostHalfOfSetIsEjected(t *testing.T) {
 	list := endpoints(10)
 	r := testRouter(1, Config{}, list)
 	ejected := 0
 	for _, e := range list[:9] {
-		if fail(r, start, e.ID).Kind == Eject {
+		if failTwoDials(r, start, e.ID).Kind == Eject {
 			ejected++
 		}
 	}
@@ -65,16 +65,16 @@
 	assert.Equal(t, len(s.members), 3)
 }
 
-// Dials fail because this daemon has run out of ports while the endpoint's
-// streams go on. That says nothing about the endpoint.
+// New connections fail because this daemon has no free ports, while the
+// endpoint's streams make progress. The endpoint must not be ejected.
 func TestProgressingEndpointIsNotEjected(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(4))
-	r.Token(start, "engine-0")
-	assert.Equal(t, fail(r, start.Add(time.Second), "engine-0").Kind, NoAction)
+	r.Progress(start, "engine-0")
+	assert.Equal(t, failTwoDials(r, start.Add(time.Second), "engine-0").Kind, NoAction)
 	assert.Equal(t, r.DialFailed(start.Add(time.Minute), "engine-0").Kind, Eject)
 }
 
-func TestDoubtfulEndpointIsPassedOver(t *testing.T) {
+func TestEndpointWithFailedDialIsNotChosen(t *testing.T) {
 	r := testRouter(1, Config{}, endpoints(8))
 	q := prompt(1, 40)
 	owner, _ := r.Pick(start, q)
--- a/internal/routing/prefix/index_test.go
+++ b/internal/routing/prefix/index_test.go
@@ -21,9 +21,9 @@
 	return matches
 }
 
-func store(x *Index, slot uint32, blocks []uint64) {
+func store(x *Index, handle uint32, blocks []uint64) {
 	for _, b := range blocks {
-		x.Store(slot, b)
+		x.Store(handle, b)
 	}
 }
 
@@ -33,13 +33,13 @@
 	store(x, 3, blocks[:217])
 	store(x, 5, blocks[:40])
 	got := lookup(x, blocks)
-	assert.Equal(t, got[len(got)-1], Match{Slot: 3, Blocks: 217})
+	assert.Equal(t, got[len(got)-1], Match{Handle: 3, Blocks: 217})
 	assert.Equal(t, len(lookup(x, chainOf(2, 50))), 0)
 }
 
-// Cache events get lost. The caller would see its conversation recomputed
-// though an engine holds it, if one missing block hid all blocks behind it.
-func TestLookupSeesPastLostEvents(t *testing.T) {
+// Some cache events are lost. If a block that is missing from the index hid those
+// after it, a conversation would be recomputed although an engine holds it.
+func TestLookupToleratesLostEvents(t *testing.T) {
 	x := NewIndex(1 << 12)
 	blocks := chainOf(1, 64)
 	for i, b := range blocks {
@@ -52,7 +52,7 @@
 	assert.Assert(t, got[0].Blocks >= 63)
 }
 
-func TestBlocksExpireWithTheEnginesCapacity(t *testing.T) {
+func TestBlocksExpireByTheEnginesCapacity(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
 	old := chainOf(1, 10)
@@ -63,19 +63,19 @@
 	assert.Equal(t, len(lookup(x, old)), 0)
 }
 
-// An engine drops a block, the conversation comes back and stores it again,
-// and only then the event of the drop arrives. Believed, it would make the
-// warm engine look cold and the next turn be recomputed elsewhere.
+// An engine evicts a block, the conversation's next turn stores it again, and only
+// then the event of the eviction arrives. If it were applied, the turn after that
+// would be recomputed at another engine.
 func TestLateEvictionOfBlockInUseIsIgnored(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
 	blocks := chainOf(1, 4)
 	store(x, 1, blocks)
 	x.Evicted(1, blocks[3])
-	assert.DeepEqual(t, lookup(x, blocks), []Match{{Slot: 1, Blocks: 4}})
+	assert.DeepEqual(t, lookup(x, blocks), []Match{{Handle: 1, Blocks: 4}})
 	store(x, 1, chainOf(2, 60))
 	x.Evicted(1, blocks[3])
-	assert.DeepEqual(t, lookup(x, blocks), []Match{{Slot: 1, Blocks: 3}})
+	assert.DeepEqual(t, lookup(x, blocks), []Match{{Handle: 1, Blocks: 3}})
 }
 
 func TestForgottenEngineHoldsNothing(t *testing.T) {
@@ -97,9 +97,9 @@
 	assert.Equal(t, len(lookup(x, chainOf(10, 8))), 0)
 }
 
-// Most events of a busy engine got lost. Counting only those that came, the
-// index would go on naming blocks that were evicted long ago.
-func TestLostEventsAgeWhatIsHeld(t *testing.T) {
+// Most events of a busy engine are lost. If only those received counted, the index
+// would go on listing blocks that were evicted long ago.
+func TestLostEventsAgeHeldBlocks(t *testing.T) {
 	x := NewIndex(1 << 12)
 	x.SetCapacity(1, 100)
 	blocks := chainOf(1, 4)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -13,46 +13,46 @@
 	config Config
 	self   fleet.DataCentre
 	rng    *rand.Rand
-	target targets
+	target latencyTargets
 
-	endpoints  map[fleet.EndpointID]*endpoint
-	slots      []*endpoint // by slot; nil is free
-	free       []uint32    // free slots
-	generation uint64      // of the endpoint list
-	notices    notices
-	classes    map[string]*estimate.Pace
-	sets       map[setKey]*set
-	stale      bool // the sets' members need rebuilding
+	endpoints   map[fleet.EndpointID]*endpoint
+	byHandle    []*endpoint // by handle; nil is free
+	freeHandles []uint32    // to be reused
+	generation  uint64      // number of the newest endpoint list
+	notices     notices
+	classes     map[string]*estimate.TokenLatency // by machine class
+	sets        map[setKey]*replicaSet
+	stale       bool // the members of sets must be rebuilt
 
 	index    *prefix.Index
 	attempts map[attemptKey]attempt
-	reserved []reservation
-	answer   latency // of all engines: first token to last
+	reserved []reservation // in order of expiry
+	decode   latency       // from the first token to the last, over all engines
 
-	round   uint64 // counts picks
+	picks   uint64 // number of picks so far
 	scratch scratch
 }
 
-// New returns a router for a daemon in data centre self. The random source
-// belongs to the router from now on.
+// New returns a router for a daemon in data centre self. The router takes
+// ownership of rng.
 func New(config Config, self fleet.DataCentre, rng *rand.Rand) *Router {
 	config = config.withDefaults()
 	return &Router{
 		config:    config,
 		self:      self,
 		rng:       rng,
-		target:    targets{first: config.FirstToken.Seconds(), token: config.TokenInterval.Seconds()},
+		target:    latencyTargets{firstToken: config.FirstToken.Seconds(), tokenInterval: config.TokenInterval.Seconds()},
 		endpoints: map[fleet.EndpointID]*endpoint{},
 		notices:   notices{},
-		classes:   map[string]*estimate.Pace{},
-		sets:      map[setKey]*set{},
+		classes:   map[string]*estimate.TokenLatency{},
+		sets:      map[setKey]*replicaSet{},
 		index:     prefix.NewIndex(config.IndexBlocks),
 		attempts:  map[attemptKey]attempt{},
 	}
 }
 
-// targets are the latencies to keep, in seconds.
-type targets struct {
-	first float64 // to the first token
-	token float64 // between tokens
+// latencyTargets are the latency targets in seconds.
+type latencyTargets struct {
+	firstToken    float64
+	tokenInterval float64 // between tokens
 }
--- a/internal/routing/sim_test.go
+++ b/internal/routing/sim_test.go
@@ -11,54 +11,55 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// simClass is a machine class: a step of its batch takes step seconds, each
-// for every answer in it, and the computing of up to chunk prompt tokens.
+// simClass is a machine class. A step of its batch takes emptyStep, perRequest
+// for each request in the batch, and the prefill of up to chunk prompt tokens.
 type simClass struct {
-	price, step, each, prefill float64 // an hour; seconds; seconds; tokens a second
-	slots, blocks, chunk       int
+	price, emptyStep, perRequest, prefill float64 // per hour; seconds; seconds; tokens per second
+	slots, blocks, chunk                  int
 }
 
-// The large machines are bought on demand, the small ones are reclaimable.
+// simClasses are a large on-demand machine and a small reclaimable one.
 var simClasses = [2]simClass{
-	{price: 3.2, step: 0.011, each: 0.00035, prefill: 14000, slots: 64, blocks: 14000, chunk: 256},
-	{price: 0.6, step: 0.013, each: 0.0006, prefill: 8000, slots: 40, blocks: 8000, chunk: 128},
+	{price: 3.2, emptyStep: 0.011, perRequest: 0.00035, prefill: 14000, slots: 64, blocks: 14000, chunk: 256},
+	{price: 0.6, emptyStep: 0.013, perRequest: 0.0006, prefill: 8000, slots: 40, blocks: 8000, chunk: 128},
 }
 
-// simEngine batches continuously and keeps a cache of prefix blocks.
+// simEngine is an engine with continuous batching and a cache of prefix blocks.
 type simEngine struct {
 	simClass
-	id      fleet.EndpointID
-	next    time.Duration // end of the step that runs; 0 is idle
-	waiting []*simTurn
-	batch   []*simTurn
-	cache   map[uint64]*list.Element
-	recent  list.List // of blocks, the last used in front
-	pace    float64   // moving average of a step's seconds
-	page    engineapi.CacheEvents
+	id       fleet.EndpointID
+	next     time.Duration // end of the current step; 0 is idle
+	waiting  []*simTurn
+	batch    []*simTurn
+	cache    map[uint64]*list.Element
+	lru      list.List // of blocks, the most recently used first
+	meanStep float64   // moving average of the seconds of a step
+	page     engineapi.CacheEvents
 }
 
-// simReport is an engine's report on its late way to the daemons.
+// simReport is an engine's report to all daemons, delivered at a later time.
 type simReport struct {
 	at      time.Duration
 	deliver func(*Router)
 }
 
-// simFleet is the virtual time, the daemons and engines, and what is counted.
+// simFleet is the simulation: virtual time, routers, engines and the counts.
 type simFleet struct {
-	now     time.Duration
-	rng     *rand.Rand
-	routers []*Router
-	engines []*simEngine
-	late    []simReport
-	known   map[uint64]bool // blocks that some engine computed
+	now      time.Duration
+	rng      *rand.Rand
+	routers  []*Router
+	engines  []*simEngine
+	delayed  []simReport
+	computed map[uint64]bool // blocks that an engine has computed
 
 	counted, good, prompt, recomputed int
-	work                              float64 // seconds beyond an empty step's, times price
+	work                              float64 // seconds of steps in excess of an empty one, times price
 }
 
 func (f *simFleet) clock() time.Time { return time.Unix(1000, 0).Add(f.now) }
 
-// run takes the turns in order, and the engines' steps between them.
+// run simulates the turns, which are in order of arrival, and then goes on up to
+// twice simEnd to complete the answers.
 func (f *simFleet) run(turns []simTurn) {
 	report := time.Duration(0)
 	turns = slices.Clone(turns)
@@ -73,7 +74,7 @@
 	f.advance(2 * simEnd)
 }
 
-// advance runs all engines up to a time.
+// advance runs all engines up to a time and delivers the reports due by then.
 func (f *simFleet) advance(until time.Duration) {
 	for _, e := range f.engines {
 		for e.next != 0 && e.next <= until {
@@ -83,17 +84,17 @@
 		}
 	}
 	f.now = until
-	for ; len(f.late) > 0 && f.late[0].at <= until; f.late = f.late[1:] {
+	for ; len(f.delayed) > 0 && f.delayed[0].at <= until; f.delayed = f.delayed[1:] {
 		for _, r := range f.routers {
-			f.late[0].deliver(r)
+			f.delayed[0].deliver(r)
 		}
 	}
 }
 
-// arrive sends a turn where its daemon's router says, or refuses it: all
-// policies have the same simple admission.
+// arrive dispatches a turn to the choice of its daemon's router, or refuses it
+// if the choice is overloaded. That admission is the same for all policies.
 func (f *simFleet) arrive(t *simTurn) {
-	if t.at >= simWarm {
+	if t.at >= simWarmUp {
 		f.counted++
 	}
 	r := f.routers[t.daemon]
@@ -110,102 +111,106 @@
 	}
 }
 
+// startStep fills the batch from the waiting turns and schedules its next step.
 func (f *simFleet) startStep(e *simEngine) {
 	for len(e.waiting) > 0 && len(e.batch) < e.slots {
-		j := e.waiting[0]
+		t := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		j.todo = max(1, j.q.PromptTokens-f.prefill(e, j.q.Blocks))
-		e.batch = append(e.batch, j)
+		t.todo = max(1, t.q.PromptTokens-f.prefill(e, t.q.Blocks))
+		e.batch = append(e.batch, t)
 	}
 	e.next = 0
 	if len(e.batch) == 0 {
 		return
 	}
-	room, seconds := e.chunk, e.step
-	for _, j := range e.batch {
-		n := min(room, j.todo)
-		room, j.todo = room-n, j.todo-n
-		seconds += e.each
+	room, seconds := e.chunk, e.emptyStep
+	for _, t := range e.batch {
+		n := min(room, t.todo)
+		room, t.todo = room-n, t.todo-n
+		seconds += e.perRequest
 	}
 	seconds += float64(e.chunk-room) / e.prefill
-	f.work += (seconds - e.step) * e.price
-	e.pace += 0.05 * (seconds - e.pace)
+	f.work += (seconds - e.emptyStep) * e.price
+	e.meanStep += 0.05 * (seconds - e.meanStep)
 	e.next = f.now + time.Duration(seconds*1e9)
 }
 
-// endStep gives each answer whose prompt is computed its next token.
+// endStep adds a token to each answer whose prompt is computed, and removes the
+// finished ones.
 func (f *simFleet) endStep(e *simEngine) {
-	e.batch = slices.DeleteFunc(e.batch, func(j *simTurn) bool {
-		if j.todo > 0 {
+	e.batch = slices.DeleteFunc(e.batch, func(t *simTurn) bool {
+		if t.todo > 0 {
 			return false
 		}
-		j.tokens++
-		if j.tokens == 1 {
-			j.first = f.now
-			f.routers[j.daemon].FirstToken(f.clock(), e.id, j.q.ID)
+		t.tokens++
+		if t.tokens == 1 {
+			t.first = f.now
+			f.routers[t.daemon].FirstToken(f.clock(), e.id, t.q.ID)
 		}
-		if j.tokens < j.q.MaxTokens {
+		if t.tokens < t.q.MaxTokens {
 			return false
 		}
-		f.routers[j.daemon].Finished(f.clock(), e.id, j.q.ID, Answered)
-		pace := (f.now - j.first) / time.Duration(max(1, j.tokens-1))
-		if j.at >= simWarm && j.first-j.at <= defaultFirstToken && pace <= defaultTokenInterval {
+		f.routers[t.daemon].Finished(f.clock(), e.id, t.q.ID, Answered)
+		interval := (f.now - t.first) / time.Duration(max(1, t.tokens-1))
+		if t.at >= simWarmUp && t.first-t.at <= defaultFirstToken && interval <= defaultTokenInterval {
 			f.good++
 		}
 		return true
 	})
 }
 
-// prefill returns the prompt tokens found in the cache and stores the prompt,
-// its last block as the first to be evicted.
+// prefill returns the prompt tokens found in the cache and stores the prompt's
+// blocks in it, so that its last block is evicted first.
 func (f *simFleet) prefill(e *simEngine, blocks []uint64) (cached int) {
 	held := 0
 	for held < len(blocks) && e.cache[blocks[held]] != nil {
 		held++
 	}
 	for i, b := range slices.Backward(blocks) {
-		if f.now >= simWarm {
+		if f.now >= simWarmUp {
 			f.prompt += engineapi.BlockTokens
-			if i >= held && f.known[b] {
+			if i >= held && f.computed[b] {
 				f.recomputed += engineapi.BlockTokens
 			}
 		}
-		f.known[b] = true
+		f.computed[b] = true
 		if at := e.cache[b]; at != nil {
-			e.recent.MoveToFront(at)
+			e.lru.MoveToFront(at)
 			continue
 		}
-		e.cache[b] = e.recent.PushFront(b)
+		e.cache[b] = e.lru.PushFront(b)
 		f.publish(e, true, b)
 	}
-	for e.recent.Len() > e.blocks {
-		b := e.recent.Remove(e.recent.Back()).(uint64)
+	for e.lru.Len() > e.blocks {
+		b := e.lru.Remove(e.lru.Back()).(uint64)
 		delete(e.cache, b)
 		f.publish(e, false, b)
 	}
 	return held * engineapi.BlockTokens
 }
 
+// publish adds a cache event to the engine's page, or loses it.
 func (f *simFleet) publish(e *simEngine, stored bool, hash uint64) {
-	if f.rng.Float64() >= simLost {
+	if f.rng.Float64() >= simLostEvents {
 		e.page.Events = append(e.page.Events, engineapi.CacheEvent{Seq: e.page.Next, Stored: stored, Hash: hash})
 	}
 	e.page.Next++
 }
 
-// report has every engine report itself.
+// report sends the load and the cache events of each engine, which arrive after
+// simLag.
 func (f *simFleet) report() {
 	for _, e := range f.engines {
 		load := engineapi.Load{
 			TakenAtMillis: f.clock().UnixMilli(), Running: len(e.batch), Queued: len(e.waiting), Slots: e.slots,
-			CacheBlocks: e.blocks, PrefillPerSecond: int(e.prefill), TokenMillis: 1000 * e.pace,
+			CacheBlocks: e.blocks, PrefillPerSecond: int(e.prefill), TokenMillis: 1000 * e.meanStep,
 		}
-		for _, j := range slices.Concat(e.batch, e.waiting) {
-			load.QueuedPromptTokens += j.todo
+		for _, t := range slices.Concat(e.batch, e.waiting) {
+			load.QueuedPromptTokens += t.todo
 		}
 		page := e.page
 		e.page.Events = nil
-		f.late = append(f.late, simReport{at: f.now + simLag, deliver: func(r *Router) {
+		f.delayed = append(f.delayed, simReport{at: f.now + simLag, deliver: func(r *Router) {
 			r.ReportLoad(f.clock(), e.id, load)
 			r.ReportCache(f.clock(), e.id, page)
 		}})
@@ -213,7 +218,7 @@
 }
 
 func newSim(config Config) *simFleet {
-	f := &simFleet{rng: rand.New(rand.NewPCG(simSeed, 1)), known: map[uint64]bool{}}
+	f := &simFleet{rng: rand.New(rand.NewPCG(simSeed, 1)), computed: map[uint64]bool{}}
 	served := endpoints(simEngines)
 	for i := range served {
 		e := &simEngine{simClass: simClasses[i%2], id: served[i].ID, cache: map[uint64]*list.Element{}}
