--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -16,14 +16,14 @@
 	workspaces map[fleet.WorkspaceID]*workspace
 	pools      map[Pool]*pool
 	poolList   []*pool // in order of creation, so that runs repeat
-	requests   map[fleet.RequestID]*request
-	free       []*request
+	requests   map[fleet.RequestID]*requestState
+	free       []*requestState
 	leases     leases
-	asleep     heap[*flow]
+	throttled  heap[*flow]
 	seq        uint64
 	nextCheck  time.Duration
 	actions    []Action
-	scratch    []*request
+	scratch    []*requestState
 }
 
 // New returns an Admission without workspaces or pools; both come up on use.
@@ -33,22 +33,22 @@
 		rng:        rng,
 		workspaces: make(map[fleet.WorkspaceID]*workspace),
 		pools:      make(map[Pool]*pool),
-		requests:   make(map[fleet.RequestID]*request),
+		requests:   make(map[fleet.RequestID]*requestState),
 	}
 	a.leases.init()
-	a.asleep.less = flowWakesBefore
-	a.asleep.moved = flowMoved
+	a.throttled.less = flowReadyBefore
+	a.throttled.moved = setFlowIndex
 	return a
 }
 
 // SetLimits puts limits in force for a workspace, of which this daemon has a
 // share in [0,1]. Tokens already spent stay spent.
 func (a *Admission) SetLimits(now time.Time, id fleet.WorkspaceID, l Limits, share float64) {
-	t := a.clock(now)
+	t := a.elapsed(now)
 	w := a.workspace(t, id)
 	w.apply(t, l, share)
 	for _, f := range w.flows {
-		a.reconsider(f)
+		a.makeReady(f)
 	}
 }
 
@@ -82,14 +82,14 @@
 	if !ok || !r.running {
 		return false
 	}
-	t := a.clock(now)
+	t := a.elapsed(now)
 	a.leases.remove(r)
 	a.leases.add(r, t+a.cfg.LeaseTime)
 	return true
 }
 
-// clock turns now into time since the first call, never backwards.
-func (a *Admission) clock(now time.Time) time.Duration {
+// elapsed turns now into time since the first call, never backwards.
+func (a *Admission) elapsed(now time.Time) time.Duration {
 	if a.epoch.IsZero() {
 		a.epoch = now
 	}
@@ -100,8 +100,8 @@
 func (a *Admission) workspace(now time.Duration, id fleet.WorkspaceID) *workspace {
 	w, ok := a.workspaces[id]
 	if !ok {
-		w = &workspace{id: id, asked: meter{time: demandTime}, askedCost: meter{time: demandTime}}
-		w.estimates.first = a.cfg.FirstEstimate
+		w = &workspace{id: id, offered: meter{decay: demandDecay}, offeredTokens: meter{decay: demandDecay}}
+		w.estimates.initial = a.cfg.FirstEstimate
 		w.apply(now, a.cfg.Default, 1)
 		a.workspaces[id] = w
 	}
@@ -118,14 +118,14 @@
 	return p
 }
 
-// reconsider makes a flow that waited for its workspace ready; the next Tick
+// makeReady makes a flow that waited for its workspace ready; the next Tick
 // finds out whether it may start.
-func (a *Admission) reconsider(f *flow) {
+func (a *Admission) makeReady(f *flow) {
 	switch f.state {
-	case flowAsleep:
-		a.asleep.remove(f.index)
-		f.pool.enter(f)
+	case flowThrottled:
+		a.throttled.remove(f.index)
+		f.pool.pushReady(f)
 	case flowBlocked:
-		f.pool.enter(f)
+		f.pool.pushReady(f)
 	}
 }
--- a/internal/admission/admission_bench_test.go
+++ b/internal/admission/admission_bench_test.go
@@ -14,14 +14,14 @@
 func BenchmarkOfferRelease(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			a, asks := benchAdmission(n, n)
+			a, requests := benchAdmission(n, n)
 			now := time.Unix(0, 0)
 			b.ReportAllocs()
 			for i := range b.N {
 				now = now.Add(time.Millisecond)
-				ask := &asks[i%len(asks)]
-				a.Offer(now, *ask)
-				a.Release(now, ask.Request, Usage{PromptTokens: 100, CompletionTokens: 100})
+				req := &requests[i%len(requests)]
+				a.Offer(now, *req)
+				a.Release(now, req.ID, Usage{PromptTokens: 100, CompletionTokens: 100})
 				a.Tick(now)
 			}
 		})
@@ -33,33 +33,33 @@
 func BenchmarkOfferOverloaded(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			a, asks := benchAdmission(n, 40*n)
+			a, requests := benchAdmission(n, 40*n)
 			now := time.Unix(0, 0)
 			a.SetCapacity("engines", 4*n)
-			for _, ask := range asks {
-				a.Offer(now, ask)
+			for _, req := range requests {
+				a.Offer(now, req)
 			}
-			ask := asks[0]
-			ask.Request = "new"
-			ask.Deadline = now.Add(time.Millisecond)
+			req := requests[0]
+			req.ID = "new"
+			req.Deadline = now.Add(time.Millisecond)
 			b.ReportAllocs()
 			for i := range b.N {
-				ask.Workspace = asks[i%n].Workspace
-				a.Offer(now, ask)
+				req.Workspace = requests[i%n].Workspace
+				a.Offer(now, req)
 			}
 		})
 	}
 }
 
-func benchAdmission(workspaces, requests int) (*Admission, []Ask) {
+func benchAdmission(workspaces, count int) (*Admission, []Request) {
 	cfg := DefaultConfig()
 	cfg.LeaseTime = 1000 * time.Hour
 	cfg.MaxQueued = 1 << 20
 	a := New(cfg, rand.New(rand.NewPCG(1, 1)))
-	asks := make([]Ask, requests)
-	for i := range asks {
-		asks[i] = Ask{
-			Request:      fleet.RequestID(fmt.Sprintf("r%d", i)),
+	requests := make([]Request, count)
+	for i := range requests {
+		requests[i] = Request{
+			ID:           fleet.RequestID(fmt.Sprintf("r%d", i)),
 			Workspace:    workspaceName(i % workspaces),
 			Pool:         "engines",
 			Model:        fleet.ModelRef{Model: "m"},
@@ -71,5 +71,5 @@
 		l := Limits{RequestsPerSecond: 1e9, RequestBurst: 1e9, TokensPerSecond: 1e12, TokenBurst: 1e12, Concurrency: 1000}
 		a.SetLimits(time.Unix(0, 0), workspaceName(i), l, 1)
 	}
-	return a, asks
+	return a, requests
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,9 +22,9 @@
 	return a
 }
 
-func ask(id string, prompt int) Ask {
-	return Ask{
-		Request:      fleet.RequestID(id),
+func request(id string, prompt int) Request {
+	return Request{
+		ID:           fleet.RequestID(id),
 		Workspace:    "w",
 		Pool:         "p",
 		Model:        fleet.ModelRef{Model: "m"},
@@ -35,28 +35,28 @@
 
 // A refused caller comes back, so each refusal that charged something would
 // push the next one further away: the workspace ends below its limits.
-func TestRefusalTakesNothing(t *testing.T) {
+func TestRefusalConsumesNoQuota(t *testing.T) {
 	a := newAdmission(Limits{RequestsPerSecond: 1, RequestBurst: 2, TokensPerSecond: 100, TokenBurst: 100, MaxTokens: 100}, 8)
-	assert.Equal(t, a.Offer(epoch, ask("a", 300)).Outcome, Admit) // 300 tokens of debt
+	assert.Equal(t, a.Offer(epoch, request("a", 300)).Outcome, Admit) // 300 tokens of debt
 	for range 100 {
-		d := a.Offer(epoch, withDeadline(ask("b", 100), 60))
+		d := a.Offer(epoch, withDeadline(request("b", 100), 60))
 		assert.Equal(t, d.Reason, TokenRate)
 		assert.Assert(t, d.RetryAfter > 0)
 	}
-	tooLarge := ask("c", 1)
+	tooLarge := request("c", 1)
 	tooLarge.MaxTokens = 101
 	assert.DeepEqual(t, a.Offer(epoch, tooLarge), Decision{Outcome: Refuse, Reason: TooLarge})
 	// At 1.1 s the debt is 190 tokens, a wait within the bound; the request
 	// rate still has the one that the refusals did not take.
-	assert.Equal(t, a.Offer(at(1.1), withDeadline(ask("d", 1), 60)).Outcome, Queue)
+	assert.Equal(t, a.Offer(at(1.1), withDeadline(request("d", 1), 60)).Outcome, Queue)
 }
 
 // The debt of a queued request is paid by waiting: it starts when the balance
 // is back at zero, not before, and no debt outgrows MaxTokenWait at the offer.
-func TestTokenDebtDelaysAndIsSettledOnce(t *testing.T) {
+func TestTokenDebtDelaysStartAndUsageIsSettledOnce(t *testing.T) {
 	a := newAdmission(Limits{TokensPerSecond: 100, TokenBurst: 100}, 8)
-	assert.Equal(t, a.Offer(epoch, ask("a", 100)).Outcome, Admit) // estimate 200, debt 100
-	assert.DeepEqual(t, a.Offer(epoch, withDeadline(ask("b", 100), 60)), Decision{Outcome: Queue, Reason: TokenRate})
+	assert.Equal(t, a.Offer(epoch, request("a", 100)).Outcome, Admit) // estimate 200, debt 100
+	assert.DeepEqual(t, a.Offer(epoch, withDeadline(request("b", 100), 60)), Decision{Outcome: Queue, Reason: TokenRate})
 	assert.Equal(t, len(a.Tick(at(0.9))), 0)
 	assert.DeepEqual(t, a.NextTick(), at(1))
 	assert.DeepEqual(t, a.Tick(at(1)), []Action{{Request: "b", Start: true}})
@@ -66,7 +66,7 @@
 	assert.Equal(t, a.workspaces["w"].tokens.balance, -30.0)
 }
 
-func withDeadline(a Ask, s float64) Ask {
+func withDeadline(a Request, s float64) Request {
 	a.Deadline = at(s)
 	return a
 }
@@ -75,13 +75,13 @@
 // closes. Were slots counted down, the second would free another request's.
 func TestSecondReleaseFreesNoOtherSlot(t *testing.T) {
 	a := newAdmission(Limits{Concurrency: 2}, 8)
-	a.Offer(epoch, ask("a", 1))
-	a.Offer(epoch, ask("b", 1))
-	assert.Equal(t, a.Offer(epoch, withDeadline(ask("c", 1), 600)).Reason, Concurrency)
+	a.Offer(epoch, request("a", 1))
+	a.Offer(epoch, request("b", 1))
+	assert.Equal(t, a.Offer(epoch, withDeadline(request("c", 1), 600)).Reason, Concurrency)
 	assert.Equal(t, len(a.Tick(epoch)), 0)
 	a.Release(epoch, "a", Usage{})
 	a.Release(epoch, "a", Usage{})
-	a.Offer(epoch, withDeadline(ask("d", 1), 600))
+	a.Offer(epoch, withDeadline(request("d", 1), 600))
 	assert.DeepEqual(t, a.Tick(epoch), []Action{{Request: "c", Start: true}})
 }
 
@@ -90,10 +90,10 @@
 // keeps its slot.
 func TestExpiredLeaseFreesItsSlot(t *testing.T) {
 	a := newAdmission(Limits{Concurrency: 2}, 8)
-	a.Offer(epoch, ask("dead", 1))
-	a.Offer(epoch, ask("long", 1))
+	a.Offer(epoch, request("dead", 1))
+	a.Offer(epoch, request("long", 1))
 	assert.Assert(t, a.Extend(at(20), "long"))
-	assert.Equal(t, a.Offer(at(29), withDeadline(ask("next", 1), 600)).Outcome, Queue)
+	assert.Equal(t, a.Offer(at(29), withDeadline(request("next", 1), 600)).Outcome, Queue)
 	assert.DeepEqual(t, a.Tick(at(30)), []Action{{Request: "next", Start: true}})
 	assert.Assert(t, !a.Extend(at(30), "dead"))
 	assert.Assert(t, !a.Release(at(30), "dead", Usage{}))
@@ -102,11 +102,11 @@
 
 // A caller that lost the answer offers again with the same id. Counted twice,
 // it would hold two slots and be charged twice.
-func TestRepeatedOfferTakesNothingMore(t *testing.T) {
+func TestRepeatedOfferIsIdempotent(t *testing.T) {
 	a := newAdmission(Limits{Concurrency: 1, TokensPerSecond: 100, TokenBurst: 1_000}, 8)
 	for range 3 {
-		assert.Equal(t, a.Offer(epoch, ask("a", 100)).Outcome, Admit)
-		assert.Equal(t, a.Offer(epoch, withDeadline(ask("b", 100), 600)).Outcome, Queue)
+		assert.Equal(t, a.Offer(epoch, request("a", 100)).Outcome, Admit)
+		assert.Equal(t, a.Offer(epoch, withDeadline(request("b", 100), 600)).Outcome, Queue)
 	}
 	assert.Equal(t, a.PoolState("p").Running, 1)
 	assert.Equal(t, a.PoolState("p").Queued, 1)
@@ -116,19 +116,19 @@
 // Capacity vanishes while requests wait, and more run than slots are left.
 // Callers learn at once that they will not make it; told near the deadline, no
 // other entry could help them. What was refused gives its rate token back.
-func TestLostCapacityRefusesWhatWaits(t *testing.T) {
+func TestLostCapacityRefusesQueuedRequests(t *testing.T) {
 	a := newAdmission(Limits{RequestsPerSecond: 1e-9, RequestBurst: 41}, 40)
 	for i := range 40 {
-		a.Offer(epoch, ask(fmt.Sprint(i), 1))
+		a.Offer(epoch, request(fmt.Sprint(i), 1))
 	}
-	assert.Equal(t, a.Offer(epoch, withDeadline(ask("x", 1), 2)).Outcome, Queue)
+	assert.Equal(t, a.Offer(epoch, withDeadline(request("x", 1), 2)).Outcome, Queue)
 	assert.Equal(t, len(a.Tick(epoch)), 0)
 	a.SetCapacity("p", 20)
 	acts := a.Tick(at(0.01))
 	assert.Equal(t, len(acts), 1)
 	assert.Equal(t, acts[0].Reason, Overload)
 	assert.Assert(t, !acts[0].Start && acts[0].RetryAfter > 0)
-	d := a.Offer(at(0.01), ask("y", 1))
+	d := a.Offer(at(0.01), request("y", 1))
 	assert.Equal(t, d.Outcome, Refuse)
 	assert.Equal(t, d.Reason, Overload)
 }
@@ -138,10 +138,10 @@
 func TestLateRequestIsNotStarted(t *testing.T) {
 	a := newAdmission(Limits{}, 400)
 	for i := range 400 {
-		a.Offer(epoch, ask(fmt.Sprint(i), 1))
+		a.Offer(epoch, request(fmt.Sprint(i), 1))
 	}
 	a.Tick(epoch)
-	assert.Equal(t, a.Offer(at(0.1), withDeadline(ask("late", 1), 1)).Outcome, Queue)
+	assert.Equal(t, a.Offer(at(0.1), withDeadline(request("late", 1), 1)).Outcome, Queue)
 	assert.Equal(t, len(a.Tick(at(0.9))), 0)
 	a.Release(at(1.02), "0", Usage{PromptTokens: 1, CompletionTokens: 100})
 	acts := a.Tick(at(1.02))
@@ -154,7 +154,7 @@
 	a := newAdmission(Limits{}, 1)
 	reasons := map[Reason]int{}
 	for i := range 2 * a.cfg.MaxQueuedEach {
-		reasons[a.Offer(epoch, withDeadline(ask(fmt.Sprint(i), 1), 1e6)).Reason]++
+		reasons[a.Offer(epoch, withDeadline(request(fmt.Sprint(i), 1), 1e6)).Reason]++
 	}
 	assert.Equal(t, a.PoolState("p").Queued, a.cfg.MaxQueuedEach)
 	assert.Equal(t, reasons[QueueFull], a.cfg.MaxQueuedEach-1)
@@ -162,7 +162,7 @@
 
 // Demand moves between daemons and shares with it. If a share that grows
 // brought its part of the burst along, moving back and forth would mint tokens.
-func TestMovingSharesMintsNoTokens(t *testing.T) {
+func TestMovingSharesCreatesNoTokens(t *testing.T) {
 	l := Limits{TokensPerSecond: 100, TokenBurst: 1_000}
 	a := newAdmission(l, 8)
 	a.SetLimits(epoch, "w", l, 0.1)
@@ -172,12 +172,12 @@
 
 // Five hundred callers are refused in one instant. Told the same time, they
 // would be back in one instant; each is told a later one than those before it.
-func TestRefusedCallersAreSpread(t *testing.T) {
+func TestRetryAfterSpreadsRefusedCallers(t *testing.T) {
 	a := newAdmission(Limits{RequestsPerSecond: 100, RequestBurst: 1}, 1_000)
-	a.Offer(epoch, ask("first", 1))
+	a.Offer(epoch, request("first", 1))
 	late := 0
 	for i := range 500 {
-		d := a.Offer(epoch, ask(fmt.Sprint(i), 1))
+		d := a.Offer(epoch, request(fmt.Sprint(i), 1))
 		assert.Equal(t, d.Reason, RequestRate)
 		if d.RetryAfter > 2*time.Second {
 			late++
@@ -189,15 +189,15 @@
 // A workspace that used little sends a burst while another floods the pool.
 // Without credit for what it left unused, half of the burst would queue behind
 // the flood.
-func TestCreditLetsQuietWorkspaceBurst(t *testing.T) {
+func TestUnusedShareAllowsBurst(t *testing.T) {
 	a := newAdmission(Limits{}, 10)
 	for i := range 200 {
-		r := withDeadline(ask(fmt.Sprint(i), 1), 600)
+		r := withDeadline(request(fmt.Sprint(i), 1), 600)
 		r.Workspace = "flood"
 		a.Offer(epoch, r)
 	}
 	for i := range 4 {
-		a.Offer(at(1), withDeadline(ask(fmt.Sprint("quiet", i), 1), 600))
+		a.Offer(at(1), withDeadline(request(fmt.Sprint("quiet", i), 1), 600))
 	}
 	for i := range 4 {
 		a.Release(at(2), fleet.RequestID(fmt.Sprint(i)), Usage{PromptTokens: 1, CompletionTokens: 100})
@@ -218,7 +218,7 @@
 
 // Whatever comes in whatever order: bounds hold, the counts agree with what
 // callers were told, and no request waits past its deadline or while it could run.
-func TestBoundsHoldAndNothingIsForgotten(t *testing.T) {
+func TestLimitsHoldAndNoRequestIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{RequestsPerSecond: 20, RequestBurst: 10, TokensPerSecond: 4_000, TokenBurst: 2_000, Concurrency: 4}
 		a := newAdmission(l, 6)
@@ -239,15 +239,15 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				ids++
-				r := ask(fmt.Sprint(ids), rapid.IntRange(0, 2_000).Draw(t, "prompt"))
+				r := request(fmt.Sprint(ids), rapid.IntRange(0, 2_000).Draw(t, "prompt"))
 				r.Workspace = fleet.WorkspaceID(rapid.SampledFrom([]string{"w", "v", "u"}).Draw(t, "workspace"))
 				r.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 				r.Deadline = now.Add(time.Duration(rapid.IntRange(0, 5_000).Draw(t, "deadline")) * time.Millisecond)
 				switch a.Offer(now, r).Outcome {
 				case Admit:
-					running = append(running, r.Request)
+					running = append(running, r.ID)
 				case Queue:
-					waiting[r.Request] = r.Deadline
+					waiting[r.ID] = r.Deadline
 				}
 			},
 			"release": func(t *rapid.T) {
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -9,7 +9,7 @@
 	burst   float64
 	balance float64
 	last    time.Duration
-	booked  booking
+	retries retryBacklog
 }
 
 // refill adds what has accrued since the last call.
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -12,15 +12,15 @@
 
 // estimates holds the moving average of completion tokens by model.
 type estimates struct {
-	first float64
-	mean  map[fleet.ModelRef]float64
+	initial float64
+	mean    map[fleet.ModelRef]float64
 }
 
 // completion returns the expected completion of a request in tokens.
 func (e *estimates) completion(m fleet.ModelRef, maxTokens int) float64 {
 	mean, ok := e.mean[m]
 	if !ok {
-		mean = e.first
+		mean = e.initial
 	}
 	if maxTokens > 0 {
 		mean = min(mean, float64(maxTokens))
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -6,10 +6,10 @@
 type flowState uint8
 
 const (
-	flowEmpty   flowState = iota // nothing waits
-	flowReady                    // in the pool's heap
-	flowAsleep                   // waits for its workspace's token debt
-	flowBlocked                  // waits for a slot of its workspace
+	flowEmpty     flowState = iota // nothing waits
+	flowReady                      // in the pool's heap
+	flowThrottled                  // waits for its workspace's token debt
+	flowBlocked                    // waits for a slot of its workspace
 )
 
 // flow is what one workspace has waiting and running in one pool. Flows share
@@ -18,29 +18,29 @@
 type flow struct {
 	workspace  *workspace
 	pool       *pool
-	queue      heap[*request]
+	queue      heap[*requestState]
 	queuedWork float64
 	running    int
-	served     meter   // work started a second
-	start      float64 // virtual time at which its next request may start
-	finish     float64 // virtual finish of the last one started
+	served     meter   // work started per second
+	startTag   float64 // virtual time at which its next request may start
+	finishTag  float64 // virtual finish of the last one started
 	state      flowState
-	index      int // in the heap of its state
-	wake       time.Duration
-	booked     booking // work
+	index      int           // in the heap of its state
+	readyAt    time.Duration // when a throttled flow becomes ready
+	retries    retryBacklog  // in work
 }
 
 func newFlow(w *workspace, p *pool) *flow {
-	f := &flow{workspace: w, pool: p, index: notInHeap, served: meter{time: servedTime}}
-	f.queue.less = (*request).before
-	f.queue.moved = requestMoved
+	f := &flow{workspace: w, pool: p, index: notInHeap, served: meter{decay: servedDecay}}
+	f.queue.less = (*requestState).before
+	f.queue.moved = setRequestIndex
 	return f
 }
 
 func (f *flow) active() bool { return f.running > 0 || f.queue.len() > 0 }
 
-// ahead returns the work that would be done before r.
-func (f *flow) ahead(r *request) float64 {
+// workAhead returns the work that would be done before r.
+func (f *flow) workAhead(r *requestState) float64 {
 	work := 0.0
 	for _, o := range f.queue.items {
 		if o.before(r) {
@@ -54,12 +54,12 @@
 // request can start.
 func (f *flow) wait(now time.Duration, ahead float64) time.Duration {
 	p := f.pool
-	drain := p.drain()
+	drain := p.drainRate()
 	if drain <= 0 {
-		return seconds(maxPrediction)
+		return seconds(maxWaitSeconds)
 	}
 	perSlot := p.slotRate()
-	behind := (max(p.tag(f), f.start) - p.virtual) * f.workspace.weight
+	behind := (max(p.startTag(f), f.startTag) - p.virtualTime) * f.workspace.weight
 	wait := max(0, ahead+behind)/f.rate(now) + p.meanWork/drain
 	if over := p.running - p.slots; over > 0 {
 		wait += float64(over) * p.meanHold / float64(p.running)
@@ -74,7 +74,7 @@
 // share, or what the others leave.
 func (f *flow) rate(now time.Duration) float64 {
 	p := f.pool
-	drain := p.drain()
+	drain := p.drainRate()
 	weight := p.activeWeight
 	if !f.active() {
 		weight += f.workspace.weight
@@ -83,11 +83,11 @@
 	return max(fair, drain-(p.served.rate(now)-f.served.rate(now)))
 }
 
-// maxPrediction stands for a pool without capacity, in seconds.
-const maxPrediction = 3600
+// maxWaitSeconds stands for a pool without capacity, in seconds.
+const maxWaitSeconds = 3600
 
-func flowBefore(a, b *flow) bool { return a.start < b.start }
+func flowBefore(a, b *flow) bool { return a.startTag < b.startTag }
 
-func flowWakesBefore(a, b *flow) bool { return a.wake < b.wake }
+func flowReadyBefore(a, b *flow) bool { return a.readyAt < b.readyAt }
 
-func flowMoved(f *flow, index int) { f.index = index }
+func setFlowIndex(f *flow, index int) { f.index = index }
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -5,27 +5,27 @@
 // leases lists running requests by expiry. All leases last equally long, so
 // a new or extended one belongs at the end and no heap is needed.
 type leases struct {
-	root request // of a circular list; root.next expires first
+	root requestState // of a circular list; root.next expires first
 }
 
 func (l *leases) init() {
 	l.root.next, l.root.prev = &l.root, &l.root
 }
 
-func (l *leases) add(r *request, expires time.Duration) {
+func (l *leases) add(r *requestState, expires time.Duration) {
 	r.expires = expires
 	last := l.root.prev
 	r.prev, r.next = last, &l.root
 	last.next, l.root.prev = r, r
 }
 
-func (l *leases) remove(r *request) {
+func (l *leases) remove(r *requestState) {
 	r.prev.next, r.next.prev = r.next, r.prev
 	r.prev, r.next = nil, nil
 }
 
 // first returns the lease that expires first, nil when there is none.
-func (l *leases) first() *request {
+func (l *leases) first() *requestState {
 	if l.root.next == &l.root {
 		return nil
 	}
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -19,8 +19,8 @@
 // other workspaces: it multiplies the weight by at most PriorityStep^MaxPriority.
 const MaxPriority = 3
 
-// PriorityStep is the factor on a workspace's weight for each step of priority.
-const PriorityStep = 2
+// PriorityFactor is the factor on a workspace's weight for each step of priority.
+const PriorityFactor = 2
 
 // minSlots keeps a workspace from being locked out of a daemon when its
 // concurrency is smaller than the number of daemons that share it.
@@ -33,7 +33,7 @@
 		w = 1
 	}
 	steps := min(max(l.Priority, 0), MaxPriority)
-	return w * math.Pow(PriorityStep, float64(steps))
+	return w * math.Pow(PriorityFactor, float64(steps))
 }
 
 // slots returns how many requests may run at once with this share. Rounding is
--- a/internal/admission/offer.go
+++ b/internal/admission/offer.go
@@ -8,30 +8,30 @@
 
 // Offer decides on a request. Offering one that is known already repeats the
 // answer and takes nothing more. A refusal takes nothing and comes at once.
-func (a *Admission) Offer(now time.Time, ask Ask) Decision {
-	t := a.clock(now)
-	if r, ok := a.requests[ask.Request]; ok {
-		return a.known(t, r)
+func (a *Admission) Offer(now time.Time, req Request) Decision {
+	t := a.elapsed(now)
+	if r, ok := a.requests[req.ID]; ok {
+		return a.repeatOffer(t, r)
 	}
-	w := a.workspace(t, ask.Workspace)
-	completion, cost := a.estimate(w, ask)
-	w.asked.add(t, 1)
-	w.askedCost.add(t, cost)
-	if w.limits.MaxTokens > 0 && ask.MaxTokens > w.limits.MaxTokens {
+	w := a.workspace(t, req.Workspace)
+	completion, cost := a.estimate(w, req)
+	w.offered.add(t, 1)
+	w.offeredTokens.add(t, cost)
+	if w.limits.MaxTokens > 0 && req.MaxTokens > w.limits.MaxTokens {
 		return Decision{Outcome: Refuse, Reason: TooLarge}
 	}
 	if wait := w.requests.wait(t, 1); wait > 0 {
-		return a.refuse(RequestRate, wait+w.requests.booked.add(t, w.requests.rate, 1))
+		return a.refuse(RequestRate, wait+w.requests.retries.add(t, w.requests.rate, 1))
 	}
 	tokenWait := w.tokenWait(t)
 	if tokenWait > a.cfg.MaxTokenWait {
-		later := w.tokens.booked.add(t, w.tokens.rate, cost)
+		later := w.tokens.retries.add(t, w.tokens.rate, cost)
 		return a.refuse(TokenRate, tokenWait-a.cfg.MaxTokenWait+later)
 	}
-	r := a.newRequest(t, ask, w.flow(a.pool(ask.Pool)))
+	r := a.newRequest(t, req, w.flow(a.pool(req.Pool)))
 	r.cost = cost
-	r.work = a.work(ask.Model, float64(ask.PromptTokens), completion)
-	d := a.place(t, r, tokenWait)
+	r.work = a.work(req.Model, float64(req.PromptTokens), completion)
+	d := a.startOrQueue(t, r, tokenWait)
 	if d.Outcome == Refuse {
 		a.recycle(r)
 		return d
@@ -41,8 +41,8 @@
 	return d
 }
 
-// known answers a repeated Offer.
-func (a *Admission) known(now time.Duration, r *request) Decision {
+// repeatOffer answers a repeated Offer.
+func (a *Admission) repeatOffer(now time.Duration, r *requestState) Decision {
 	if !r.running {
 		return Decision{Outcome: Queue}
 	}
@@ -51,23 +51,23 @@
 	return Decision{Outcome: Admit}
 }
 
-// place starts r, queues it, or refuses it because of the pool or the
+// startOrQueue starts r, queues it, or refuses it because of the pool or the
 // workspace's concurrency.
-func (a *Admission) place(now time.Duration, r *request, tokenWait time.Duration) Decision {
+func (a *Admission) startOrQueue(now time.Duration, r *requestState, tokenWait time.Duration) Decision {
 	f := r.flow
 	p, w := f.pool, f.workspace
 	if tokenWait == 0 && w.running < w.slots && p.running < p.slots && p.ready.len() == 0 && f.queue.len() == 0 {
-		f.start = p.tag(f)
+		f.startTag = p.startTag(f)
 		a.start(now, r)
 		return Decision{Outcome: Admit}
 	}
 	reason := waitReason(w, tokenWait)
-	wait := max(tokenWait, f.wait(now, f.ahead(r)))
-	if now+margin(wait) > r.deadline {
-		return a.refuse(reason, wait+f.booked.add(now, f.rate(now), r.work))
+	wait := max(tokenWait, f.wait(now, f.workAhead(r)))
+	if now+withMargin(wait) > r.deadline {
+		return a.refuse(reason, wait+f.retries.add(now, f.rate(now), r.work))
 	}
 	if p.queued >= a.cfg.MaxQueued || f.queue.len() >= a.cfg.MaxQueuedEach {
-		return a.refuse(QueueFull, wait+f.booked.add(now, f.rate(now), r.work))
+		return a.refuse(QueueFull, wait+f.retries.add(now, f.rate(now), r.work))
 	}
 	a.enqueue(r)
 	return Decision{Outcome: Queue, Reason: reason}
@@ -80,7 +80,7 @@
 // docs/adr/0007-limits.md.
 const waitMargin = 2.5
 
-func margin(wait time.Duration) time.Duration {
+func withMargin(wait time.Duration) time.Duration {
 	return time.Duration(waitMargin * float64(wait))
 }
 
@@ -104,12 +104,12 @@
 }
 
 // estimate returns the expected completion and charge in tokens.
-func (a *Admission) estimate(w *workspace, ask Ask) (completion, cost float64) {
-	if ask.Model == (fleet.ModelRef{}) {
+func (a *Admission) estimate(w *workspace, req Request) (completion, cost float64) {
+	if req.Model == (fleet.ModelRef{}) {
 		return 0, 0
 	}
-	completion = w.estimates.completion(ask.Model, ask.MaxTokens)
-	return completion, float64(ask.PromptTokens) + completion
+	completion = w.estimates.completion(req.Model, req.MaxTokens)
+	return completion, float64(req.PromptTokens) + completion
 }
 
 // serviceWork is the work of a call to a plain service; any constant serves,
@@ -124,28 +124,28 @@
 	return prompt*a.cfg.PromptWork + completion
 }
 
-func (a *Admission) newRequest(now time.Duration, ask Ask, f *flow) *request {
+func (a *Admission) newRequest(now time.Duration, req Request, f *flow) *requestState {
 	r := a.allocate()
 	a.seq++
-	*r = request{id: ask.Request, flow: f, model: ask.Model, priority: ask.Priority, seq: a.seq, index: notInHeap}
+	*r = requestState{id: req.ID, flow: f, model: req.Model, priority: req.Priority, seq: a.seq, index: notInHeap}
 	r.deadline = now + a.cfg.MaxQueueWait
-	if !ask.Deadline.IsZero() {
-		r.deadline = ask.Deadline.Sub(a.epoch)
+	if !req.Deadline.IsZero() {
+		r.deadline = req.Deadline.Sub(a.epoch)
 	}
 	return r
 }
 
-func (a *Admission) allocate() *request {
+func (a *Admission) allocate() *requestState {
 	n := len(a.free)
 	if n == 0 {
-		return new(request)
+		return new(requestState)
 	}
 	r := a.free[n-1]
 	a.free = a.free[:n-1]
 	return r
 }
 
-func (a *Admission) recycle(r *request) {
-	*r = request{}
+func (a *Admission) recycle(r *requestState) {
+	*r = requestState{}
 	a.free = append(a.free, r)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,8 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// enqueue adds r to its flow's queue.
-func (a *Admission) enqueue(r *request) {
+func (a *Admission) enqueue(r *requestState) {
 	f := r.flow
 	p := f.pool
 	p.activate(f)
@@ -17,12 +16,12 @@
 	p.queued++
 	p.queuedWork += r.work
 	if f.state == flowEmpty {
-		p.enter(f)
+		p.pushReady(f)
 	}
 }
 
 // dequeue takes r out of its flow's queue.
-func (a *Admission) dequeue(r *request) {
+func (a *Admission) dequeue(r *requestState) {
 	f := r.flow
 	p := f.pool
 	f.queue.remove(r.index)
@@ -33,7 +32,7 @@
 	if f.queue.len() > 0 {
 		return
 	}
-	a.unqueue(f)
+	a.detach(f)
 	p.deactivate(f)
 	if p.queued == 0 {
 		p.queuedWork = 0 // sheds the rounding of many sums
@@ -41,19 +40,19 @@
 	f.queuedWork = 0
 }
 
-// unqueue takes an empty flow out of whatever it waited in.
-func (a *Admission) unqueue(f *flow) {
+// detach takes an empty flow out of whatever it waited in.
+func (a *Admission) detach(f *flow) {
 	switch f.state {
 	case flowReady:
-		f.pool.leave(f, flowEmpty)
-	case flowAsleep:
-		a.asleep.remove(f.index)
+		f.pool.removeReady(f, flowEmpty)
+	case flowThrottled:
+		a.throttled.remove(f.index)
 	}
 	f.state = flowEmpty
 }
 
 // start gives r a lease and charges its estimate.
-func (a *Admission) start(now time.Duration, r *request) {
+func (a *Admission) start(now time.Duration, r *requestState) {
 	f := r.flow
 	w, p := f.workspace, f.pool
 	p.activate(f)
@@ -61,14 +60,14 @@
 	p.running++
 	w.running++
 	w.tokens.take(now, r.cost)
-	p.charge(now, f, r.work)
+	p.advanceTags(now, f, r.work)
 	r.running = true
 	r.started = now
 	a.leases.add(r, now+a.cfg.LeaseTime)
 }
 
-// stop takes r's lease and slot back and wakes flows that waited for the slot.
-func (a *Admission) stop(r *request) {
+// releaseSlot takes r's lease and slot back and wakes flows that waited for the slot.
+func (a *Admission) releaseSlot(r *requestState) {
 	f := r.flow
 	a.leases.remove(r)
 	f.running--
@@ -77,7 +76,7 @@
 	f.workspace.running--
 	for _, o := range f.workspace.flows {
 		if o.state == flowBlocked {
-			a.reconsider(o)
+			a.makeReady(o)
 		}
 	}
 	delete(a.requests, r.id)
@@ -97,7 +96,6 @@
 	}
 }
 
-// drop forgets a flow.
 func (p *pool) drop(f *flow) {
 	for i, o := range p.flows {
 		if o == f {
@@ -116,7 +114,7 @@
 	if !ok {
 		return false
 	}
-	t := a.clock(now)
+	t := a.elapsed(now)
 	if !r.running {
 		a.dequeue(r)
 		delete(a.requests, id)
@@ -124,13 +122,13 @@
 		return true
 	}
 	a.settle(t, r, u)
-	a.stop(r)
+	a.releaseSlot(r)
 	a.recycle(r)
 	return true
 }
 
 // settle corrects the charge to the real usage and learns from it.
-func (a *Admission) settle(now time.Duration, r *request, u Usage) {
+func (a *Admission) settle(now time.Duration, r *requestState, u Usage) {
 	w := r.flow.workspace
 	w.tokens.take(now, float64(u.PromptTokens+u.CompletionTokens)-r.cost)
 	isService := r.model == (fleet.ModelRef{})
--- /dev/null
+++ b/internal/admission/refusals.go
@@ -0,0 +1,58 @@
+package admission
+
+import (
+	"time"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
+)
+
+const (
+	// maxRefusals bounds the refused requests that are remembered: some seconds of
+	// refusals at many times a daemon's share of the peak.
+	maxRefusals = 4096
+	// refusalRetention is how long one is remembered; a caller that comes back later has
+	// waited so long that it is a new request in all but name.
+	refusalRetention = time.Minute
+)
+
+// Refusals records when requests were first refused. A request retried
+// under the same id has waited since then. Without the record it would be queued
+// as if it were new, and under overload the slots would go to requests that are
+// already late while new ones become late behind them. The time within the id is
+// not used, because it comes from the caller's clock.
+type Refusals struct {
+	first map[fleet.RequestID]time.Time
+	order []fleet.RequestID // oldest first
+}
+
+// NewRefusals returns an empty memory.
+func NewRefusals() *Refusals { return &Refusals{first: make(map[fleet.RequestID]time.Time)} }
+
+// Record notes that a request was refused, and returns how long ago it came first.
+func (s *Refusals) Record(now time.Time, id fleet.RequestID) time.Duration {
+	s.evict(now)
+	if at, ok := s.first[id]; ok {
+		return now.Sub(at)
+	}
+	s.first[id] = now
+	s.order = append(s.order, id)
+	return 0
+}
+
+// FirstRefusal returns when a request was first refused, or now if there is no
+// record of it.
+func (s *Refusals) FirstRefusal(now time.Time, id fleet.RequestID) time.Time {
+	if at, ok := s.first[id]; ok {
+		return at
+	}
+	return now
+}
+
+func (s *Refusals) evict(now time.Time) {
+	n := 0
+	for n < len(s.order) && (len(s.order)-n >= maxRefusals || now.Sub(s.first[s.order[n]]) > refusalRetention) {
+		delete(s.first, s.order[n])
+		n++
+	}
+	s.order = append(s.order[:0], s.order[n:]...)
+}
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -6,34 +6,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// request is one that waits or runs.
-type request struct {
-	id       fleet.RequestID
-	flow     *flow
-	model    fleet.ModelRef
-	cost     float64 // estimated tokens, as charged
-	work     float64 // estimated, in generated tokens
-	deadline time.Duration
-	priority int
-	seq      uint64 // order of arrival
-	index    int    // in the flow's queue
+// Pool names a set of endpoints whose capacity is counted together: the
+// engines of a model, or the replicas of a plain service.
+type Pool string
 
-	running bool
-	started time.Duration
-	expires time.Duration
-	prev    *request // in leases
-	next    *request
+// Request is a request that wants to run.
+type Request struct {
+	ID           fleet.RequestID
+	Workspace    fleet.WorkspaceID // from the verified credential
+	Pool         Pool
+	Model        fleet.ModelRef // empty for a plain service
+	PromptTokens int
+	MaxTokens    int
+	Deadline     time.Time // latest useful start; zero is Config.MaxQueueWait from now
+	Priority     int       // among the workspace's own requests; greater goes first
 }
 
-// before orders a workspace's own queue: priority, then deadline, then arrival.
-func (r *request) before(o *request) bool {
-	if r.priority != o.priority {
-		return r.priority > o.priority
-	}
-	if r.deadline != o.deadline {
-		return r.deadline < o.deadline
-	}
-	return r.seq < o.seq
+// Usage is what a request really cost. The difference to the estimate is
+// charged or returned.
+type Usage struct {
+	PromptTokens     int
+	CompletionTokens int
+	NotRun           bool // it ran nowhere: its times say nothing about the pool
 }
-
-func requestMoved(r *request, index int) { r.index = index }
--- a/internal/admission/loop_bench_test.go
+++ b/internal/admission/sim_bench_test.go
@@ -13,22 +13,22 @@
 // The figures of docs/adr/0007-limits.md.
 // Run: go test -run=- -bench=Loop -benchtime=1x ./internal/admission
 
-const loopTime = 10 * time.Minute
+const simTime = 10 * time.Minute
 
 // capacity is what the loop's engines can serve, in requests a second.
-func capacity() float64 { return loopSlots / meanHold() }
+func capacity() float64 { return simSlots / meanHold() }
 
 func workspaceName(i int) fleet.WorkspaceID { return fleet.WorkspaceID(fmt.Sprintf("w%d", i)) }
 
-// even offers load times capacity, split over five workspaces.
-func (l *loop) even(load float64) {
+// addEvenLoad offers load times capacity, split over five workspaces.
+func (l *loadSim) addEvenLoad(load float64) {
 	for i := range 5 {
-		l.arrive(workspaceName(i), load*capacity()/5, 0, loopTime)
+		l.addArrivals(workspaceName(i), load*capacity()/5, 0, simTime)
 	}
 }
 
 // sum adds up what the workspaces but those left out got.
-func (l *loop) sum(without ...fleet.WorkspaceID) *tally {
+func (l *loadSim) sum(without ...fleet.WorkspaceID) *tally {
 	sum := &tally{}
 	for id, t := range l.tallies {
 		if slices.Contains(without, id) {
@@ -38,39 +38,39 @@
 		sum.good += t.good
 		sum.late += t.late
 		sum.refused += t.refused
-		sum.firsts = append(sum.firsts, t.firsts...)
+		sum.firstTokens = append(sum.firstTokens, t.firstTokens...)
 	}
 	return sum
 }
 
 func percent(part, whole int) float64 { return 100 * float64(part) / float64(max(1, whole)) }
 
-// BenchmarkLoopGoodput offers 30% to 130% of capacity. Ways: no limit, a
+// BenchmarkSimGoodput offers 30% to 130% of capacity. Ways: no limit, a
 // queue that refuses nothing early, one that drops what is late when its turn
 // comes, and early refusal.
-func BenchmarkLoopGoodput(b *testing.B) {
-	ways := []struct {
+func BenchmarkSimGoodput(b *testing.B) {
+	variants := []struct {
 		name string
-		set  func(*loop)
+		set  func(*loadSim)
 	}{
-		{"none", func(l *loop) { l.a.SetCapacity("engines", 1<<20) }},
-		{"queue", func(l *loop) { l.blind = true }},
-		{"drop", func(l *loop) { l.blind, l.drop = true, true }},
-		{"early", func(*loop) {}},
+		{"none", func(l *loadSim) { l.a.SetCapacity("engines", 1<<20) }},
+		{"queue", func(l *loadSim) { l.noDeadline = true }},
+		{"drop", func(l *loadSim) { l.noDeadline, l.dropLate = true, true }},
+		{"early", func(*loadSim) {}},
 	}
 	for _, load := range []float64{0.3, 0.6, 0.9, 1.0, 1.15, 1.3} {
-		for _, w := range ways {
+		for _, w := range variants {
 			b.Run(fmt.Sprintf("load=%.0f/%s", 100*load, w.name), func(b *testing.B) {
 				for range b.N {
-					l := newLoop(1, DefaultConfig())
+					l := newLoadSim(1, DefaultConfig())
 					w.set(l)
-					l.even(load)
+					l.addEvenLoad(load)
 					l.run()
 					s := l.sum()
-					b.ReportMetric(float64(s.good)/loopTime.Seconds()/capacity(), "goodput")
+					b.ReportMetric(float64(s.good)/simTime.Seconds()/capacity(), "goodput")
 					b.ReportMetric(percent(s.late, s.offered), "late-%")
-					b.ReportMetric(percent(l.queued, l.refusals), "refused-after-queue-%")
-					b.ReportMetric(l.held.Seconds()*1e3/float64(max(1, l.refusals)), "held-ms")
+					b.ReportMetric(percent(l.refusedAfterQueue, l.refusals), "refused-after-queue-%")
+					b.ReportMetric(l.timeToRefusal.Seconds()*1e3/float64(max(1, l.refusals)), "held-ms")
 					b.ReportMetric(0, "ns/op")
 				}
 			})
@@ -78,10 +78,10 @@
 	}
 }
 
-// BenchmarkLoopFairness lets one of five workspaces send ten times its fair
+// BenchmarkSimFairness lets one of five workspaces send ten times its fair
 // share while the others stay at 80% of theirs. The ratio is of the others'
 // 95th percentile of the time to the first token to their undisturbed one.
-func BenchmarkLoopFairness(b *testing.B) {
+func BenchmarkSimFairness(b *testing.B) {
 	share := capacity() / 5
 	limit := Limits{TokensPerSecond: share * meanTokens(), TokenBurst: 5 * share * meanTokens()}
 	for _, w := range []struct {
@@ -90,9 +90,9 @@
 	}{{"fair-queue", Limits{}}, {"limits", limit}} {
 		b.Run(w.name, func(b *testing.B) {
 			for range b.N {
-				calm := others(w.limits, 0.8*share)
-				storm := others(w.limits, 10*share)
-				before, after := calm.first(0.95), storm.first(0.95)
+				calm := othersBesideRate(w.limits, 0.8*share)
+				storm := othersBesideRate(w.limits, 10*share)
+				before, after := calm.firstToken(0.95), storm.firstToken(0.95)
 				b.ReportMetric(1e3*before.Seconds(), "calm-p95-ms")
 				b.ReportMetric(1e3*after.Seconds(), "storm-p95-ms")
 				b.ReportMetric(after.Seconds()/before.Seconds(), "ratio")
@@ -103,29 +103,29 @@
 	}
 }
 
-// others returns what four workspaces get while a fifth offers rate.
-func others(limits Limits, rate float64) *tally {
-	l := newLoop(1, DefaultConfig())
+// othersBesideRate returns what four workspaces get while a fifth offers rate.
+func othersBesideRate(limits Limits, rate float64) *tally {
+	l := newLoadSim(1, DefaultConfig())
 	for i := range 5 {
 		l.a.SetLimits(l.clock(), workspaceName(i), limits, 1)
 		if i > 0 {
-			l.arrive(workspaceName(i), 0.8*capacity()/5, 0, loopTime)
+			l.addArrivals(workspaceName(i), 0.8*capacity()/5, 0, simTime)
 		}
 	}
-	l.arrive(workspaceName(0), rate, 0, loopTime)
+	l.addArrivals(workspaceName(0), rate, 0, simTime)
 	l.run()
 	return l.sum(workspaceName(0))
 }
 
-// BenchmarkLoopPriority gives one of five workspaces closing-time priority at
+// BenchmarkSimPriority gives one of five workspaces closing-time priority at
 // 130% load.
-func BenchmarkLoopPriority(b *testing.B) {
+func BenchmarkSimPriority(b *testing.B) {
 	for priority := range MaxPriority + 1 {
 		b.Run(fmt.Sprintf("priority=%d", priority), func(b *testing.B) {
 			for range b.N {
-				l := newLoop(1, DefaultConfig())
+				l := newLoadSim(1, DefaultConfig())
 				l.a.SetLimits(l.clock(), workspaceName(0), Limits{Priority: priority}, 1)
-				l.even(1.3)
+				l.addEvenLoad(1.3)
 				l.run()
 				closing, rest := l.tally(workspaceName(0)), l.sum(workspaceName(0))
 				b.ReportMetric(percent(closing.refused, closing.offered), "closing-refused-%")
@@ -136,11 +136,11 @@
 	}
 }
 
-// BenchmarkLoopRetry sends 300 requests at once every minute beside 50% load.
+// BenchmarkSimRetry sends 300 requests at once every minute beside 50% load.
 // Refused callers try again, up to 20 times.
-func BenchmarkLoopRetry(b *testing.B) {
+func BenchmarkSimRetry(b *testing.B) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	ways := []struct {
+	variants := []struct {
 		name   string
 		jitter float64
 		in     func(time.Duration) time.Duration
@@ -153,25 +153,25 @@
 		{"retry-after/jitter=0.2", 0.2, func(d time.Duration) time.Duration { return d }},
 		{"retry-after/jitter=1", 1, func(d time.Duration) time.Duration { return d }},
 	}
-	for _, w := range ways {
+	for _, w := range variants {
 		b.Run(w.name, func(b *testing.B) {
 			for range b.N {
 				cfg := DefaultConfig()
 				cfg.RetryJitter = w.jitter
-				l := newLoop(1, cfg)
-				l.maxTries, l.retryIn = 20, w.in
-				l.even(0.5)
-				for at := 30 * time.Second; at < loopTime; at += time.Minute {
+				l := newLoadSim(1, cfg)
+				l.maxTries, l.retryDelay = 20, w.in
+				l.addEvenLoad(0.5)
+				for at := 30 * time.Second; at < simTime; at += time.Minute {
 					for range 300 {
-						l.events.push(l.job(workspaceName(0), at+time.Duration(l.rng.IntN(100))*time.Millisecond))
+						l.events.push(l.newJob(workspaceName(0), at+time.Duration(l.rng.IntN(100))*time.Millisecond))
 					}
 				}
 				l.run()
 				s := l.sum()
-				slices.Sort(l.totals)
+				slices.Sort(l.startDelays)
 				b.ReportMetric(float64(l.tries)/float64(s.offered), "tries/request")
 				b.ReportMetric(percent(s.refused, s.offered), "gave-up-%")
-				b.ReportMetric(l.totals[len(l.totals)*95/100].Seconds(), "p95-s")
+				b.ReportMetric(l.startDelays[len(l.startDelays)*95/100].Seconds(), "p95-s")
 				b.ReportMetric(0, "ns/op")
 			}
 		})
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -40,6 +40,6 @@
 	if !ok {
 		return Demand{}
 	}
-	t := a.clock(now)
-	return Demand{Requests: w.asked.rate(t), Tokens: w.askedCost.rate(t), Running: w.running}
+	t := a.elapsed(now)
+	return Demand{Requests: w.offered.rate(t), Tokens: w.offeredTokens.rate(t), Running: w.running}
 }
--- a/internal/admission/tick.go
+++ b/internal/admission/tick.go
@@ -14,10 +14,10 @@
 // its deadline. Call it after each batch of Release and at NextTick. The
 // result is valid until the next call.
 func (a *Admission) Tick(now time.Time) []Action {
-	t := a.clock(now)
+	t := a.elapsed(now)
 	a.actions = a.actions[:0]
 	a.expire(t)
-	a.wake(t)
+	a.resume(t)
 	if t >= a.nextCheck {
 		a.nextCheck = t + checkInterval
 		for _, p := range a.poolList {
@@ -42,8 +42,8 @@
 	if r := a.leases.first(); r != nil {
 		earlier(r.expires)
 	}
-	if a.asleep.len() > 0 {
-		earlier(a.asleep.top().wake)
+	if a.throttled.len() > 0 {
+		earlier(a.throttled.top().readyAt)
 	}
 	for _, p := range a.poolList {
 		if p.queued > 0 {
@@ -63,15 +63,15 @@
 // stays charged: the tokens were most likely spent.
 func (a *Admission) expire(now time.Duration) {
 	for r := a.leases.first(); r != nil && r.expires <= now; r = a.leases.first() {
-		a.stop(r)
+		a.releaseSlot(r)
 		a.recycle(r)
 	}
 }
 
-// wake makes flows ready whose workspace has paid its debt.
-func (a *Admission) wake(now time.Duration) {
-	for a.asleep.len() > 0 && a.asleep.top().wake <= now {
-		a.reconsider(a.asleep.top())
+// resume makes flows ready whose workspace has paid its debt.
+func (a *Admission) resume(now time.Duration) {
+	for a.throttled.len() > 0 && a.throttled.top().readyAt <= now {
+		a.makeReady(a.throttled.top())
 	}
 }
 
@@ -81,13 +81,13 @@
 		f := p.ready.top()
 		w := f.workspace
 		if w.running >= w.slots {
-			p.leave(f, flowBlocked)
+			p.removeReady(f, flowBlocked)
 			continue
 		}
 		if until, debt := w.inDebt(now); debt {
-			p.leave(f, flowAsleep)
-			f.wake = until
-			a.asleep.push(f)
+			p.removeReady(f, flowThrottled)
+			f.readyAt = until
+			a.throttled.push(f)
 			continue
 		}
 		a.startNext(now, f)
@@ -137,7 +137,7 @@
 	}
 }
 
-func compareRequests(a, b *request) int {
+func compareRequests(a, b *requestState) int {
 	if a.before(b) {
 		return -1
 	}
@@ -145,11 +145,11 @@
 }
 
 // shed refuses a request that waits and returns what it took.
-func (a *Admission) shed(now time.Duration, r *request, wait time.Duration) {
+func (a *Admission) shed(now time.Duration, r *requestState, wait time.Duration) {
 	a.dequeue(r)
 	f := r.flow
 	f.workspace.requests.take(now, -1)
-	d := a.refuse(Overload, wait+f.booked.add(now, f.rate(now), r.work))
+	d := a.refuse(Overload, wait+f.retries.add(now, f.rate(now), r.work))
 	a.actions = append(a.actions, Action{Request: r.id, Reason: d.Reason, RetryAfter: d.RetryAfter})
 	delete(a.requests, r.id)
 	a.recycle(r)
--- a/internal/admission/workspace.go
+++ b/internal/admission/workspace.go
@@ -8,18 +8,18 @@
 
 // workspace is the state of one workspace on this daemon.
 type workspace struct {
-	id         fleet.WorkspaceID
-	limits     Limits
-	weight     float64
-	slots      int // this daemon's share of Concurrency
-	running    int
-	requests   bucket
-	tokens     bucket
-	queuedCost float64 // estimated tokens of what waits, not yet charged
-	estimates  estimates
-	flows      []*flow // one for each pool that it has used
-	asked      meter   // requests offered a second
-	askedCost  meter   // estimated tokens offered a second
+	id            fleet.WorkspaceID
+	limits        Limits
+	weight        float64
+	slots         int // this daemon's share of Concurrency
+	running       int
+	requests      bucket
+	tokens        bucket
+	queuedCost    float64 // estimated tokens of what waits, not yet charged
+	estimates     estimates
+	flows         []*flow // one for each pool that it has used
+	offered       meter   // requests offered a second
+	offeredTokens meter   // estimated tokens offered a second
 }
 
 // apply changes the limits to l times share.
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -25,7 +25,7 @@
 // admissionState is what the duty owns.
 type admissionState struct {
 	limits  *admission.Admission
-	seen    *admission.Seen
+	seen    *admission.Refusals
 	waiting map[fleet.RequestID]chan admission.Action
 }
 
@@ -40,7 +40,7 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &admissionDuty{newOwner("admission", admissionRing, &admissionState{
 		limits:  admission.New(admission.DefaultConfig(), rng),
-		seen:    admission.NewSeen(),
+		seen:    admission.NewRefusals(),
 		waiting: make(map[fleet.RequestID]chan admission.Action),
 	})}
 }
@@ -76,13 +76,13 @@
 
 // offer asks the limits. A request that was refused before may wait only for
 // what is left of its time.
-func (s *admissionState) offer(now time.Time, a admission.Ask) admission.Decision {
+func (s *admissionState) offer(now time.Time, a admission.Request) admission.Decision {
 	if a.Deadline.IsZero() {
-		a.Deadline = s.seen.First(now, a.Request).Add(admission.DefaultConfig().MaxQueueWait)
+		a.Deadline = s.seen.FirstRefusal(now, a.ID).Add(admission.DefaultConfig().MaxQueueWait)
 	}
 	d := s.limits.Offer(now, a)
 	if d.Outcome == admission.Refuse {
-		d.RetryAfter = s.retryAfter(now, a.Request, d.Reason, d.RetryAfter)
+		d.RetryAfter = s.retryAfter(now, a.ID, d.Reason, d.RetryAfter)
 	}
 	return d
 }
@@ -97,17 +97,17 @@
 	if why != admission.Overload && why != admission.QueueFull {
 		return hint
 	}
-	return max(hint, min(s.seen.Refused(now, id), maxRetryAfter))
+	return max(hint, min(s.seen.Record(now, id), maxRetryAfter))
 }
 
 // Admit implements dispatch.Admission.
-func (d *admissionDuty) Admit(ctx context.Context, a admission.Ask) *problem.Problem {
+func (d *admissionDuty) Admit(ctx context.Context, a admission.Request) *problem.Problem {
 	var decision admission.Decision
 	decided := make(chan admission.Action, 1) // taken or not, the owner never waits
 	asked := d.ask(func(now time.Time, s *admissionState) {
 		decision = s.offer(now, a)
 		if decision.Outcome == admission.Queue {
-			s.waiting[a.Request] = decided
+			s.waiting[a.ID] = decided
 		}
 	})
 	switch {
@@ -125,7 +125,7 @@
 		}
 		return refusal(action.Reason, action.RetryAfter)
 	case <-ctx.Done():
-		d.abandon(a.Request)
+		d.abandon(a.ID)
 		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "the caller left while the request was queued")
 	case <-d.done:
 		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry stops").After(time.Second)
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -55,7 +55,7 @@
 		return nil, problem.New(http.StatusNotFound, verdict.NotRun, "no service is called %q", c.Service)
 	}
 	id := fleet.RequestID(uuid.Must(uuid.NewV7()).String()) // of this call; its key may be used by others at once
-	ask := admission.Ask{Request: id, Workspace: c.Workspace, Pool: servicePool(c.Service)}
+	ask := admission.Request{ID: id, Workspace: c.Workspace, Pool: servicePool(c.Service)}
 	if p := s.admission.Admit(ctx, ask); p != nil {
 		return nil, p
 	}
--- a/internal/dispatch/deps.go
+++ b/internal/dispatch/deps.go
@@ -44,7 +44,7 @@
 // Admission is the limits duty.
 type Admission interface {
 	// Admit waits while a request is queued. It returns the refusal, or nil.
-	Admit(ctx context.Context, a admission.Ask) *problem.Problem
+	Admit(ctx context.Context, a admission.Request) *problem.Problem
 	Extend(id fleet.RequestID)
 	Release(id fleet.RequestID, u admission.Usage)
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -130,7 +130,7 @@
 func (f *fakeDeps) Connected(fleet.EndpointID)                                     {}
 func (f *fakeDeps) Silent(fleet.EndpointID)                                        {}
 func (f *fakeDeps) DialFailed(fleet.EndpointID)                                    {}
-func (f *fakeDeps) Admit(context.Context, admission.Ask) *problem.Problem          { return f.refuse }
+func (f *fakeDeps) Admit(context.Context, admission.Request) *problem.Problem      { return f.refuse }
 func (f *fakeDeps) Extend(fleet.RequestID)                                         {}
 func (f *fakeDeps) Release(fleet.RequestID, admission.Usage)                       { f.released.Add(1) }
 func (f *fakeDeps) Announce(directory.Holding)                                     {}
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -34,9 +34,9 @@
 	r.perform(r.life.Start(r.extended))
 }
 
-func (r *run) ask() admission.Ask {
-	return admission.Ask{
-		Request:      r.ref.ID,
+func (r *run) ask() admission.Request {
+	return admission.Request{
+		ID:           r.ref.ID,
 		Workspace:    r.ref.Workspace,
 		Pool:         admission.Pool(r.route.Model.Model),
 		Model:        r.route.Model,
