--- a/internal/admission/allowance/allowance.go
+++ b/internal/admission/allowance/allowance.go
@@ -8,11 +8,11 @@
 
 // Sample is what one daemon knows of a pool.
 type Sample struct {
-	Slots   int // that the pool's endpoints report, all together
-	Running int // requests that they report to run
-	Queued  int // requests that they report to wait
-	Mine    int // requests of this daemon in flight
-	Daemons int // that may use the pool, this one included
+	Slots    int // that the pool's endpoints report, all together
+	Running  int // requests that they report to run
+	Queued   int // requests that they report to wait
+	InFlight int // requests of this daemon in flight
+	Daemons  int // that may use the pool, this one included
 	// Backlog is the time that the endpoints need for the prompts that wait to
 	// be computed, in seconds, the mean of all of them.
 	Backlog float64
@@ -39,13 +39,13 @@
 	least = max(1, least)
 	free := s.Slots - s.Running - s.Queued
 	if s.Backlog > maxBacklog {
-		keep := int(float64(s.Mine) * maxBacklog / s.Backlog)
+		keep := int(float64(s.InFlight) * maxBacklog / s.Backlog)
 		return max(least, keep)
 	}
 	if free >= 0 {
-		return max(least, s.Mine+int(math.Ceil(float64(free)/float64(daemons))))
+		return max(least, s.InFlight+int(math.Ceil(float64(free)/float64(daemons))))
 	}
-	all := max(s.Running+s.Queued, s.Mine)
-	over := int(math.Ceil(float64(-free) * float64(s.Mine) / float64(all)))
-	return max(least, s.Mine-over)
+	all := max(s.Running+s.Queued, s.InFlight)
+	over := int(math.Ceil(float64(-free) * float64(s.InFlight) / float64(all)))
+	return max(least, s.InFlight-over)
 }
--- a/internal/admission/allowance/allowance_test.go
+++ b/internal/admission/allowance/allowance_test.go
@@ -15,7 +15,7 @@
 	}
 	next := make([]int, len(have))
 	for i, n := range have {
-		s := Sample{Slots: slots, Running: min(running, slots), Queued: max(0, running-slots), Mine: n, Daemons: len(have)}
+		s := Sample{Slots: slots, Running: min(running, slots), Queued: max(0, running-slots), InFlight: n, Daemons: len(have)}
 		next[i] = min(want[i], Of(s))
 	}
 	return next
@@ -32,7 +32,7 @@
 // Three daemons want more than the pool has. If each took all slots for its
 // own, the endpoints' queues would grow threefold and every first token would
 // be late.
-func TestGreedyDaemonsTogetherFillThePoolAndNoMore(t *testing.T) {
+func TestCompetingDaemonsFillPoolWithoutOverrun(t *testing.T) {
 	have, want := []int{0, 0, 0}, []int{100, 100, 100}
 	for i := range 40 {
 		have = step(32, have, want)
@@ -41,7 +41,7 @@
 	assert.Assert(t, sum(have) >= 30, "%v", have)
 }
 
-func TestOneDaemonAloneGetsThePool(t *testing.T) {
+func TestOnlyActiveDaemonGetsWholePool(t *testing.T) {
 	have, want := make([]int, 9), make([]int, 9)
 	want[4] = 100
 	for range 40 {
@@ -52,7 +52,7 @@
 
 // A daemon's first caller comes while another daemon holds all slots. The
 // caller must get in within a few reports, and the other must shrink.
-func TestNewcomerGetsIn(t *testing.T) {
+func TestNewDaemonGetsShareOfFullPool(t *testing.T) {
 	have, want := []int{32, 0}, []int{100, 100}
 	for range 40 {
 		have = step(32, have, want)
@@ -63,8 +63,8 @@
 
 // Long prompts wait for their turn at engines that have slots left. More
 // requests would wait there as well, in the order of arrival; fewer must be let in.
-func TestBacklogOfPromptsGivesSlotsBack(t *testing.T) {
-	s := Sample{Slots: 48, Running: 30, Mine: 20, Daemons: 3, Backlog: 2}
+func TestPromptBacklogLowersAllowance(t *testing.T) {
+	s := Sample{Slots: 48, Running: 30, InFlight: 20, Daemons: 3, Backlog: 2}
 	assert.Equal(t, Of(s), 8, "half an equal share is always there")
 	s.Daemons = 12
 	assert.Equal(t, Of(s), 5)
@@ -72,7 +72,7 @@
 	assert.Assert(t, Of(s) > 20)
 }
 
-func TestNeverLessThanOne(t *testing.T) {
+func TestAllowanceIsAtLeastOne(t *testing.T) {
 	assert.Equal(t, Of(Sample{}), 1)
-	assert.Equal(t, Of(Sample{Slots: 1, Running: 1, Queued: 50, Mine: 3, Daemons: 340}), 1)
+	assert.Equal(t, Of(Sample{Slots: 1, Running: 1, Queued: 50, InFlight: 3, Daemons: 340}), 1)
 }
--- a/internal/admission/shares/config.go
+++ b/internal/admission/shares/config.go
@@ -10,7 +10,8 @@
 	RequestTokens float64
 }
 
-// DefaultConfig returns the bounds measured in docs/adr/0007-limits.md.
+// DefaultConfig returns the default bounds; docs/adr/0007-limits.md has the
+// measurements.
 func DefaultConfig() Config {
 	return Config{Floor: 0.1, RequestTokens: 1}
 }
--- a/internal/admission/shares/demand.go
+++ b/internal/admission/shares/demand.go
@@ -8,11 +8,11 @@
 	Running  int
 }
 
-// leastSize lets an idle daemon count a little, so that a group without demand
+// minWeight lets an idle daemon count a little, so that a group without demand
 // splits equally.
-const leastSize = 1
+const minWeight = 1
 
-// size is the one number by which shares are split.
-func (d Demand) size(cfg *Config) float64 {
-	return max(leastSize, d.Tokens+cfg.RequestTokens*d.Requests)
+// weight is the one number by which shares are split.
+func (d Demand) weight(cfg *Config) float64 {
+	return max(minWeight, d.Tokens+cfg.RequestTokens*d.Requests)
 }
--- a/internal/admission/shares/group_test.go
+++ b/internal/admission/shares/group_test.go
@@ -11,18 +11,18 @@
 const (
 	step     = 100 * time.Millisecond
 	interval = time.Second
-	// detect is how long the others need to learn of a death or a join.
-	detect = 3 * time.Second
+	// detectionDelay is how long the others need to learn of a death or a join.
+	detectionDelay = 3 * time.Second
 )
 
 // daemon is one member of a group under test.
 type daemon struct {
-	id     fleet.DaemonID
-	shares *Shares
-	phase  time.Duration
-	demand Demand
-	told   Demand // demand at its latest round
-	alive  bool
+	id         fleet.DaemonID
+	shares     *Shares
+	phase      time.Duration
+	demand     Demand
+	sentDemand Demand // demand at its latest round
+	alive      bool
 }
 
 // group runs daemons that exchange demands, in steps of passed-in time.
@@ -33,26 +33,26 @@
 	start   time.Time
 	daemons []*daemon
 	loss    float64             // of each message
-	cut     map[[2]*daemon]bool // calls from the first to the second fail
-	changes []change
+	failing map[[2]*daemon]bool // calls from the first to the second fail
+	changes []membershipChange
 }
 
-// change is a member list that the daemons of its time learn later: what
+// membershipChange is a member list that the daemons of its time learn later: what
 // detection costs. Those that join meanwhile know better.
-type change struct {
+type membershipChange struct {
 	at      time.Time
 	ids     []fleet.DaemonID
 	daemons int
 }
 
 func newGroup(seed uint64, cfg Config, size int) *group {
-	g := &group{rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, now: time.Unix(1_000, 0), cut: map[[2]*daemon]bool{}}
+	g := &group{rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, now: time.Unix(1_000, 0), failing: map[[2]*daemon]bool{}}
 	g.start = g.now
 	for range size {
 		g.join()
 	}
 	g.changes = nil
-	g.apply(change{ids: g.ids(), daemons: size})
+	g.apply(membershipChange{ids: g.ids(), daemons: size})
 	return g
 }
 
@@ -72,7 +72,7 @@
 }
 
 func (g *group) announce() {
-	g.changes = append(g.changes, change{g.now.Add(detect), g.ids(), len(g.daemons)})
+	g.changes = append(g.changes, membershipChange{g.now.Add(detectionDelay), g.ids(), len(g.daemons)})
 }
 
 func (g *group) ids() []fleet.DaemonID {
@@ -85,7 +85,7 @@
 	return ids
 }
 
-func (g *group) apply(c change) {
+func (g *group) apply(c membershipChange) {
 	for _, d := range g.daemons[:c.daemons] {
 		if d.alive {
 			d.shares.SetMembers(c.ids)
@@ -108,15 +108,15 @@
 }
 
 func (g *group) exchange(d *daemon) {
-	d.shares.Round(d.demand)
-	d.told = d.demand
+	d.shares.StartRound(d.demand)
+	d.sentDemand = d.demand
 	for _, o := range g.daemons {
-		if o == d || !o.alive || g.cut[[2]*daemon{d, o}] || g.rng.Float64() < g.loss {
+		if o == d || !o.alive || g.failing[[2]*daemon{d, o}] || g.rng.Float64() < g.loss {
 			continue
 		}
-		heard := o.shares.Tell(d.id, d.told)
-		if heard && g.rng.Float64() >= g.loss {
-			d.shares.Reply(o.id, d.told, o.told)
+		accepted := o.shares.Receive(d.id, d.sentDemand)
+		if accepted && g.rng.Float64() >= g.loss {
+			d.shares.ReceiveReply(o.id, d.sentDemand, o.sentDemand)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	sum := 0.0
 	for _, d := range g.daemons {
 		if d.alive {
-			sum += d.shares.Mine()
+			sum += d.shares.Share()
 		}
 	}
 	return sum
--- a/internal/admission/shares/ways_bench_test.go
+++ b/internal/admission/shares/schemes_bench_test.go
@@ -15,24 +15,27 @@
 //
 // Run: go test -run=- -bench=Ways -benchtime=1x ./internal/admission/shares
 const (
-	waysDaemons = 4
-	waysLimit   = 10_000 // tokens a second
-	waysRequest = 500    // tokens of one request
-	waysTime    = 10 * time.Minute
-	waysShift   = 20 * time.Second
+	schemeDaemons = 4
+	schemeLimit   = 10_000 // tokens a second
+	schemeRequest = 500    // tokens of one request
+	schemeTime    = 10 * time.Minute
+	schemeShift   = 20 * time.Second
 )
 
-type split func(g *group, i int) float64
+// splitFunc returns the share of the daemon with index i.
+type splitFunc func(g *group, i int) float64
 
-func BenchmarkWays(b *testing.B) {
-	ways := []struct {
+// BenchmarkSharingSchemes compares fixed shares, shares by demand, and a bucket in
+// a shared store, for which split is nil.
+func BenchmarkSharingSchemes(b *testing.B) {
+	schemes := []struct {
 		name    string
 		floor   float64
 		average float64 // seconds over which a daemon measures its demand
-		split   split
+		split   splitFunc
 		writes  float64 // to the store for each request
 	}{
-		{"fixed", 0.1, 1, func(*group, int) float64 { return 1.0 / waysDaemons }, 0},
+		{"fixed", 0.1, 1, func(*group, int) float64 { return 1.0 / schemeDaemons }, 0},
 		{"demand", 0.1, 1, byDemand, 0},
 		{"demand/floor=0", 0.001, 1, byDemand, 0},
 		{"demand/floor=0.3", 0.3, 1, byDemand, 0},
@@ -40,10 +43,10 @@
 		{"store", 0.1, 1, nil, 2}, // one to charge, one to settle
 	}
 	for _, load := range []float64{0.7, 0.9, 1.5} {
-		for _, w := range ways {
+		for _, w := range schemes {
 			b.Run(loadName(load)+"/"+w.name, func(b *testing.B) {
 				for range b.N {
-					runWays(b, load, w.floor, w.average, w.split, w.writes)
+					runScheme(b, load, w.floor, w.average, w.split, w.writes)
 				}
 			})
 		}
@@ -52,63 +55,63 @@
 
 func loadName(load float64) string { return fmt.Sprintf("load=%.0f", 100*load) }
 
-func byDemand(g *group, i int) float64 { return g.daemons[i].shares.Mine() }
+func byDemand(g *group, i int) float64 { return g.daemons[i].shares.Share() }
 
-// balance is a bucket of one second's burst, in which a request may wait two
+// tokenBucket is a bucket of one second's burst, in which a request may wait two
 // seconds for debt, as admission has it.
-type balance struct{ tokens, rate float64 }
+type tokenBucket struct{ tokens, rate float64 }
 
-func (b *balance) refill(rate float64) {
+func (b *tokenBucket) refill(rate float64) {
 	b.rate = rate
 	b.tokens = min(rate, b.tokens+rate*step.Seconds())
 }
 
-func (b *balance) take() bool {
+func (b *tokenBucket) take() bool {
 	const wait = 2
 	if b.tokens < -wait*b.rate {
 		return false
 	}
-	b.tokens -= waysRequest
+	b.tokens -= schemeRequest
 	return true
 }
 
-func runWays(b *testing.B, load, floor, average float64, split split, writes float64) {
+func runScheme(b *testing.B, load, floor, average float64, split splitFunc, writes float64) {
 	cfg := DefaultConfig()
 	cfg.Floor = floor
-	g := newGroup(1, cfg, waysDaemons)
+	g := newGroup(1, cfg, schemeDaemons)
 	rng := rand.New(rand.NewPCG(2, 2))
-	var own [waysDaemons]balance
-	var central balance
-	weights := [waysDaemons]float64{1, 1, 1, 1}
-	requests, granted, centrally := 0, 0, 0
-	for t := time.Duration(0); t < waysTime; t += step {
-		if t%waysShift == 0 {
+	var own [schemeDaemons]tokenBucket
+	var central tokenBucket
+	weights := [schemeDaemons]float64{1, 1, 1, 1}
+	requests, granted, grantedCentrally := 0, 0, 0
+	for t := time.Duration(0); t < schemeTime; t += step {
+		if t%schemeShift == 0 {
 			for i := range weights {
 				weights[i] = math.Exp(rng.NormFloat64())
 			}
 		}
 		g.advance()
-		central.refill(waysLimit)
+		central.refill(schemeLimit)
 		for i, d := range g.daemons {
 			if split != nil {
-				own[i].refill(split(g, i) * waysLimit)
+				own[i].refill(split(g, i) * schemeLimit)
 			}
-			rate := load * waysLimit / waysRequest * weights[i] / sumOf(weights)
+			rate := load * schemeLimit / schemeRequest * weights[i] / sumOf(weights)
 			n := poisson(rng, rate*step.Seconds())
-			measure(d, average, float64(n)*waysRequest/step.Seconds())
+			measure(d, average, float64(n)*schemeRequest/step.Seconds())
 			requests += n
 			for range n {
 				granted += count(split != nil && own[i].take())
-				centrally += count(central.take())
+				grantedCentrally += count(central.take())
 			}
 		}
 	}
 	if split == nil {
-		granted = centrally
+		granted = grantedCentrally
 	}
 	b.ReportMetric(100*float64(requests-granted)/float64(requests), "refused-%")
-	b.ReportMetric(100*float64(requests-centrally)/float64(requests), "central-refused-%")
-	b.ReportMetric(writes*float64(requests)/waysTime.Seconds(), "writes/s")
+	b.ReportMetric(100*float64(requests-grantedCentrally)/float64(requests), "central-refused-%")
+	b.ReportMetric(writes*float64(requests)/schemeTime.Seconds(), "writes/s")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -118,7 +121,7 @@
 	d.demand.Tokens += gain * (rate - d.demand.Tokens)
 }
 
-func sumOf(weights [waysDaemons]float64) float64 {
+func sumOf(weights [schemeDaemons]float64) float64 {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/internal/admission/shares/shares.go
+++ b/internal/admission/shares/shares.go
@@ -10,13 +10,13 @@
 	demand float64 // as told in the latest round
 	others []member
 	joined bool    // all others have answered at some time
-	mine   float64 // as returned last
+	share  float64 // as returned last
 }
 
 // New returns the shares of a daemon that joins members, self included or not.
 // It stays at the floor until all of them have answered.
 func New(self fleet.DaemonID, members []fleet.DaemonID, cfg Config) *Shares {
-	s := &Shares{cfg: cfg, self: self, demand: leastSize}
+	s := &Shares{cfg: cfg, self: self, demand: minWeight}
 	s.SetMembers(members)
 	return s
 }
@@ -39,62 +39,62 @@
 	s.others = others
 }
 
-// Round starts an exchange: demand is what will be told to the others. A lower
+// StartRound starts an exchange: demand is what will be told to the others. A lower
 // demand counts at once, a higher one when the others have acknowledged it.
-func (s *Shares) Round(demand Demand) {
-	s.demand = demand.size(&s.cfg)
+func (s *Shares) StartRound(demand Demand) {
+	s.demand = demand.weight(&s.cfg)
 	for i := range s.others {
 		m := &s.others[i]
-		m.heard = min(m.heard, s.demand)
+		m.acked = min(m.acked, s.demand)
 	}
 }
 
-// Tell records a demand that another daemon told us. It reports false when the
+// Receive records a demand that another daemon told us. It reports false when the
 // other is no member here; such a telling must not be answered as heard.
-func (s *Shares) Tell(from fleet.DaemonID, demand Demand) bool {
+func (s *Shares) Receive(from fleet.DaemonID, demand Demand) bool {
 	m := s.find(from)
 	if m == nil {
 		return false
 	}
-	m.told = demand.size(&s.cfg)
+	m.reported = demand.weight(&s.cfg)
 	return true
 }
 
-// Reply records another daemon's answer to our telling of ours; demand is its
+// ReceiveReply records another daemon's answer to our telling of ours; demand is its
 // own, sent with the answer.
-func (s *Shares) Reply(from fleet.DaemonID, ours, demand Demand) {
-	if !s.Tell(from, demand) {
+func (s *Shares) ReceiveReply(from fleet.DaemonID, ours, demand Demand) {
+	if !s.Receive(from, demand) {
 		return
 	}
 	m := s.find(from)
-	m.heard = min(ours.size(&s.cfg), s.demand)
-	m.knows = true
+	m.acked = min(ours.weight(&s.cfg), s.demand)
+	m.replied = true
 }
 
-// Mine returns this daemon's share in (0,1].
-func (s *Shares) Mine() float64 {
+// Share returns this daemon's share in (0,1].
+func (s *Shares) Share() float64 {
 	equal := 1 / float64(len(s.others)+1)
-	floor := s.cfg.Floor * equal
-	own, others, known := s.demand, 0.0, true
+	minShare := s.cfg.Floor * equal
+	own, others, allReplied := s.demand, 0.0, true
 	for i := range s.others {
 		m := &s.others[i]
-		others += m.told
-		if m.knows {
-			own = min(own, m.heard)
+		others += m.reported
+		if m.replied {
+			own = min(own, m.acked)
 		}
-		known = known && m.knows
+		allReplied = allReplied && m.replied
 	}
-	mine := floor + (1-s.cfg.Floor)*own/(own+others)
+	share := minShare + (1-s.cfg.Floor)*own/(own+others)
 	switch {
-	case known:
+	case allReplied:
 		s.joined = true
 	case s.joined:
-		mine = min(mine, s.mine) // the newcomer may not count us yet: take no more
+		share = min(share, s.share) // the newcomer may not count us yet: take no more
 	default:
-		mine = floor
+		share = minShare
 	}
-	s.mine = mine
-	return mine
+	s.share = share
+	return share
 }
 
 func (s *Shares) find(id fleet.DaemonID) *member {
--- a/internal/admission/shares/shares_test.go
+++ b/internal/admission/shares/shares_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// bound is the stated time after the last change within which the shares of
+// recoveryBound is the stated time after the last change within which the shares of
 // the living daemons sum to 0.8 or more: detection, and two exchanges that get
 // through.
-const bound = detect + 2*interval
+const recoveryBound = detectionDelay + 2*interval
 
 // Callers of one workspace move between its daemons, daemons join and die, and
 // messages are lost. If a daemon's share rose before all others knew of its
 // demand, two would grant the same part: the workspace gets its limit twice. If
 // shares never rose again, it would be refused below its limit.
-func TestSharesNeverSumAboveOneAndReturnAfterChange(t *testing.T) {
+func TestSharesSumToAtMostOneAndRecoverAfterChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.Uint64().Draw(t, "seed"), DefaultConfig(), rapid.IntRange(2, 6).Draw(t, "size"))
 		g.loss = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "loss")
@@ -30,7 +30,7 @@
 			g.advance()
 			sum := g.sum()
 			assert.Assert(t, sum <= 1.1, "sum %v", sum)
-			if g.loss == 0 && g.now.Sub(changed) > bound {
+			if g.loss == 0 && g.now.Sub(changed) > recoveryBound {
 				assert.Assert(t, sum >= 0.8, "sum %v, %v after the change", sum, g.now.Sub(changed))
 			}
 		}
@@ -55,14 +55,14 @@
 // Calls between some daemons fail for good, in one direction or both, while
 // demand goes on moving. Nobody can tell a silent daemon from a dead one, and
 // it still serves its callers: what it may grant must not be granted by others.
-func TestSilenceRaisesNobodysShare(t *testing.T) {
+func TestUnresponsiveMemberRaisesNoShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.Uint64().Draw(t, "seed"), DefaultConfig(), rapid.IntRange(2, 5).Draw(t, "size"))
 		for i := range 400 {
 			if i%40 == 0 {
 				g.daemons[g.rng.IntN(len(g.daemons))].demand.Tokens = float64(g.rng.IntN(10_000))
 				pair := [2]*daemon{g.daemons[g.rng.IntN(len(g.daemons))], g.daemons[g.rng.IntN(len(g.daemons))]}
-				g.cut[pair] = g.rng.IntN(2) == 0
+				g.failing[pair] = g.rng.IntN(2) == 0
 			}
 			g.advance()
 			assert.Assert(t, g.sum() <= 1.1, "sum %v", g.sum())
@@ -73,49 +73,49 @@
 // A daemon restarts again and again. Each run knows nobody's demand, and the
 // others do not know it yet; a share by its own demand would grant the
 // workspace the whole limit once more with each restart.
-func TestNewcomerStaysAtTheFloorUntilAllAnswered(t *testing.T) {
+func TestNewMemberStaysAtFloorUntilAllReply(t *testing.T) {
 	s := New("new", []fleet.DaemonID{"new", "a", "b"}, DefaultConfig())
-	mine := Demand{Tokens: 1_000}
-	s.Round(mine)
-	s.Reply("a", mine, Demand{})
-	assert.Assert(t, s.Mine() <= DefaultConfig().Floor)
-	s.Reply("b", mine, Demand{})
-	assert.Assert(t, s.Mine() > 0.9)
+	own := Demand{Tokens: 1_000}
+	s.StartRound(own)
+	s.ReceiveReply("a", own, Demand{})
+	assert.Assert(t, s.Share() <= DefaultConfig().Floor)
+	s.ReceiveReply("b", own, Demand{})
+	assert.Assert(t, s.Share() > 0.9)
 }
 
 // A telling from a daemon that is no member here is not heard: were it answered
 // as heard, the teller would take a share that nobody has made room for.
-func TestStrangerIsNotHeard(t *testing.T) {
+func TestDemandFromNonMemberIsRejected(t *testing.T) {
 	s := New("a", nil, DefaultConfig())
-	assert.Assert(t, !s.Tell("stranger", Demand{Tokens: 1}))
-	assert.Equal(t, s.Mine(), 1.0)
+	assert.Assert(t, !s.Receive("stranger", Demand{Tokens: 1}))
+	assert.Equal(t, s.Share(), 1.0)
 }
 
 // Demand rises twice while an answer is on its way. The late answer proves only
 // that the older, lower demand is known; counting the newer one would take a
 // share for which the other has not made room.
-func TestLateReplyProvesOnlyWhatItAnswers(t *testing.T) {
+func TestLateReplyAcknowledgesOnlyItsDemand(t *testing.T) {
 	s := New("a", []fleet.DaemonID{"b"}, DefaultConfig())
 	low, high := Demand{Tokens: 100}, Demand{Tokens: 9_900}
-	s.Round(low)
-	s.Round(high)
-	s.Reply("b", low, low)
-	assert.Assert(t, s.Mine() < 0.51, "%v", s.Mine())
-	s.Reply("b", high, low)
-	assert.Assert(t, s.Mine() > 0.9, "%v", s.Mine())
+	s.StartRound(low)
+	s.StartRound(high)
+	s.ReceiveReply("b", low, low)
+	assert.Assert(t, s.Share() < 0.51, "%v", s.Share())
+	s.ReceiveReply("b", high, low)
+	assert.Assert(t, s.Share() > 0.9, "%v", s.Share())
 }
 
 // A daemon is about to join and does not count this one yet. What another
 // leaves meanwhile must not be taken, since the newcomer may take it too.
-func TestNobodyRisesBesideAnUnknownNewcomer(t *testing.T) {
+func TestShareDoesNotRiseUntilNewMemberReplies(t *testing.T) {
 	s := New("a", []fleet.DaemonID{"b"}, DefaultConfig())
-	mine := Demand{Tokens: 500}
-	s.Round(mine)
-	s.Reply("b", mine, mine)
-	before := s.Mine()
+	own := Demand{Tokens: 500}
+	s.StartRound(own)
+	s.ReceiveReply("b", own, own)
+	before := s.Share()
 	s.SetMembers([]fleet.DaemonID{"b", "c"})
-	s.Reply("b", mine, Demand{})
-	assert.Assert(t, s.Mine() <= before)
-	s.Reply("c", mine, Demand{})
-	assert.Assert(t, s.Mine() > 0.9)
+	s.ReceiveReply("b", own, Demand{})
+	assert.Assert(t, s.Share() <= before)
+	s.ReceiveReply("c", own, Demand{})
+	assert.Assert(t, s.Share() > 0.9)
 }
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -48,8 +48,8 @@
 	daemons := max(1, len(d.roster.view.Load().serving))
 	d.admission.tell(func(_ time.Time, s *admissionState) {
 		for p, sample := range samples {
-			sample.Mine = s.limits.PoolState(p).Running
-			sample.Running = max(sample.Running, sample.Mine) // reports lag, services make none
+			sample.InFlight = s.limits.PoolState(p).Running
+			sample.Running = max(sample.Running, sample.InFlight) // reports lag, services make none
 			sample.Daemons = daemons
 			s.limits.SetCapacity(p, allowance.Of(sample))
 		}
--- a/internal/daemon/sharing.go
+++ b/internal/daemon/sharing.go
@@ -88,7 +88,7 @@
 		if sh == nil {
 			continue
 		}
-		sh.Round(demand)
+		sh.StartRound(demand)
 		s.told[id] = demand
 		for _, m := range members {
 			if m != d.self {
@@ -154,7 +154,7 @@
 	for id := range s.limits {
 		part[id] = strangerShare / float64(serving)
 		if sh, ok := s.shares[id]; ok {
-			part[id] = sh.Mine()
+			part[id] = sh.Share()
 		}
 	}
 	limits := s.limits
@@ -181,7 +181,7 @@
 		for _, theirs := range reply.GetDemands() {
 			id := fleet.WorkspaceID(theirs.GetWorkspace())
 			if sh, ok := s.shares[id]; ok {
-				sh.Reply(to, demandIn(all, theirs.GetWorkspace()), demandFromWire(theirs))
+				sh.ReceiveReply(to, demandIn(all, theirs.GetWorkspace()), demandFromWire(theirs))
 			}
 		}
 	})
@@ -195,7 +195,7 @@
 		for _, theirs := range all {
 			id := fleet.WorkspaceID(theirs.GetWorkspace())
 			sh := d.sharesOf(s, id, d.members(id))
-			if sh != nil && sh.Tell(from, demandFromWire(theirs)) {
+			if sh != nil && sh.Receive(from, demandFromWire(theirs)) {
 				out = append(out, demandToWire(id, s.told[id]))
 			}
 		}
