--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -94,7 +94,7 @@
 
 // Ran implements dispatch.Guard.
 func (d *crashDuty) Ran(id fleet.EndpointID, sent time.Time, k quarantine.Key) {
-	d.changed(d.table.Ran(time.Now(), sent, quarantine.LifeOf(id, time.Time{}), func() quarantine.Key { return k }))
+	d.changed(d.table.Ran(time.Now(), sent, quarantine.IncarnationOf(id, time.Time{}), func() quarantine.Key { return k }))
 }
 
 func (d *crashDuty) end(id fleet.EndpointID, c *quarantine.Crash) {
--- a/internal/ends/log.go
+++ b/internal/ends/log.go
@@ -15,7 +15,7 @@
 // LogChange says which requests are held from now on, and which no longer.
 func LogChange(log *logrus.Entry, t *quarantine.Table, c quarantine.Change) {
 	for _, k := range c.Held {
-		log.WithFields(logrus.Fields{"request": k.String(), "crashes": t.Under(k)}).Error("request held: it crashes the endpoints that run it")
+		log.WithFields(logrus.Fields{"request": k.String(), "crashes": t.SuspectedIn(k)}).Error("request held: it crashes the endpoints that run it")
 	}
 	for _, k := range c.Released {
 		log.WithField("request", k.String()).Info("request released")
--- a/internal/ends/watch.go
+++ b/internal/ends/watch.go
@@ -108,7 +108,7 @@
 		return
 	}
 	sent := w.o.Now().Add(-time.Since(c.Sent)).Truncate(told)
-	q.crash.Suspect(quarantine.Suspect{Request: c.Request, Sent: sent})
+	q.crash.AddSuspect(quarantine.Suspect{Request: c.Request, Sent: sent})
 	if q.crashed {
 		w.o.Changed(w.o.Table.Add(w.o.Now(), q.crash))
 	}
@@ -116,7 +116,7 @@
 
 func (w *Watch) inquire(ctx context.Context, c Cut) *inquiry {
 	q := &inquiry{cut: c, asked: time.Now()}
-	q.crash = quarantine.Crash{Endpoint: quarantine.LifeOf(c.Endpoint, c.Born), At: w.o.Now().Truncate(told)}
+	q.crash = quarantine.Crash{Endpoint: quarantine.IncarnationOf(c.Endpoint, c.Born), At: w.o.Now().Truncate(told)}
 	w.inquiries[c.Endpoint] = q
 	w.asking.Go(func() { w.ask(ctx, q) })
 	return q
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -73,7 +73,7 @@
 
 // Held implements relay.Guard.
 func (c *crashes) Held(key func() quarantine.Key) time.Duration {
-	if c.table.Holding() == 0 { // nearly always: the clock is a system call
+	if c.table.HeldCount() == 0 { // nearly always: the clock is a system call
 		return 0
 	}
 	return c.table.Held(c.node.clock.Now(), key)
@@ -81,11 +81,11 @@
 
 // Ran implements relay.Guard.
 func (c *crashes) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
-	if c.table.Size() == 0 {
+	if c.table.CrashCount() == 0 {
 		return
 	}
 	now := c.node.clock.Now()
-	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.LifeOf(e.ID, e.Born), key))
+	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.Born), key))
 }
 
 // state reports whether an endpoint is listed, and whether it has said that it
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -175,7 +175,7 @@
 	f.ready()
 	for i := range 3 {
 		sendBody(f.nodes[i], "try"+strconv.Itoa(i), crashingBody)
-		f.until("all daemons know of the end", func(n *Node) bool { return n.crashes.table.Size() == i+1 })
+		f.until("all daemons know of the end", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
 	}
 	for _, n := range f.nodes {
 		assert.Equal(t, sendBody(n, "again", crashingBody).refusal.Reason, relay.Quarantined)
@@ -184,7 +184,7 @@
 	f.stop()
 	f.nodes, f.cancel, f.done = nil, nil, nil
 	n := f.addWith(f.store, func(n *Node) { n.settings.Daemon.FirstStart = false })
-	f.until("it knows what was held", func(n *Node) bool { return n.crashes.table.Holding() == 1 })
+	f.until("it knows what was held", func(n *Node) bool { return n.crashes.table.HeldCount() == 1 })
 	assert.Equal(t, sendBody(n, "after all", crashingBody).refusal.Reason, relay.Quarantined)
 	assert.Equal(t, e.ended.Load(), int64(3))
 }
@@ -199,13 +199,13 @@
 	f.held()
 	for i := range 3 {
 		sendBody(f.nodes[0], "try"+strconv.Itoa(i), crashingBody)
-		f.until("the end is known", func(n *Node) bool { return n.crashes.table.Size() == i+1 })
+		f.until("the end is known", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
 	}
 	f.kept(3)
 	alone := f.addWith(f.store, func(n *Node) { n.extraSeeds = nil })
 	f.until("ready", func(n *Node) bool { all, _ := n.endpoints.list(); return n.Ready() && len(all) == endpoints })
 	sendBody(alone, "there", crashingBody)
-	f.until("it is held", func(n *Node) bool { return n.crashes.table.Holding() == 1 })
+	f.until("it is held", func(n *Node) bool { return n.crashes.table.HeldCount() == 1 })
 	assert.Equal(t, sendBody(alone, "again", crashingBody).refusal.Reason, relay.Quarantined)
 	assert.Equal(t, e.ended.Load(), int64(4))
 	assert.Equal(t, len(alone.members.serving()), 1)
@@ -234,7 +234,7 @@
 		assert.Equal(t, sendBody(n, "closed", closingBody).refusal.Reason, relay.Broken)
 	}
 	f.until("all were asked for", func(*Node) bool { return e.askedAgain() })
-	assert.Equal(t, n.crashes.table.Size(), 0)
+	assert.Equal(t, n.crashes.table.CrashCount(), 0)
 	assert.Equal(t, e.ended.Load(), int64(0))
 }
 
--- a/internal/node/keptlimits.go
+++ b/internal/node/keptlimits.go
@@ -51,7 +51,7 @@
 	}
 	n := k.duties.node
 	k.last, k.limits = now, n.state.KeepLimits(now)
-	text, err := json.Marshal(keptLimits{n.clock.Now(), n.members.number(), k.limits, n.crashes.table.Keep()})
+	text, err := json.Marshal(keptLimits{n.clock.Now(), n.members.number(), k.limits, n.crashes.table.Snapshot()})
 	if err != nil {
 		k.duties.log.WithError(err).Error("limits not encoded")
 		return
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -35,8 +35,8 @@
 		return 0
 	})
 	m.set.NewGauge("cyclamenbeam_store_era", func() float64 { return float64(n.endpoints.Era()) })
-	m.set.NewGauge("cyclamenbeam_requests_held", func() float64 { return float64(n.crashes.table.Holding()) })
-	m.set.NewGauge("cyclamenbeam_crashes_remembered", func() float64 { return float64(n.crashes.table.Size()) })
+	m.set.NewGauge("cyclamenbeam_requests_held", func() float64 { return float64(n.crashes.table.HeldCount()) })
+	m.set.NewGauge("cyclamenbeam_crashes_remembered", func() float64 { return float64(n.crashes.table.CrashCount()) })
 	m.set.NewGauge("cyclamenbeam_connections_dialled_total", func() float64 { return float64(n.pool.Stats().Dialled) })
 	m.set.NewGauge("cyclamenbeam_connections_reused_total", func() float64 { return float64(n.pool.Stats().Reused) })
 	m.set.NewGauge("cyclamenbeam_endpoints_silent_total", func() float64 { return float64(n.pool.Stats().Silent) })
--- a/internal/quarantine/crash.go
+++ b/internal/quarantine/crash.go
@@ -11,29 +11,31 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Life names one life of an endpoint: one that starts again under its ID is
+// Incarnation names one life of an endpoint: one that starts again under its ID is
 // another one.
-type Life uint64
+type Incarnation uint64
 
-// LifeOf returns the name of the life that began at born, zero where that isn't
+// IncarnationOf returns the name of the life that began at born, zero where that isn't
 // told.
-func LifeOf(id fleet.EndpointID, born time.Time) Life {
-	return Life(xxh3.HashString(string(id) + " " + strconv.FormatInt(born.UnixMilli(), 10)))
+func IncarnationOf(id fleet.EndpointID, born time.Time) Incarnation {
+	return Incarnation(xxh3.HashString(string(id) + " " + strconv.FormatInt(born.UnixMilli(), 10)))
 }
 
 // MarshalText returns the life in hexadecimal.
-func (l Life) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%016x", uint64(l)), nil }
+func (inc Incarnation) MarshalText() ([]byte, error) {
+	return fmt.Appendf(nil, "%016x", uint64(inc)), nil
+}
 
 // UnmarshalText accepts the form of MarshalText.
-func (l *Life) UnmarshalText(text []byte) error {
+func (inc *Incarnation) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
-	*l = Life(n)
+	*inc = Incarnation(n)
 	return Error.Wrap(err)
 }
 
 // Crash is the end of an endpoint's process that nothing announced.
 type Crash struct {
-	Endpoint Life
+	Endpoint Incarnation
 	At       time.Time // by the fleet's clock
 	// Void says that it was none: the endpoint was leaving, or still answers.
 	Void bool `json:",omitempty"`
@@ -50,13 +52,13 @@
 	Sent    time.Time // the first to the endpoint, by the fleet's clock
 }
 
-// mostSuspects bounds the suspects of a crash: an endpoint runs some dozens of
+// maxSuspects bounds the suspects of a crash: an endpoint runs some dozens of
 // requests at once, of which few have no piece of an answer yet.
-const mostSuspects = 64
+const maxSuspects = 64
 
-// sameTime is how far apart two tellings of one moment may be: what clocks lose
+// timeTolerance is how far apart two tellings of one moment may be: what clocks lose
 // to rounding on each way, many times over, and far below what is weighed.
-const sameTime = 5 * time.Millisecond
+const timeTolerance = 5 * time.Millisecond
 
 // merge adds what another daemon knows of the same crash, and reports whether
 // that was new.
@@ -65,11 +67,11 @@
 	if o.Void && !c.Void {
 		c.Void, changed = true, true
 	}
-	if c.At.Sub(o.At) > sameTime {
+	if c.At.Sub(o.At) > timeTolerance {
 		c.At, changed = o.At, true
 	}
 	for _, s := range o.Suspects {
-		if c.Suspect(s) {
+		if c.AddSuspect(s) {
 			changed = true
 		}
 	}
@@ -89,15 +91,15 @@
 	}
 }
 
-// Suspect adds a request that may be its cause, and reports whether that was new.
-func (c *Crash) Suspect(s Suspect) bool {
-	at := c.index(s.Request)
+// AddSuspect adds a request that may be its cause, and reports whether that was new.
+func (c *Crash) AddSuspect(s Suspect) bool {
+	i := c.index(s.Request)
 	switch {
-	case at < 0 && len(c.Suspects) < mostSuspects:
+	case i < 0 && len(c.Suspects) < maxSuspects:
 		c.Suspects = append(c.Suspects, s)
 		return true
-	case at >= 0 && c.Suspects[at].Sent.Sub(s.Sent) > sameTime:
-		c.Suspects[at].Sent = s.Sent
+	case i >= 0 && c.Suspects[i].Sent.Sub(s.Sent) > timeTolerance:
+		c.Suspects[i].Sent = s.Sent
 		return true
 	}
 	return false
@@ -105,7 +107,7 @@
 
 // clear notes that a request isn't its cause, and reports whether that was new.
 func (c *Crash) clear(k Key) bool {
-	if len(c.Cleared) >= mostSuspects || slices.Contains(c.Cleared, k) {
+	if len(c.Cleared) >= maxSuspects || slices.Contains(c.Cleared, k) {
 		return false
 	}
 	c.Cleared = append(c.Cleared, k)
@@ -116,14 +118,14 @@
 	return slices.IndexFunc(c.Suspects, func(s Suspect) bool { return s.Request == k })
 }
 
-// suspects reports whether a request may be its cause.
-func (c *Crash) suspects(k Key) bool {
+// isSuspect reports whether a request may be its cause.
+func (c *Crash) isSuspect(k Key) bool {
 	return !c.Void && c.index(k) >= 0 && !slices.Contains(c.Cleared, k)
 }
 
-// any reports whether something holds for a request that may be its cause.
-func (c *Crash) any(f func(k Key) bool) bool {
-	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return c.suspects(s.Request) && f(s.Request) })
+// anySuspect reports whether something holds for a request that may be its cause.
+func (c *Crash) anySuspect(f func(k Key) bool) bool {
+	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return c.isSuspect(s.Request) && f(s.Request) })
 }
 
 // clone returns a copy that shares nothing.
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -14,241 +14,241 @@
 
 const (
 	step = 10 * time.Millisecond
-	// readTime is from a request's begin until the endpoint that it crashes ends,
+	// processingTime is from a request's begin until the endpoint that it crashes ends,
 	// or until its first piece.
-	readTime = 60 * time.Millisecond
-	// backAfter is how long an endpoint is away.
-	backAfter = 4 * time.Second
+	processingTime = 60 * time.Millisecond
+	// restartTime is how long an endpoint is away.
+	restartTime = 4 * time.Second
 	// grace is how long after a third crash sends are free, the shortest that
 	// platforms state, and retries the sends allowed after it.
 	grace, retries = 3 * time.Second, 3
 )
 
-// play is a fleet of daemons that tell each other of crashes by two hubs, and
+// fleetSim is a fleet of daemons that tell each other of crashes by two hubs, and
 // endpoints that end under some requests.
-type play struct {
-	rng       *rand.Rand
-	now       time.Time
-	daemons   []*daemon
-	hubs      [2]*daemon
-	endpoints []*machine
-	sent      map[quarantine.Key]*record
-	refused   int // of innocent requests
-	worst     int
+type fleetSim struct {
+	rng           *rand.Rand
+	now           time.Time
+	daemons       []*daemon
+	hubs          [2]*daemon
+	endpoints     []*endpoint
+	outcomes      map[quarantine.Key]*outcome
+	harmlessHeld  int // of innocent requests
+	mostLateSends int
 }
 
 type daemon struct {
-	table *quarantine.Table
-	told  [2]quarantine.Position
-	heard [2]quarantine.Position
-	next  time.Time
+	table        *quarantine.Table
+	sentUpTo     [2]quarantine.Position
+	receivedUpTo [2]quarantine.Position
+	nextReport   time.Time
 	// skew is how far its view of the fleet's time is off.
 	skew time.Duration
 }
 
-// machine is an endpoint with what runs there.
-type machine struct {
-	life int
-	back time.Time
-	runs []run
+// endpoint is an endpoint with what runs there.
+type endpoint struct {
+	incarnation int
+	upAt        time.Time
+	attempts    []attempt
 }
 
-type run struct {
+type attempt struct {
 	daemon  *daemon
 	key     quarantine.Key
-	at      time.Time
+	sent    time.Time
 	crashes bool
-	// begun is when it has its first piece, if the endpoint lives until then.
-	begun time.Time
+	// firstPart is when it has its first piece, if the endpoint lives until then.
+	firstPart time.Time
 }
 
-// record is what became of a request that crashes endpoints.
-type record struct {
-	crashes int
-	third   time.Time
-	late    int // sends after the grace
+// outcome is what became of a request that crashes endpoints.
+type outcome struct {
+	crashes    int
+	thirdCrash time.Time
+	lateSends  int // sends after the grace
 }
 
-func newPlay(seed uint64, daemons int) *play {
-	p := &play{
-		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000_000, 0), sent: map[quarantine.Key]*record{},
+func newFleetSim(seed uint64, daemons int) *fleetSim {
+	s := &fleetSim{
+		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000_000, 0), outcomes: map[quarantine.Key]*outcome{},
 	}
 	interval := exchange.CalmInterval(daemons)
 	for i := range daemons {
-		p.daemons = append(p.daemons, &daemon{
-			table: quarantine.NewTable(uint64(i) + 1), next: p.now.Add(time.Duration(p.rng.Int64N(int64(interval)))),
-			skew: time.Duration(p.rng.Int64N(int64(40*time.Millisecond))) - 20*time.Millisecond,
+		s.daemons = append(s.daemons, &daemon{
+			table: quarantine.NewTable(uint64(i) + 1), nextReport: s.now.Add(time.Duration(s.rng.Int64N(int64(interval)))),
+			skew: time.Duration(s.rng.Int64N(int64(40*time.Millisecond))) - 20*time.Millisecond,
 		})
 	}
-	p.hubs = [2]*daemon{p.daemons[0], p.daemons[1]}
+	s.hubs = [2]*daemon{s.daemons[0], s.daemons[1]}
 	for range 18 + daemons {
-		p.endpoints = append(p.endpoints, &machine{})
+		s.endpoints = append(s.endpoints, &endpoint{})
 	}
-	return p
+	return s
 }
 
-func (d *daemon) time(p *play) time.Time { return p.now.Add(d.skew).Truncate(time.Millisecond) }
+func (d *daemon) time(s *fleetSim) time.Time { return s.now.Add(d.skew).Truncate(time.Millisecond) }
 
-// tell reports to both hubs where that is due.
-func (p *play) tell() {
-	interval := exchange.CalmInterval(len(p.daemons))
-	for _, d := range p.daemons {
-		if p.now.Before(d.next) {
+// report reports to both hubs where that is due.
+func (s *fleetSim) report() {
+	interval := exchange.CalmInterval(len(s.daemons))
+	for _, d := range s.daemons {
+		if s.now.Before(d.nextReport) {
 			continue
 		}
-		d.next = p.now.Add(interval)
-		for i, h := range p.hubs {
+		d.nextReport = s.now.Add(interval)
+		for i, h := range s.hubs {
 			if h == d {
 				continue
 			}
 			var own, others []quarantine.Crash
-			own, d.told[i] = d.table.Since(d.told[i])
-			h.table.Add(h.time(p), own...)
-			others, d.heard[i] = h.table.Since(d.heard[i])
-			d.table.Add(d.time(p), others...)
+			own, d.sentUpTo[i] = d.table.Since(d.sentUpTo[i])
+			h.table.Add(h.time(s), own...)
+			others, d.receivedUpTo[i] = h.table.Since(d.receivedUpTo[i])
+			d.table.Add(d.time(s), others...)
 		}
 	}
 }
 
 // send sends a request from a daemon to an endpoint that is there.
-func (p *play) send(d *daemon, k quarantine.Key, crashes bool) {
-	if d.table.Held(d.time(p), func() quarantine.Key { return k }) > 0 {
+func (s *fleetSim) send(d *daemon, k quarantine.Key, crashes bool) {
+	if d.table.Held(d.time(s), func() quarantine.Key { return k }) > 0 {
 		if !crashes {
-			p.refused++
+			s.harmlessHeld++
 		}
 		return
 	}
-	if r := p.sent[k]; crashes && r != nil && !r.third.IsZero() && p.now.Sub(r.third) > grace {
-		r.late++
-		p.worst = max(p.worst, r.late)
+	if r := s.outcomes[k]; crashes && r != nil && !r.thirdCrash.IsZero() && s.now.Sub(r.thirdCrash) > grace {
+		r.lateSends++
+		s.mostLateSends = max(s.mostLateSends, r.lateSends)
 	}
 	for {
-		m := p.endpoints[p.rng.IntN(len(p.endpoints))]
-		if p.now.Before(m.back) {
+		e := s.endpoints[s.rng.IntN(len(s.endpoints))]
+		if s.now.Before(e.upAt) {
 			continue
 		}
 		// Prompts wait for each other: a first piece takes up to 1.5 s.
-		begun := p.now.Add(readTime + time.Duration(p.rng.ExpFloat64()*float64(300*time.Millisecond)))
+		firstPart := s.now.Add(processingTime + time.Duration(s.rng.ExpFloat64()*float64(300*time.Millisecond)))
 		if crashes {
-			begun = p.now.Add(readTime)
+			firstPart = s.now.Add(processingTime)
 		}
-		m.runs = append(m.runs, run{daemon: d, key: k, at: p.now, crashes: crashes, begun: begun})
+		e.attempts = append(e.attempts, attempt{daemon: d, key: k, sent: s.now, crashes: crashes, firstPart: firstPart})
 		return
 	}
 }
 
-// work ends the runs that are over, and endpoints under requests that crash them.
-func (p *play) work() {
-	for n, m := range p.endpoints {
-		for i := 0; i < len(m.runs); i++ {
-			r := m.runs[i]
-			if p.now.Before(r.begun) {
+// serve ends the runs that are over, and endpoints under requests that crash them.
+func (s *fleetSim) serve() {
+	for n, e := range s.endpoints {
+		for i := 0; i < len(e.attempts); i++ {
+			r := e.attempts[i]
+			if s.now.Before(r.firstPart) {
 				continue
 			}
 			if r.crashes {
-				p.end(n)
+				s.kill(n)
 				break
 			}
-			life := quarantine.Life(n<<32 | m.life)
-			r.daemon.table.Ran(r.daemon.time(p), r.at, life, func() quarantine.Key { return r.key })
-			m.runs = append(m.runs[:i], m.runs[i+1:]...)
+			inc := quarantine.Incarnation(n<<32 | e.incarnation)
+			r.daemon.table.Ran(r.daemon.time(s), r.sent, inc, func() quarantine.Key { return r.key })
+			e.attempts = append(e.attempts[:i], e.attempts[i+1:]...)
 			i--
 		}
 	}
 }
 
-// end ends an endpoint. Its requests are sent again, once, at any daemon.
-func (p *play) end(n int) {
-	m := p.endpoints[n]
-	told := map[*daemon]*quarantine.Crash{}
-	for _, r := range m.runs {
-		c := told[r.daemon]
+// kill ends an endpoint. Its requests are sent again, once, at any daemon.
+func (s *fleetSim) kill(n int) {
+	e := s.endpoints[n]
+	reports := map[*daemon]*quarantine.Crash{}
+	for _, r := range e.attempts {
+		c := reports[r.daemon]
 		if c == nil {
-			c = &quarantine.Crash{Endpoint: quarantine.Life(n<<32 | m.life), At: r.daemon.time(p)}
-			told[r.daemon] = c
+			c = &quarantine.Crash{Endpoint: quarantine.Incarnation(n<<32 | e.incarnation), At: r.daemon.time(s)}
+			reports[r.daemon] = c
 		}
-		c.Suspect(quarantine.Suspect{Request: r.key, Sent: r.at})
+		c.AddSuspect(quarantine.Suspect{Request: r.key, Sent: r.sent})
 		if r.crashes {
-			p.crashed(r.key)
+			s.recordCrash(r.key)
 		}
 	}
-	for d, c := range told {
-		d.table.Add(d.time(p), *c)
+	for d, c := range reports {
+		d.table.Add(d.time(s), *c)
 	}
-	again := m.runs
-	m.runs, m.life, m.back = nil, m.life+1, p.now.Add(backAfter)
-	for _, r := range again {
+	retried := e.attempts
+	e.attempts, e.incarnation, e.upAt = nil, e.incarnation+1, s.now.Add(restartTime)
+	for _, r := range retried {
 		if !r.crashes {
-			p.send(p.any(), r.key, false)
+			s.send(s.anyDaemon(), r.key, false)
 		}
 	}
 }
 
-func (p *play) crashed(k quarantine.Key) {
-	r := p.sent[k]
+func (s *fleetSim) recordCrash(k quarantine.Key) {
+	r := s.outcomes[k]
 	if r == nil {
-		r = &record{}
-		p.sent[k] = r
+		r = &outcome{}
+		s.outcomes[k] = r
 	}
 	r.crashes++
 	if r.crashes == 3 {
-		r.third = p.now
+		r.thirdCrash = s.now
 	}
 }
 
-func (p *play) any() *daemon { return p.daemons[p.rng.IntN(len(p.daemons))] }
+func (s *fleetSim) anyDaemon() *daemon { return s.daemons[s.rng.IntN(len(s.daemons))] }
 
-func request(kind string, n int) quarantine.Key {
+func requestKey(kind string, n int) quarantine.Key {
 	return quarantine.KeyOf("w", "POST", "/x", fmt.Append(nil, kind, n))
 }
 
 // run plays some seconds in which requests that crash endpoints come about once a
 // second each, and endpoints are killed together each five seconds.
-func (p *play) run(seconds, crashing int) {
-	innocent := 0
+func (s *fleetSim) run(seconds, crashing int) {
+	harmless := 0
 	for tick := range int(time.Duration(seconds) * time.Second / step) {
-		p.now = p.now.Add(step)
-		for range 1 + len(p.endpoints)/20 {
-			innocent++
-			p.send(p.any(), request("innocent", innocent), false)
+		s.now = s.now.Add(step)
+		for range 1 + len(s.endpoints)/20 {
+			harmless++
+			s.send(s.anyDaemon(), requestKey("innocent", harmless), false)
 		}
 		for k := range crashing {
-			if p.rng.IntN(100) == 0 {
-				p.send(p.any(), request("crashing", k), true)
+			if s.rng.IntN(100) == 0 {
+				s.send(s.anyDaemon(), requestKey("crashing", k), true)
 			}
 		}
 		if tick%500 == 499 {
-			for n := range p.endpoints {
-				if p.rng.IntN(5) == 0 {
-					p.end(n)
+			for n := range s.endpoints {
+				if s.rng.IntN(5) == 0 {
+					s.kill(n)
 				}
 			}
 		}
-		p.work()
-		p.tell()
+		s.serve()
+		s.report()
 	}
 }
 
 // Requests that crash their endpoints come again each second, at any daemon,
 // while others run beside them and endpoints are killed together. Each is held in
 // time in a fleet of any size, and no other is.
-func TestFleetsHoldWhatCrashesEndpoints(t *testing.T) {
+func TestFleetsHoldCrashingRequests(t *testing.T) {
 	for daemons, seeds := range map[int]uint64{6: 4, 80: 2, 195: 1, 340: 1} {
 		for _, crashing := range []int{1, 4} {
 			for seed := range seeds {
-				p := newPlay(seed, daemons)
-				p.run(15, crashing)
-				what := fmt.Sprintf("%d daemons, %d requests, seed %d", daemons, crashing, seed)
-				assert.Equal(t, p.refused, 0, what)
-				assert.Assert(t, p.worst <= retries, "%s: %d sends too late", what, p.worst)
+				s := newFleetSim(seed, daemons)
+				s.run(15, crashing)
+				label := fmt.Sprintf("%d daemons, %d requests, seed %d", daemons, crashing, seed)
+				assert.Equal(t, s.harmlessHeld, 0, label)
+				assert.Assert(t, s.mostLateSends <= retries, "%s: %d sends too late", label, s.mostLateSends)
 				held := 0
 				for k := range crashing {
-					if p.any().table.Held(p.now, func() quarantine.Key { return request("crashing", k) }) > 0 {
+					if s.anyDaemon().table.Held(s.now, func() quarantine.Key { return requestKey("crashing", k) }) > 0 {
 						held++
 					}
 				}
-				assert.Equal(t, held, crashing, what)
-				t.Logf("%s: worst %d", what, p.worst)
+				assert.Equal(t, held, crashing, label)
+				t.Logf("%s: at most %d sends too late", label, s.mostLateSends)
 			}
 		}
 	}
--- a/internal/quarantine/quarantinepb/codec.go
+++ b/internal/quarantine/quarantinepb/codec.go
@@ -25,7 +25,7 @@
 	var out []quarantine.Crash
 	for _, c := range all {
 		crash := quarantine.Crash{
-			Endpoint: quarantine.Life(c.GetEndpoint()), At: time.UnixMilli(c.GetAtMs()), Void: c.GetVoid(),
+			Endpoint: quarantine.Incarnation(c.GetEndpoint()), At: time.UnixMilli(c.GetAtMs()), Void: c.GetVoid(),
 			Cleared: decodeKeys(c.GetCleared()),
 		}
 		crash.Suspects = decodeSuspects(crash.At, c.GetSuspects())
--- a/internal/quarantine/quarantinepb/codec_test.go
+++ b/internal/quarantine/quarantinepb/codec_test.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-func TestCrashesSurviveTheWay(t *testing.T) {
+func TestCrashesRoundTrip(t *testing.T) {
 	at := time.UnixMilli(1_000_000_123)
 	k := quarantine.KeyOf("w", "POST", "/x", []byte("b"))
 	sent := []quarantine.Crash{
@@ -25,7 +25,7 @@
 }
 
 // Lists of another length, or none, are read as far as they belong together.
-func TestUnevenListsAreRead(t *testing.T) {
+func TestUnevenListsAreTruncated(t *testing.T) {
 	got := Decode([]*Crash{
 		{Endpoint: 1, Suspects: &Requests{Workspaces: []uint32{1, 2}, Requests: []uint64{1}, SentMs: []int64{5, 6, 7}}},
 		{Endpoint: 2, Suspects: &Requests{Workspaces: []uint32{1}, Requests: []uint64{1}}},
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,13 +17,13 @@
 
 func key(n int) Key { return KeyOf("w", "POST", "/x", fmt.Append(nil, n)) }
 
-func life(n int) Life { return LifeOf("e", time.UnixMilli(int64(n))) }
+func incarnation(n int) Incarnation { return IncarnationOf("e", time.UnixMilli(int64(n))) }
 
 // crash is the end of endpoint n at a time under requests sent 50 ms before.
 func crash(n int, seconds float64, requests ...int) Crash {
-	c := Crash{Endpoint: life(n), At: at(seconds)}
+	c := Crash{Endpoint: incarnation(n), At: at(seconds)}
 	for _, r := range requests {
-		c.Suspect(Suspect{Request: key(r), Sent: at(seconds - 0.05)})
+		c.AddSuspect(Suspect{Request: key(r), Sent: at(seconds - 0.05)})
 	}
 	return c
 }
@@ -35,7 +35,7 @@
 // A request ends one endpoint after the other, at times while others run there.
 // It is held after the third; the others, of which each was there once or twice,
 // aren't.
-func TestRequestUnderThreeCrashesIsHeld(t *testing.T) {
+func TestRequestSuspectedInThreeCrashesIsHeld(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(1), crash(1, 1, 0, 7, 8))
 	table.Add(at(2), crash(2, 2, 0, 7))
@@ -50,12 +50,12 @@
 
 // Its caller sends it again at once, so that the ends are some ten milliseconds
 // apart.
-func TestRequestThatComesAgainAtOnceIsHeld(t *testing.T) {
+func TestImmediatelyRetriedRequestIsHeld(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		end := 1 + 0.03*float64(i)
-		c := Crash{Endpoint: life(i), At: at(end)}
-		c.Suspect(Suspect{Request: key(0), Sent: at(end - 0.02)})
+		c := Crash{Endpoint: incarnation(i), At: at(end)}
+		c.AddSuspect(Suspect{Request: key(0), Sent: at(end - 0.02)})
 		table.Add(at(end), c)
 	}
 	assert.Assert(t, held(table, 1.1, 0))
@@ -64,7 +64,7 @@
 // An innocent request is repeated each time beside the one that ends the
 // endpoints. They can't be told apart and neither is held, until one of them
 // comes alone.
-func TestTwoThatAlwaysRanBesideEachOther(t *testing.T) {
+func TestRequestsThatAlwaysRunTogetherAreNotHeld(t *testing.T) {
 	table := NewTable(1)
 	for i := range 4 {
 		table.Add(at(float64(i)), crash(i, float64(i), 0, 7))
@@ -77,34 +77,34 @@
 
 // Endpoints are killed together, three times in a row, and a request was repeated
 // each time onto one of them.
-func TestRequestOnEndpointsThatAreKilledTogetherIsNotHeld(t *testing.T) {
+func TestRequestOnEndpointsKilledTogetherIsNotHeld(t *testing.T) {
 	table := NewTable(1)
 	for i := range 5 {
 		now := float64(i)
 		table.Add(at(now), crash(10*i, now, 7), crash(10*i+1, now+0.01), crash(10*i+2, now+0.1, 8+i))
 	}
-	assert.Equal(t, table.Holding(), 0)
+	assert.Equal(t, table.HeldCount(), 0)
 }
 
 // Many callers send the same request, so that each endpoint that is killed has
 // it.
-func TestCommonRequestIsNotHeldForOneWave(t *testing.T) {
+func TestCommonRequestIsNotHeldAfterOneCorrelatedFailure(t *testing.T) {
 	table := NewTable(1)
 	for i := range 6 {
 		table.Add(at(1), crash(i, 1+0.02*float64(i), 7))
 	}
-	assert.Equal(t, table.Holding(), 0)
+	assert.Equal(t, table.HeldCount(), 0)
 }
 
 // The endpoints had said that they leave; the word comes after their end.
-func TestEndsOfLeavingEndpointsDontCount(t *testing.T) {
+func TestExitsOfLeavingEndpointsDoNotCount(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		now := float64(i)
 		table.Add(at(now), crash(i, now, 7))
 	}
 	assert.Assert(t, held(table, 3, 7))
-	change := table.Void(at(3), life(1), at(1))
+	change := table.Void(at(3), incarnation(1), at(1))
 	assert.DeepEqual(t, change.Released, []Key{key(7)})
 	table.Add(at(3), crash(1, 1, 7)) // told again by who hasn't heard the word
 	assert.Assert(t, !held(table, 3, 7))
@@ -112,50 +112,50 @@
 
 // Connections to an endpoint are refused to some daemons that are cut off from
 // it; another one gets answers.
-func TestEndpointThatAnswersHasNotCrashed(t *testing.T) {
+func TestRespondingEndpointHasNotCrashed(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		now := float64(i)
 		table.Add(at(now), crash(i, now, 7))
-		table.Ran(at(now+0.3), at(now+0.1), life(i), func() Key { return key(99) })
+		table.Ran(at(now+0.3), at(now+0.1), incarnation(i), func() Key { return key(99) })
 	}
-	assert.Equal(t, table.Holding(), 0)
+	assert.Equal(t, table.HeldCount(), 0)
 }
 
 // An answer that was on its way when the endpoint ended proves nothing, nor does
 // one of an endpoint that has started again since.
-func TestOldAnswerIsNoProof(t *testing.T) {
+func TestStaleResponseDoesNotVoidCrash(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		now := float64(i)
 		table.Add(at(now), crash(i, now, 0))
-		table.Ran(at(now+0.01), at(now-0.1), life(i), func() Key { return key(99) })
-		table.Ran(at(now+4), at(now+3.9), life(i), func() Key { return key(99) })
+		table.Ran(at(now+0.01), at(now-0.1), incarnation(i), func() Key { return key(99) })
+		table.Ran(at(now+4), at(now+3.9), incarnation(i), func() Key { return key(99) })
 	}
 	assert.Assert(t, held(table, 3, 0))
 }
 
 // A request ran beside the cause twice, was run to its first piece, and is under a
 // third crash later.
-func TestRequestThatWasRunIsCleared(t *testing.T) {
+func TestRequestThatRanIsCleared(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(1), crash(1, 1, 7))
 	table.Add(at(2), crash(2, 2, 7))
-	table.Ran(at(2.5), at(2.4), life(9), func() Key { return key(7) })
+	table.Ran(at(2.5), at(2.4), incarnation(9), func() Key { return key(7) })
 	table.Add(at(3), crash(3, 3, 7))
 	assert.Assert(t, !held(table, 3, 7))
 }
 
 // A request is held and goes on coming. It is let through again when the first of
 // its crashes is forgotten, and held again after one more.
-func TestHeldRequestIsTriedAgainInTime(t *testing.T) {
+func TestHeldRequestIsReleasedAfterRetention(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		table.Add(at(float64(i)), crash(i, float64(i), 0))
 	}
 	left := table.Held(at(3), func() Key { return key(0) })
-	assert.Equal(t, left, remembered-3*time.Second)
-	later := remembered.Seconds()
+	assert.Equal(t, left, retention-3*time.Second)
+	later := retention.Seconds()
 	table.Tick(at(later))
 	assert.Assert(t, !held(table, later, 0))
 	table.Add(at(later), crash(4, later, 0))
@@ -164,7 +164,7 @@
 
 // A flood of requests that each crash endpoints. What is remembered is bounded,
 // and the newest are held.
-func TestFloodIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable(1)
 	now := 0.0
 	for r := range 600 {
@@ -173,31 +173,31 @@
 			table.Add(at(now), crash(3*r+i, now, r))
 		}
 	}
-	assert.Assert(t, table.Size() <= mostCrashes)
-	assert.Assert(t, table.Holding() > mostCrashes/enough-3, "%d", table.Holding())
+	assert.Assert(t, table.CrashCount() <= maxCrashes)
+	assert.Assert(t, table.HeldCount() > maxCrashes/minCrashes-3, "%d", table.HeldCount())
 	assert.Assert(t, held(table, now, 599) && !held(table, now, 0))
-	told, to := table.Since(Position{})
-	assert.Equal(t, len(told), tellAtOnce)
+	batch, to := table.Since(Position{})
+	assert.Equal(t, len(batch), maxBatch)
 	assert.Assert(t, to.Seq < table.Position().Seq)
-	kept, err := json.Marshal(table.Keep())
+	kept, err := json.Marshal(table.Snapshot())
 	assert.NilError(t, err)
 	assert.Assert(t, len(kept) < 100_000, "%d", len(kept))
 }
 
 // What two daemons tell each other ends in the same state, whatever is told twice
 // or late, and nothing is told for ever.
-func TestTablesAgree(t *testing.T) {
+func TestTablesConverge(t *testing.T) {
 	a, b := NewTable(1), NewTable(2)
 	a.Add(at(1), crash(1, 1, 0, 7), crash(2, 2, 0))
 	b.Add(at(1), crash(1, 1, 0, 8), crash(3, 3, 0))
-	b.Ran(at(3), at(2.9), life(9), func() Key { return key(8) })
+	b.Ran(at(3), at(2.9), incarnation(9), func() Key { return key(8) })
 	var fromA, fromB Position
 	for range 3 {
-		var told []Crash
-		told, fromA = a.Since(fromA)
-		b.Add(at(4), told...)
-		told, fromB = b.Since(fromB)
-		a.Add(at(4), told...)
+		var batch []Crash
+		batch, fromA = a.Since(fromA)
+		b.Add(at(4), batch...)
+		batch, fromB = b.Since(fromB)
+		a.Add(at(4), batch...)
 	}
 	left, _ := a.Since(fromA)
 	assert.Equal(t, len(left), 0)
@@ -207,44 +207,44 @@
 }
 
 // The whole fleet is killed. Who starts again holds what is kept in the store.
-func TestKeptCrashesHoldAgain(t *testing.T) {
+func TestStoredCrashesRestoreHolds(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		table.Add(at(float64(i)), crash(i, float64(i), 0, 7+i))
 	}
-	text, err := json.Marshal(table.Keep())
+	text, err := json.Marshal(table.Snapshot())
 	assert.NilError(t, err)
 	var kept []Crash
 	assert.NilError(t, json.Unmarshal(text, &kept))
 	fresh := NewTable(2)
 	fresh.Add(at(9), kept...)
 	assert.Assert(t, held(fresh, 9, 0))
-	assert.Equal(t, fresh.Holding(), 1)
+	assert.Equal(t, fresh.HeldCount(), 1)
 }
 
 // A daemon whose clock is off tells of a crash in an hour.
-func TestCrashesOfAnotherTimeAreRefused(t *testing.T) {
+func TestCrashesWithImplausibleTimesAreIgnored(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(0), crash(1, 3600, 0), crash(2, -3600, 0))
-	assert.Equal(t, table.Size(), 0)
+	assert.Equal(t, table.CrashCount(), 0)
 }
 
 // An endpoint ends three times under a request, and when it started is not told:
 // its ends are apart in time alone.
-func TestEndsOfOneNameAreApartInTime(t *testing.T) {
+func TestCrashesOfOneIncarnationAreSeparatedByTime(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		now := 5 * float64(i)
 		table.Add(at(now), crash(1, now, 0))
 		table.Add(at(now), crash(1, now+0.2, 0)) // as another daemon saw it
 	}
-	assert.Equal(t, table.Size(), 3)
+	assert.Equal(t, table.CrashCount(), 3)
 	assert.Assert(t, held(table, 11, 0))
 }
 
 // The same body of another workspace, to another target or by another method is
 // another request.
-func TestKeys(t *testing.T) {
+func TestKeysDifferAndRoundTrip(t *testing.T) {
 	one := KeyOf("w", "POST", "/x", []byte("b"))
 	for _, other := range []Key{
 		KeyOf("v", "POST", "/x", []byte("b")), KeyOf("w", "PUT", "/x", []byte("b")),
@@ -264,7 +264,7 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{0, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := full(n)
+			table := fullTable(n)
 			body := make([]byte, 2000)
 			now := at(1)
 			b.ReportAllocs()
@@ -277,7 +277,7 @@
 
 // What one more crash costs where all that is remembered says something.
 func BenchmarkAdd(b *testing.B) {
-	table := full(300)
+	table := fullTable(300)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
@@ -286,7 +286,7 @@
 	}
 }
 
-func full(requests int) *Table {
+func fullTable(requests int) *Table {
 	table := NewTable(1)
 	for r := range requests {
 		for i := range 3 {
@@ -300,7 +300,7 @@
 // The same crash is told back and forth between daemons whose clocks are compared
 // anew each time. What it differs by then must not count as news, or it is told
 // for as long as it is remembered.
-func TestSmallDifferencesOfTimeAreNoNews(t *testing.T) {
+func TestSmallTimeDifferencesAreNotChanges(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(1), crash(1, 1, 0))
 	before := table.Position()
