--- a/internal/admission/action.go
+++ b/internal/admission/action.go
@@ -6,10 +6,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Action tells the caller what became of a queued request.
+// Action is the final decision on a queued request.
 type Action struct {
 	Request    fleet.RequestID
-	Start      bool          // it holds a lease now; otherwise it is refused
-	Reason     Reason        // of a refusal
-	RetryAfter time.Duration // of a refusal
+	Start      bool          // the request holds a lease and may be dispatched; if false, it is refused
+	Reason     Reason        // of the refusal
+	RetryAfter time.Duration // of the refusal, with jitter
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -7,15 +7,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Admission decides which requests start, wait or are refused on one daemon.
+// Admission decides on one daemon which requests start, are queued or are refused.
 type Admission struct {
 	cfg        Config
 	rng        *rand.Rand
-	epoch      time.Time // of the first call; inside, time is counted from it
+	epoch      time.Time // time of the first call; all internal times are relative to it
 	latest     time.Duration
 	workspaces map[fleet.WorkspaceID]*workspace
 	pools      map[Pool]*pool
-	poolList   []*pool // in order of creation, so that runs repeat
+	poolList   []*pool // in order of creation, for a deterministic order of iteration
 	requests   map[fleet.RequestID]*requestState
 	free       []*requestState
 	leases     leases
@@ -26,7 +26,7 @@
 	scratch    []*requestState
 }
 
-// New returns an Admission without workspaces or pools; both come up on use.
+// New returns an Admission without workspaces or pools; they are created on first use.
 func New(cfg Config, rng *rand.Rand) *Admission {
 	a := &Admission{
 		cfg:        cfg,
@@ -41,8 +41,8 @@
 	return a
 }
 
-// SetLimits puts limits in force for a workspace, of which this daemon has a
-// share in [0,1]. Tokens already spent stay spent.
+// SetLimits sets a workspace's limits, of which this daemon applies the given
+// share, in [0,1]. Tokens already spent stay spent.
 func (a *Admission) SetLimits(now time.Time, id fleet.WorkspaceID, l Limits, share float64) {
 	t := a.elapsed(now)
 	w := a.workspace(t, id)
@@ -52,7 +52,8 @@
 	}
 }
 
-// Forget drops a workspace of which nothing waits or runs. It reports whether it did.
+// Forget removes a workspace if none of its requests is queued or running, and
+// reports whether it did.
 func (a *Admission) Forget(id fleet.WorkspaceID) bool {
 	w, ok := a.workspaces[id]
 	if !ok || !w.idle() {
@@ -66,17 +67,17 @@
 }
 
 // SetCapacity sets how many requests of a pool this daemon may have in flight:
-// its share of the slots that the pool's endpoints report.
+// its share of the slots reported by the pool's endpoints.
 func (a *Admission) SetCapacity(p Pool, slots int) {
 	pool := a.pool(p)
 	if slots < pool.slots {
-		a.nextCheck = 0 // what waits may no longer make its deadline: say so in the next Tick
+		a.nextCheck = 0 // queued requests may now miss their deadlines: check them in the next Tick
 	}
 	pool.slots = slots
 }
 
-// Extend renews a running request's lease. It reports false when the lease is
-// gone; the request must be offered anew before it takes more.
+// Extend renews a running request's lease. It reports false if the request
+// holds no lease; it must then be offered again before it continues.
 func (a *Admission) Extend(now time.Time, id fleet.RequestID) bool {
 	r, ok := a.requests[id]
 	if !ok || !r.running {
@@ -88,7 +89,7 @@
 	return true
 }
 
-// elapsed turns now into time since the first call, never backwards.
+// elapsed converts now to the time since the first call; it never decreases.
 func (a *Admission) elapsed(now time.Time) time.Duration {
 	if a.epoch.IsZero() {
 		a.epoch = now
@@ -118,8 +119,8 @@
 	return p
 }
 
-// makeReady makes a flow that waited for its workspace ready; the next Tick
-// finds out whether it may start.
+// makeReady makes a throttled or blocked flow ready; the next Tick checks
+// whether it may start a request.
 func (a *Admission) makeReady(f *flow) {
 	switch f.state {
 	case flowThrottled:
--- a/internal/admission/admission_bench_test.go
+++ b/internal/admission/admission_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// BenchmarkOfferRelease admits and settles one request, and ticks.
+// BenchmarkOfferRelease admits and releases one request, and calls Tick.
 func BenchmarkOfferRelease(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkOfferOverloaded refuses one request while all slots are taken and
+// BenchmarkOfferOverloaded refuses one request while all slots are in use and
 // every workspace has a queue.
 func BenchmarkOfferOverloaded(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// A refused caller comes back, so each refusal that charged something would
-// push the next one further away: the workspace ends below its limits.
+// Guards against refusals that charge the workspace. Refused callers retry, so
+// each retry would delay the next one further, and the workspace would get less
+// than its limits.
 func TestRefusalConsumesNoQuota(t *testing.T) {
 	a := newAdmission(Limits{RequestsPerSecond: 1, RequestBurst: 2, TokensPerSecond: 100, TokenBurst: 100, MaxTokens: 100}, 8)
 	assert.Equal(t, a.Offer(epoch, request("a", 300)).Outcome, Admit) // 300 tokens of debt
@@ -46,13 +47,13 @@
 	tooLarge := request("c", 1)
 	tooLarge.MaxTokens = 101
 	assert.DeepEqual(t, a.Offer(epoch, tooLarge), Decision{Outcome: Refuse, Reason: TooLarge})
-	// At 1.1 s the debt is 190 tokens, a wait within the bound; the request
-	// rate still has the one that the refusals did not take.
+	// At 1.1 s the debt is 190 tokens, a wait below MaxTokenWait, and the request
+	// bucket still holds the token that the refusals did not take.
 	assert.Equal(t, a.Offer(at(1.1), withDeadline(request("d", 1), 60)).Outcome, Queue)
 }
 
-// The debt of a queued request is paid by waiting: it starts when the balance
-// is back at zero, not before, and no debt outgrows MaxTokenWait at the offer.
+// Guards against a queued request that starts while its workspace is in debt,
+// and against refunding the same request twice.
 func TestTokenDebtDelaysStartAndUsageIsSettledOnce(t *testing.T) {
 	a := newAdmission(Limits{TokensPerSecond: 100, TokenBurst: 100}, 8)
 	assert.Equal(t, a.Offer(epoch, request("a", 100)).Outcome, Admit) // estimate 200, debt 100
@@ -71,8 +72,9 @@
 	return a
 }
 
-// A caller's stream ends twice: once as it is cancelled and once as the engine
-// closes. Were slots counted down, the second would free another request's.
+// A stream is released twice: when the caller cancels and when the engine closes
+// it. If each release just decremented a counter, the second one would free the
+// slot of another request.
 func TestSecondReleaseFreesNoOtherSlot(t *testing.T) {
 	a := newAdmission(Limits{Concurrency: 2}, 8)
 	a.Offer(epoch, request("a", 1))
@@ -85,9 +87,9 @@
 	assert.DeepEqual(t, a.Tick(epoch), []Action{{Request: "c", Start: true}})
 }
 
-// A request's handler dies without releasing. Its slot must come back; its
-// late release must not settle what expiry has closed. One that is extended
-// keeps its slot.
+// A request's handler fails without a release. Its slot must become free, and a
+// late release must not be settled after the expiry. A request whose lease is
+// extended keeps its slot.
 func TestExpiredLeaseFreesItsSlot(t *testing.T) {
 	a := newAdmission(Limits{Concurrency: 2}, 8)
 	a.Offer(epoch, request("dead", 1))
@@ -100,8 +102,8 @@
 	assert.Equal(t, a.PoolState("p").Running, 2)
 }
 
-// A caller that lost the answer offers again with the same id. Counted twice,
-// it would hold two slots and be charged twice.
+// A caller that lost the response offers the request again with the same id.
+// Counted twice, it would hold two slots and be charged twice.
 func TestRepeatedOfferIsIdempotent(t *testing.T) {
 	a := newAdmission(Limits{Concurrency: 1, TokensPerSecond: 100, TokenBurst: 1_000}, 8)
 	for range 3 {
@@ -113,9 +115,10 @@
 	assert.Equal(t, a.workspaces["w"].tokens.balance, 800.0)
 }
 
-// Capacity vanishes while requests wait, and more run than slots are left.
-// Callers learn at once that they will not make it; told near the deadline, no
-// other entry could help them. What was refused gives its rate token back.
+// Capacity is lost while requests are queued, so that more requests run than
+// there are slots. A queued request that would miss its deadline must be refused
+// at once: near the deadline it would be too late to retry at another entry. The
+// refusal must refund the request rate.
 func TestLostCapacityRefusesQueuedRequests(t *testing.T) {
 	a := newAdmission(Limits{RequestsPerSecond: 1e-9, RequestBurst: 41}, 40)
 	for i := range 40 {
@@ -133,8 +136,8 @@
 	assert.Equal(t, d.Reason, Overload)
 }
 
-// A slot frees just after a request's deadline, before the next check. Its
-// caller has given up; starting it would spend the slot on nobody.
+// A slot becomes free just after a request's deadline and before the next check.
+// The caller has given up, so a start would waste the slot.
 func TestLateRequestIsNotStarted(t *testing.T) {
 	a := newAdmission(Limits{}, 400)
 	for i := range 400 {
@@ -149,7 +152,7 @@
 	assert.Assert(t, !acts[0].Start)
 }
 
-// A flood of requests with far deadlines must not fill the daemon's memory.
+// Many requests with distant deadlines must not exhaust the daemon's memory.
 func TestQueueIsBounded(t *testing.T) {
 	a := newAdmission(Limits{}, 1)
 	reasons := map[Reason]int{}
@@ -160,8 +163,8 @@
 	assert.Equal(t, reasons[QueueFull], a.cfg.MaxQueuedEach-1)
 }
 
-// Demand moves between daemons and shares with it. If a share that grows
-// brought its part of the burst along, moving back and forth would mint tokens.
+// Shares follow demand from daemon to daemon. If a growing share also granted its
+// part of the burst, moving it back and forth would create tokens.
 func TestMovingSharesCreatesNoTokens(t *testing.T) {
 	l := Limits{TokensPerSecond: 100, TokenBurst: 1_000}
 	a := newAdmission(l, 8)
@@ -170,8 +173,9 @@
 	assert.Equal(t, a.workspaces["w"].tokens.balance, 100.0)
 }
 
-// Five hundred callers are refused in one instant. Told the same time, they
-// would be back in one instant; each is told a later one than those before it.
+// Five hundred callers are refused at the same moment. With the same RetryAfter
+// they would all retry at the same moment, so each gets a later one than those
+// before it.
 func TestRetryAfterSpreadsRefusedCallers(t *testing.T) {
 	a := newAdmission(Limits{RequestsPerSecond: 100, RequestBurst: 1}, 1_000)
 	a.Offer(epoch, request("first", 1))
@@ -186,9 +190,9 @@
 	assert.Assert(t, late > 250, "%d", late)
 }
 
-// A workspace that used little sends a burst while another floods the pool.
-// Without credit for what it left unused, half of the burst would queue behind
-// the flood.
+// A workspace that used less than its share sends a burst while another
+// overloads the pool. Without credit for its unused share, half of the burst
+// would queue behind the other's requests.
 func TestUnusedShareAllowsBurst(t *testing.T) {
 	a := newAdmission(Limits{}, 10)
 	for i := range 200 {
@@ -207,7 +211,7 @@
 	}
 }
 
-// Model names come from callers; made-up ones must not grow memory.
+// Model names come from callers: invented names must not grow memory.
 func TestEstimatesAreBounded(t *testing.T) {
 	var e estimates
 	for i := range 10 * maxEstimates {
@@ -216,8 +220,9 @@
 	assert.Equal(t, len(e.mean), maxEstimates)
 }
 
-// Whatever comes in whatever order: bounds hold, the counts agree with what
-// callers were told, and no request waits past its deadline or while it could run.
+// For any order of calls: the bounds hold, the counts match the decisions
+// returned to callers, and no request stays queued past its deadline or while it
+// could run.
 func TestLimitsHoldAndNoRequestIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{RequestsPerSecond: 20, RequestBurst: 10, TokensPerSecond: 4_000, TokenBurst: 2_000, Concurrency: 4}
--- a/internal/admission/allowance/allowance_test.go
+++ b/internal/admission/allowance/allowance_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// step lets every daemon take as much as it may and wants, on reports that are
-// one step old, and returns what each has then.
+// step returns the requests in flight of each daemon after one step, in which
+// each takes as many as it wants and is allowed, based on the reports of the
+// previous step.
 func step(slots int, have, want []int) []int {
 	running := 0
 	for _, n := range have {
@@ -29,9 +30,9 @@
 	return n
 }
 
-// Three daemons want more than the pool has. If each took all slots for its
-// own, the endpoints' queues would grow threefold and every first token would
-// be late.
+// Three daemons want more than the pool has. If each used all slots, the pool
+// would get three times its capacity in requests, and every first token would be
+// late.
 func TestCompetingDaemonsFillPoolWithoutOverrun(t *testing.T) {
 	have, want := []int{0, 0, 0}, []int{100, 100, 100}
 	for i := range 40 {
@@ -41,6 +42,7 @@
 	assert.Assert(t, sum(have) >= 30, "%v", have)
 }
 
+// Only one of many daemons has callers. It must get nearly all slots.
 func TestOnlyActiveDaemonGetsWholePool(t *testing.T) {
 	have, want := make([]int, 9), make([]int, 9)
 	want[4] = 100
@@ -50,8 +52,8 @@
 	assert.Assert(t, have[4] >= 70, "%v", have)
 }
 
-// A daemon's first caller comes while another daemon holds all slots. The
-// caller must get in within a few reports, and the other must shrink.
+// A daemon gets its first callers while another daemon holds all slots. They must
+// be admitted within a few reports, and the other's allowance must shrink.
 func TestNewDaemonGetsShareOfFullPool(t *testing.T) {
 	have, want := []int{32, 0}, []int{100, 100}
 	for range 40 {
@@ -61,8 +63,8 @@
 	assert.Assert(t, sum(have) <= 36, "%v", have)
 }
 
-// Long prompts wait for their turn at engines that have slots left. More
-// requests would wait there as well, in the order of arrival; fewer must be let in.
+// Long prompts are queued at engines with free slots. More requests would be
+// queued there as well, in order of arrival, so fewer must be admitted.
 func TestPromptBacklogLowersAllowance(t *testing.T) {
 	s := Sample{Slots: 48, Running: 30, InFlight: 20, Daemons: 3, Backlog: 2}
 	assert.Equal(t, Of(s), 8, "half an equal share is always there")
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// bucket is a token bucket whose balance may be negative. A rate of zero
-// means that it never limits.
+// bucket is a token bucket whose balance may be negative (debt). A rate of zero
+// means no limit.
 type bucket struct {
 	rate    float64 // a second
 	burst   float64
@@ -12,7 +12,7 @@
 	retries retryBacklog
 }
 
-// refill adds what has accrued since the last call.
+// refill adds the tokens accrued since the last call.
 func (b *bucket) refill(now time.Duration) {
 	if now > b.last {
 		b.balance = min(b.burst, b.balance+b.rate*(now-b.last).Seconds())
@@ -42,8 +42,8 @@
 }
 
 // resize changes rate and burst. A smaller burst scales a positive balance
-// down, a greater one adds nothing: tokens that other daemons may have spent
-// are never made anew when shares move. Debt stays as it is.
+// down; a larger one adds nothing, because other daemons may have spent those
+// tokens before this daemon's share grew. Debt stays as it is.
 func (b *bucket) resize(now time.Duration, rate, burst float64) {
 	fresh := b.rate <= 0
 	b.refill(now)
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Outcome is the answer to an Ask.
+// Outcome is what Offer decides on a Request.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of Offer.
 const (
-	Refuse Outcome = iota // nothing was taken; the request has not run
-	Queue                 // a later Tick starts or refuses it
-	Admit                 // it holds a lease and may be dispatched
+	Refuse Outcome = iota // nothing was charged; the request has not run
+	Queue                 // a later Tick starts or refuses the request
+	Admit                 // the request holds a lease and may be dispatched
 )
 
-// Reason says which limit refused or delayed a request.
+// Reason is the limit that refused or delayed a request.
 type Reason uint8
 
-// The reasons.
+// The limits by which a request is refused or queued.
 const (
 	NoReason    Reason = iota
-	RequestRate        // requests a second of the workspace
-	TokenRate          // tokens a second of the workspace
-	Concurrency        // running requests of the workspace
-	Overload           // the pool would not start it before its deadline
-	QueueFull          // the bounded queue has no room
-	TooLarge           // max_tokens is above the workspace's bound; waiting does not help
+	RequestRate        // the workspace's requests a second
+	TokenRate          // the workspace's tokens a second
+	Concurrency        // the workspace's running requests
+	Overload           // the pool is predicted to start the request after its deadline
+	QueueFull          // the pool's queue, or the workspace's part of it, is full
+	TooLarge           // max_tokens is above the workspace's limit; a retry does not help
 )
 
 var reasonNames = [...]string{
@@ -36,7 +36,7 @@
 	TooLarge:    "too-large",
 }
 
-// String returns the form used in metrics and problem documents.
+// String returns the name used in metrics and problem documents.
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return "unknown"
@@ -44,9 +44,9 @@
 	return reasonNames[r]
 }
 
-// Decision answers an Ask.
+// Decision is the result of Offer.
 type Decision struct {
 	Outcome    Outcome
 	Reason     Reason        // of Refuse and Queue
-	RetryAfter time.Duration // of Refuse; 0 where waiting does not help
+	RetryAfter time.Duration // of Refuse; 0 if a retry does not help
 }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -2,21 +2,22 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// estimateGain is the weight of the newest completion in the moving average:
-// about the last ten answers count.
+// estimateGain is the weight of the newest completion in the moving average,
+// which thus covers about the last ten.
 const estimateGain = 0.1
 
-// maxEstimates bounds the models remembered for one workspace. A caller names
-// the model, so without the bound made-up names would grow the table forever.
+// maxEstimates bounds the models tracked for one workspace. Callers name the
+// model, so without the bound invented names would grow the map without limit.
 const maxEstimates = 64
 
 // estimates holds the moving average of completion tokens by model.
 type estimates struct {
-	initial float64
+	initial float64 // of a model without observations
 	mean    map[fleet.ModelRef]float64
 }
 
-// completion returns the expected completion of a request in tokens.
+// completion returns the expected length of a completion in tokens. maxTokens
+// bounds it if positive.
 func (e *estimates) completion(m fleet.ModelRef, maxTokens int) float64 {
 	mean, ok := e.mean[m]
 	if !ok {
@@ -28,7 +29,7 @@
 	return mean
 }
 
-// observe takes a finished request's completion into the average.
+// observe adds the completion of a finished request to its model's average.
 func (e *estimates) observe(m fleet.ModelRef, tokens int) {
 	mean, ok := e.mean[m]
 	if !ok {
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// flowState says why a flow with a queue does or does not start requests.
+// flowState is whether a flow may start requests, and if not, why.
 type flowState uint8
 
 const (
-	flowEmpty     flowState = iota // nothing waits
+	flowEmpty     flowState = iota // no request is queued
 	flowReady                      // in the pool's heap
-	flowThrottled                  // waits for its workspace's token debt
+	flowThrottled                  // waits until its workspace's token debt is paid off
 	flowBlocked                    // waits for a slot of its workspace
 )
 
-// flow is what one workspace has waiting and running in one pool. Flows share
-// the pool by start-time fair queueing (Goyal, Vin and Cheng, 1996): the flow
-// with the least start tag is next, and its tag advances by work over weight.
+// flow holds one workspace's queued and running requests in one pool. Flows
+// share the pool by start-time fair queueing (Goyal, Vin and Cheng, 1996): the
+// flow with the smallest start tag is next, and each request that it starts
+// advances its tag by the request's work divided by the workspace's weight.
 type flow struct {
 	workspace  *workspace
 	pool       *pool
@@ -23,9 +24,9 @@
 	running    int
 	served     meter   // work started per second
 	startTag   float64 // virtual time at which its next request may start
-	finishTag  float64 // virtual finish of the last one started
+	finishTag  float64 // virtual time at which its latest request finishes
 	state      flowState
-	index      int           // in the heap of its state
+	index      int           // in the heap for its state, or notInHeap
 	readyAt    time.Duration // when a throttled flow becomes ready
 	retries    retryBacklog  // in work
 }
@@ -39,7 +40,7 @@
 
 func (f *flow) active() bool { return f.running > 0 || f.queue.len() > 0 }
 
-// workAhead returns the work that would be done before r.
+// workAhead returns the queued work that would be started before r.
 func (f *flow) workAhead(r *requestState) float64 {
 	work := 0.0
 	for _, o := range f.queue.items {
@@ -50,8 +51,8 @@
 	return work
 }
 
-// wait predicts how long until work of this flow has drained and one more
-// request can start.
+// wait predicts how long it takes until ahead, work queued in this flow, has
+// been started and one more request can start.
 func (f *flow) wait(now time.Duration, ahead float64) time.Duration {
 	p := f.pool
 	drain := p.drainRate()
@@ -59,19 +60,22 @@
 		return seconds(maxWaitSeconds)
 	}
 	perSlot := p.slotRate()
+	// Other flows are served before this one until virtual time reaches its tag.
 	behind := (max(p.startTag(f), f.startTag) - p.virtualTime) * f.workspace.weight
 	wait := max(0, ahead+behind)/f.rate(now) + p.meanWork/drain
+	// Requests beyond the slots, which were lowered, must finish first.
 	if over := p.running - p.slots; over > 0 {
 		wait += float64(over) * p.meanHold / float64(p.running)
 	}
+	// The workspace's own concurrency may be the tighter bound.
 	if w := f.workspace; w.running >= w.slots || ahead > 0 {
 		wait = max(wait, (ahead+p.meanWork)/(float64(w.slots)*perSlot))
 	}
 	return seconds(wait)
 }
 
-// rate is the work a second that the flow gets while it has a queue: its fair
-// share, or what the others leave.
+// rate returns the work a second that the flow gets while it has a queue: its
+// fair share or what the other flows leave unused, whichever is greater.
 func (f *flow) rate(now time.Duration) float64 {
 	p := f.pool
 	drain := p.drainRate()
@@ -83,7 +87,7 @@
 	return max(fair, drain-(p.served.rate(now)-f.served.rate(now)))
 }
 
-// maxWaitSeconds stands for a pool without capacity, in seconds.
+// maxWaitSeconds is the predicted wait in a pool without capacity.
 const maxWaitSeconds = 3600
 
 func flowBefore(a, b *flow) bool { return a.startTag < b.startTag }
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -3,8 +3,8 @@
 // notInHeap is the index of an item in no heap.
 const notInHeap = -1
 
-// heap is a binary heap whose items know their index, so that any of them can
-// be removed. container/heap would box each item on Push and Pop.
+// heap is a binary heap that reports each item's index through moved, so that
+// any item can be removed. container/heap would box each item on Push and Pop.
 type heap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -40,7 +40,7 @@
 	h.fix(i)
 }
 
-// fix restores the order after the item at i changed.
+// fix restores the heap order after the item at i changed.
 func (h *heap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// leases lists running requests by expiry. All leases last equally long, so
-// a new or extended one belongs at the end and no heap is needed.
+// leases lists running requests by expiry. All leases have the same duration,
+// so a new or extended one goes to the end and no heap is needed.
 type leases struct {
-	root requestState // of a circular list; root.next expires first
+	root requestState // sentinel of a circular list; root.next expires first
 }
 
 func (l *leases) init() {
@@ -24,7 +24,7 @@
 	r.prev, r.next = nil, nil
 }
 
-// first returns the lease that expires first, nil when there is none.
+// first returns the request whose lease expires first, or nil.
 func (l *leases) first() *requestState {
 	if l.root.next == &l.root {
 		return nil
--- a/internal/admission/offer.go
+++ b/internal/admission/offer.go
@@ -6,8 +6,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Offer decides on a request. Offering one that is known already repeats the
-// answer and takes nothing more. A refusal takes nothing and comes at once.
+// Offer decides whether a request starts, is queued or is refused. It is
+// idempotent: offering a queued or running request again charges nothing more.
+// A refusal charges nothing.
 func (a *Admission) Offer(now time.Time, req Request) Decision {
 	t := a.elapsed(now)
 	if r, ok := a.requests[req.ID]; ok {
@@ -41,7 +42,8 @@
 	return d
 }
 
-// repeatOffer answers a repeated Offer.
+// repeatOffer decides on a request that is already queued or running. It renews
+// the lease of a running one.
 func (a *Admission) repeatOffer(now time.Duration, r *requestState) Decision {
 	if !r.running {
 		return Decision{Outcome: Queue}
@@ -51,8 +53,8 @@
 	return Decision{Outcome: Admit}
 }
 
-// startOrQueue starts r, queues it, or refuses it because of the pool or the
-// workspace's concurrency.
+// startOrQueue starts r, queues it, or refuses it if it would miss its deadline
+// or the queue is full.
 func (a *Admission) startOrQueue(now time.Duration, r *requestState, tokenWait time.Duration) Decision {
 	f := r.flow
 	p, w := f.pool, f.workspace
@@ -73,10 +75,10 @@
 	return Decision{Outcome: Queue, Reason: reason}
 }
 
-// waitMargin is what a predicted wait is multiplied by before a request may
-// queue. Predictions are means, and a queue that holds a dozen requests spreads
-// widely about them: without it more than half of the refusals at 130% load came
-// only after the caller had waited most of its time. Figures are in
+// waitMargin multiplies the predicted wait before it is compared with the
+// deadline. Predictions are means, and the actual waits in a queue of a dozen
+// requests vary widely: without the margin, at 130% load, more than half of the
+// refusals came only after the caller had waited most of its time. See
 // docs/adr/0007-limits.md.
 const waitMargin = 2.5
 
@@ -84,7 +86,7 @@
 	return time.Duration(waitMargin * float64(wait))
 }
 
-// waitReason names what a request waits for.
+// waitReason returns the limit that a request waits for.
 func waitReason(w *workspace, tokenWait time.Duration) Reason {
 	switch {
 	case tokenWait > 0:
@@ -96,14 +98,15 @@
 	}
 }
 
-// refuse adds jitter, for those whose RetryAfter the bound makes equal.
+// refuse returns a refusal whose RetryAfter is wait, bounded by MaxRetryAfter.
+// Jitter separates the callers that get the bound.
 func (a *Admission) refuse(reason Reason, wait time.Duration) Decision {
 	wait = min(wait, a.cfg.MaxRetryAfter)
 	jitter := 1 + a.cfg.RetryJitter*a.rng.Float64()
 	return Decision{Outcome: Refuse, Reason: reason, RetryAfter: time.Duration(float64(wait) * jitter)}
 }
 
-// estimate returns the expected completion and charge in tokens.
+// estimate returns the expected completion and the charge, in tokens.
 func (a *Admission) estimate(w *workspace, req Request) (completion, cost float64) {
 	if req.Model == (fleet.ModelRef{}) {
 		return 0, 0
@@ -112,11 +115,11 @@
 	return completion, float64(req.PromptTokens) + completion
 }
 
-// serviceWork is the work of a call to a plain service; any constant serves,
-// since a pool of services holds nothing else.
+// serviceWork is the work of a call to a plain service. Any positive constant
+// would do, because all requests of such a pool have the same work.
 const serviceWork = 1
 
-// work converts tokens to work: what they cost a slot, in generated tokens.
+// work converts tokens to work, measured in generated tokens.
 func (a *Admission) work(m fleet.ModelRef, prompt, completion float64) float64 {
 	if m == (fleet.ModelRef{}) {
 		return serviceWork
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// dequeue takes r out of its flow's queue.
+// dequeue removes r from its flow's queue, wherever it is in it.
 func (a *Admission) dequeue(r *requestState) {
 	f := r.flow
 	p := f.pool
@@ -35,12 +35,12 @@
 	a.detach(f)
 	p.deactivate(f)
 	if p.queued == 0 {
-		p.queuedWork = 0 // sheds the rounding of many sums
+		p.queuedWork = 0 // discards accumulated rounding errors
 	}
 	f.queuedWork = 0
 }
 
-// detach takes an empty flow out of whatever it waited in.
+// detach removes an empty flow from the heap it is in, if any.
 func (a *Admission) detach(f *flow) {
 	switch f.state {
 	case flowReady:
@@ -66,7 +66,8 @@
 	a.leases.add(r, now+a.cfg.LeaseTime)
 }
 
-// releaseSlot takes r's lease and slot back and wakes flows that waited for the slot.
+// releaseSlot ends r's lease, frees its slot and makes the workspace's blocked
+// flows ready.
 func (a *Admission) releaseSlot(r *requestState) {
 	f := r.flow
 	a.leases.remove(r)
@@ -82,14 +83,15 @@
 	delete(a.requests, r.id)
 }
 
-// activate counts f's weight when its first request comes.
+// activate adds f's weight if f has no requests yet. It must be called before
+// the first one is counted.
 func (p *pool) activate(f *flow) {
 	if !f.active() {
 		p.activeWeight += f.workspace.weight
 	}
 }
 
-// deactivate takes f's weight away after its last request.
+// deactivate subtracts f's weight if f has no requests left.
 func (p *pool) deactivate(f *flow) {
 	if !f.active() {
 		p.activeWeight -= f.workspace.weight
@@ -105,10 +107,10 @@
 	}
 }
 
-// Release ends a request. A running one is settled on its real usage; one that
-// waits is forgotten. It reports false, and changes nothing, for a request that
-// holds no lease: a second release, or one after expiry, must not free the slot
-// of another request or settle twice.
+// Release ends a request. A running one is charged its actual usage; a queued
+// one is removed from the queue. For any other request it reports false and
+// changes nothing: a second release, or one after the lease expired, must not
+// free another request's slot or correct the charge twice.
 func (a *Admission) Release(now time.Time, id fleet.RequestID, u Usage) bool {
 	r, ok := a.requests[id]
 	if !ok {
@@ -127,13 +129,14 @@
 	return true
 }
 
-// settle corrects the charge to the real usage and learns from it.
+// settle replaces r's estimated charge by its actual usage and updates the
+// averages from which later estimates are made.
 func (a *Admission) settle(now time.Duration, r *requestState, u Usage) {
 	w := r.flow.workspace
 	w.tokens.take(now, float64(u.PromptTokens+u.CompletionTokens)-r.cost)
 	isService := r.model == (fleet.ModelRef{})
 	if u.NotRun || !isService && u.CompletionTokens == 0 {
-		return // its times say nothing about the pool
+		return // its duration would distort the pool's averages
 	}
 	if !isService {
 		w.estimates.observe(r.model, u.CompletionTokens)
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// maxRefusals bounds the refused requests that are remembered: some seconds of
-	// refusals at many times a daemon's share of the peak.
+	// maxRefusals bounds the number of records: enough for some seconds of
+	// refusals at many times a daemon's share of the peak load.
 	maxRefusals = 4096
-	// refusalRetention is how long one is remembered; a caller that comes back later has
-	// waited so long that it is a new request in all but name.
+	// refusalRetention is how long a record is kept. A request that is retried
+	// later is treated as a new one.
 	refusalRetention = time.Minute
 )
 
@@ -22,13 +22,14 @@
 // not used, because it comes from the caller's clock.
 type Refusals struct {
 	first map[fleet.RequestID]time.Time
-	order []fleet.RequestID // oldest first
+	order []fleet.RequestID // keys of first, oldest first
 }
 
-// NewRefusals returns an empty memory.
+// NewRefusals returns an empty set of records.
 func NewRefusals() *Refusals { return &Refusals{first: make(map[fleet.RequestID]time.Time)} }
 
-// Record notes that a request was refused, and returns how long ago it came first.
+// Record records that a request was refused at now, and returns the time since
+// its first refusal, 0 if this is the first.
 func (s *Refusals) Record(now time.Time, id fleet.RequestID) time.Duration {
 	s.evict(now)
 	if at, ok := s.first[id]; ok {
--- a/internal/admission/refusals_test.go
+++ b/internal/admission/refusals_test.go
@@ -10,6 +10,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
+// A retried request must keep the time of its first refusal until the retention
+// ends, and the records must not grow without bound.
 func TestRefusalsKeepFirstTimeAndAreBounded(t *testing.T) {
 	start := time.Unix(1_000, 0)
 	s := NewRefusals()
--- a/internal/admission/request_state.go
+++ b/internal/admission/request_state.go
@@ -6,26 +6,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// requestState is one that waits or runs.
+// requestState is a queued or running request.
 type requestState struct {
 	id       fleet.RequestID
 	flow     *flow
 	model    fleet.ModelRef
-	cost     float64 // estimated tokens, as charged
-	work     float64 // estimated, in generated tokens
+	cost     float64 // estimated tokens, charged at the start
+	work     float64 // estimated work, in generated tokens
 	deadline time.Duration
 	priority int
 	seq      uint64 // order of arrival
-	index    int    // in the flow's queue
+	index    int    // in the flow's queue, or notInHeap
 
 	running bool
 	started time.Duration
 	expires time.Duration
-	prev    *requestState // in leases
+	prev    *requestState // neighbours in the list of leases
 	next    *requestState
 }
 
-// before orders a workspace's own queue: priority, then deadline, then arrival.
+// before orders the queue of a flow: by priority, then deadline, then arrival.
 func (r *requestState) before(o *requestState) bool {
 	if r.priority != o.priority {
 		return r.priority > o.priority
--- a/internal/admission/retry_backlog.go
+++ b/internal/admission/retry_backlog.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// retryBacklog spreads the callers that are refused: each is told to come back
-// after those refused before it, as if they had queued. Telling all of them
-// the end of the queue brings a burst of refused callers back as a burst.
+// retryBacklog is a virtual queue of refused callers: each gets a RetryAfter
+// behind those refused before it. If all got the same RetryAfter, a burst of
+// refused callers would come back as a burst.
 type retryBacklog struct {
-	outstanding float64 // promised to callers that have not come back, in the rate's unit
+	outstanding float64 // of refused callers whose turn has not come, in the rate's unit
 	last        time.Duration
 }
 
--- a/internal/admission/shares/config.go
+++ b/internal/admission/shares/config.go
@@ -2,11 +2,11 @@
 
 // Config holds the bounds of the exchange.
 type Config struct {
-	// Floor is the part of the whole that is split equally, whatever the
-	// demand, so that a daemon whose first caller comes has something to give.
+	// Floor is the fraction of the whole that is split equally, whatever the
+	// demand, so that a daemon can admit its first caller.
 	Floor float64
-	// RequestTokens is the demand of one request, in tokens, beside its
-	// tokens: it lets calls to plain services count.
+	// RequestTokens is the weight of one request, in tokens, in addition to its
+	// tokens. It makes calls to plain services, which have no tokens, count.
 	RequestTokens float64
 }
 
--- a/internal/admission/shares/demand.go
+++ b/internal/admission/shares/demand.go
@@ -1,18 +1,19 @@
 package shares
 
-// Demand is what one daemon sees of a workspace's or a pool's load, as
-// peerpb.WorkspaceDemand carries it.
+// Demand is the load of a workspace or a pool at one daemon. On the wire it is
+// peerpb.WorkspaceDemand.
 type Demand struct {
 	Requests float64 // a second, refused ones included
 	Tokens   float64 // a second, refused ones included
 	Running  int
 }
 
-// minWeight lets an idle daemon count a little, so that a group without demand
-// splits equally.
+// minWeight is the weight of an idle daemon, above zero so that a group without
+// demand splits equally.
 const minWeight = 1
 
-// weight is the one number by which shares are split.
+// weight returns the demand as a single number, in tokens a second, to which the
+// shares are proportional.
 func (d Demand) weight(cfg *Config) float64 {
 	return max(minWeight, d.Tokens+cfg.RequestTokens*d.Requests)
 }
--- a/internal/admission/shares/group_test.go
+++ b/internal/admission/shares/group_test.go
@@ -11,38 +11,39 @@
 const (
 	step     = 100 * time.Millisecond
 	interval = time.Second
-	// detectionDelay is how long the others need to learn of a death or a join.
+	// detectionDelay is the time until the others detect a failure or a join.
 	detectionDelay = 3 * time.Second
 )
 
-// daemon is one member of a group under test.
+// daemon is one member of the group under test.
 type daemon struct {
 	id         fleet.DaemonID
 	shares     *Shares
 	phase      time.Duration
 	demand     Demand
-	sentDemand Demand // demand at its latest round
+	sentDemand Demand // demand sent in its latest round
 	alive      bool
 }
 
-// group runs daemons that exchange demands, in steps of passed-in time.
+// group simulates daemons that exchange demands, in steps of virtual time.
 type group struct {
 	rng     *rand.Rand
 	cfg     Config
 	now     time.Time
 	start   time.Time
 	daemons []*daemon
-	loss    float64             // of each message
+	loss    float64             // probability that a message is lost
 	failing map[[2]*daemon]bool // calls from the first to the second fail
 	changes []membershipChange
 }
 
-// membershipChange is a member list that the daemons of its time learn later: what
-// detection costs. Those that join meanwhile know better.
+// membershipChange is a member list that takes effect after the detection delay,
+// at the daemons that existed when it was made. Daemons that join in the meantime
+// start with a newer list.
 type membershipChange struct {
-	at      time.Time
+	at      time.Time // when it takes effect
 	ids     []fleet.DaemonID
-	daemons int
+	daemons int // number of daemons when it was made
 }
 
 func newGroup(seed uint64, cfg Config, size int) *group {
@@ -93,7 +94,7 @@
 	}
 }
 
-// advance runs one step: the daemons whose turn it is exchange.
+// advance runs one step, with the exchanges of the daemons whose interval is over.
 func (g *group) advance() {
 	g.now = g.now.Add(step)
 	for len(g.changes) > 0 && !g.now.Before(g.changes[0].at) {
--- a/internal/admission/shares/schemes_bench_test.go
+++ b/internal/admission/shares/schemes_bench_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The ways to share one workspace's token limit among four daemons, in one
-// seeded loop: arrivals of one Poisson stream, whose split over the daemons
-// changes every twenty seconds. Each way's grants are compared with those of
-// one central bucket that knows everything.
+// The benchmark compares schemes that share one workspace's token limit among
+// four daemons, in a seeded simulation: arrivals of one Poisson stream, whose
+// split over the daemons changes every twenty seconds. The grants of each scheme
+// are compared with those of one central bucket.
 //
-// Run: go test -run=- -bench=Ways -benchtime=1x ./internal/admission/shares
+// Run: go test -run=- -bench=SharingSchemes -benchtime=1x ./internal/admission/shares
 const (
 	schemeDaemons = 4
 	schemeLimit   = 10_000 // tokens a second
-	schemeRequest = 500    // tokens of one request
+	schemeRequest = 500    // tokens per request
 	schemeTime    = 10 * time.Minute
 	schemeShift   = 20 * time.Second
 )
@@ -57,8 +57,8 @@
 
 func byDemand(g *group, i int) float64 { return g.daemons[i].shares.Share() }
 
-// tokenBucket is a bucket of one second's burst, in which a request may wait two
-// seconds for debt, as admission has it.
+// tokenBucket has a burst of one second's tokens, and debt of up to two seconds,
+// like the buckets of package admission.
 type tokenBucket struct{ tokens, rate float64 }
 
 func (b *tokenBucket) refill(rate float64) {
@@ -115,7 +115,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// measure keeps the moving average that a daemon tells.
+// measure updates the moving average that a daemon reports as its demand.
 func measure(d *daemon, average, rate float64) {
 	gain := 1 - math.Exp(-step.Seconds()/average)
 	d.demand.Tokens += gain * (rate - d.demand.Tokens)
--- a/internal/admission/shares/shares.go
+++ b/internal/admission/shares/shares.go
@@ -7,23 +7,23 @@
 type Shares struct {
 	cfg    Config
 	self   fleet.DaemonID
-	demand float64 // as told in the latest round
+	demand float64 // weight sent in the latest round
 	others []member
-	joined bool    // all others have answered at some time
-	share  float64 // as returned last
+	joined bool    // all others have replied at some time
+	share  float64 // last returned by Share
 }
 
-// New returns the shares of a daemon that joins members, self included or not.
-// It stays at the floor until all of them have answered.
+// New returns the shares of daemon self, which joins members; these may include
+// self. The share stays at the floor until all of them have replied.
 func New(self fleet.DaemonID, members []fleet.DaemonID, cfg Config) *Shares {
 	s := &Shares{cfg: cfg, self: self, demand: minWeight}
 	s.SetMembers(members)
 	return s
 }
 
-// SetMembers says which daemons serve the workspace, self included or not. A
-// member may be left out only when it is known to be gone or to serve the
-// workspace no longer: its share goes to the others.
+// SetMembers sets the daemons that serve the workspace; ids may include self. A
+// member may be left out only once it has ended or no longer serves the
+// workspace, because its share goes to the others.
 func (s *Shares) SetMembers(ids []fleet.DaemonID) {
 	others := make([]member, 0, len(ids))
 	for _, id := range ids {
@@ -39,8 +39,8 @@
 	s.others = others
 }
 
-// StartRound starts an exchange: demand is what will be told to the others. A lower
-// demand counts at once, a higher one when the others have acknowledged it.
+// StartRound starts an exchange in which the caller sends demand to the others. A
+// lower demand counts at once, a higher one once the others have acknowledged it.
 func (s *Shares) StartRound(demand Demand) {
 	s.demand = demand.weight(&s.cfg)
 	for i := range s.others {
@@ -49,8 +49,8 @@
 	}
 }
 
-// Receive records a demand that another daemon told us. It reports false when the
-// other is no member here; such a telling must not be answered as heard.
+// Receive records a demand sent by another daemon. It reports false if the sender
+// is not a member here; its message must then not be acknowledged.
 func (s *Shares) Receive(from fleet.DaemonID, demand Demand) bool {
 	m := s.find(from)
 	if m == nil {
@@ -60,8 +60,8 @@
 	return true
 }
 
-// ReceiveReply records another daemon's answer to our telling of ours; demand is its
-// own, sent with the answer.
+// ReceiveReply records another daemon's reply. ours is the demand of this daemon
+// that the reply acknowledges, demand the other daemon's own.
 func (s *Shares) ReceiveReply(from fleet.DaemonID, ours, demand Demand) {
 	if !s.Receive(from, demand) {
 		return
@@ -89,7 +89,7 @@
 	case allReplied:
 		s.joined = true
 	case s.joined:
-		share = min(share, s.share) // the newcomer may not count us yet: take no more
+		share = min(share, s.share) // the new member may not count this daemon yet: don't rise
 	default:
 		share = minShare
 	}
--- a/internal/admission/shares/shares_test.go
+++ b/internal/admission/shares/shares_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// recoveryBound is the stated time after the last change within which the shares of
-// the living daemons sum to 0.8 or more: detection, and two exchanges that get
-// through.
+// recoveryBound is the time after the last change within which the shares of the
+// live daemons must sum to at least 0.8: the detection delay and two exchanges
+// without loss.
 const recoveryBound = detectionDelay + 2*interval
 
-// Callers of one workspace move between its daemons, daemons join and die, and
-// messages are lost. If a daemon's share rose before all others knew of its
-// demand, two would grant the same part: the workspace gets its limit twice. If
-// shares never rose again, it would be refused below its limit.
+// Callers of one workspace move between its daemons, daemons join and fail, and
+// messages are lost. If a daemon's share rose before all others had received its
+// demand, two daemons would grant the same part, and the workspace would exceed
+// its limit. If shares never rose again, it would be refused below its limit.
 func TestSharesSumToAtMostOneAndRecoverAfterChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.Uint64().Draw(t, "seed"), DefaultConfig(), rapid.IntRange(2, 6).Draw(t, "size"))
@@ -37,7 +37,7 @@
 	})
 }
 
-// disturb moves demand, and at times adds or kills a daemon.
+// disturb changes the demand, and at times adds or kills a daemon.
 func disturb(g *group) {
 	for _, d := range g.daemons {
 		d.demand.Tokens = float64(g.rng.IntN(10_000))
@@ -52,9 +52,9 @@
 	}
 }
 
-// Calls between some daemons fail for good, in one direction or both, while
-// demand goes on moving. Nobody can tell a silent daemon from a dead one, and
-// it still serves its callers: what it may grant must not be granted by others.
+// Calls between some daemons fail for a long time, in one direction or both,
+// while demand keeps changing. An unresponsive daemon may still serve its callers:
+// other daemons must not grant its share.
 func TestUnresponsiveMemberRaisesNoShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.Uint64().Draw(t, "seed"), DefaultConfig(), rapid.IntRange(2, 5).Draw(t, "size"))
@@ -70,9 +70,9 @@
 	})
 }
 
-// A daemon restarts again and again. Each run knows nobody's demand, and the
-// others do not know it yet; a share by its own demand would grant the
-// workspace the whole limit once more with each restart.
+// A daemon restarts repeatedly. Each time it has received no demands, and the
+// others do not count it yet. A share based on its own demand alone would grant
+// the workspace the whole limit again with each restart.
 func TestNewMemberStaysAtFloorUntilAllReply(t *testing.T) {
 	s := New("new", []fleet.DaemonID{"new", "a", "b"}, DefaultConfig())
 	own := Demand{Tokens: 1_000}
@@ -83,17 +83,17 @@
 	assert.Assert(t, s.Share() > 0.9)
 }
 
-// A telling from a daemon that is no member here is not heard: were it answered
-// as heard, the teller would take a share that nobody has made room for.
+// A daemon that is not a member here sends its demand. If it were acknowledged,
+// the sender would take a share that no other daemon has given up.
 func TestDemandFromNonMemberIsRejected(t *testing.T) {
 	s := New("a", nil, DefaultConfig())
 	assert.Assert(t, !s.Receive("stranger", Demand{Tokens: 1}))
 	assert.Equal(t, s.Share(), 1.0)
 }
 
-// Demand rises twice while an answer is on its way. The late answer proves only
-// that the older, lower demand is known; counting the newer one would take a
-// share for which the other has not made room.
+// Demand rises while a reply is in flight. The late reply acknowledges only the
+// older, lower demand. If it counted for the newer one, the daemon would take a
+// share that the other has not given up.
 func TestLateReplyAcknowledgesOnlyItsDemand(t *testing.T) {
 	s := New("a", []fleet.DaemonID{"b"}, DefaultConfig())
 	low, high := Demand{Tokens: 100}, Demand{Tokens: 9_900}
@@ -105,8 +105,9 @@
 	assert.Assert(t, s.Share() > 0.9, "%v", s.Share())
 }
 
-// A daemon is about to join and does not count this one yet. What another
-// leaves meanwhile must not be taken, since the newcomer may take it too.
+// A new member joins and does not count this daemon yet. If another member's
+// demand falls, this daemon's share must not rise, because the new member may take
+// the same part.
 func TestShareDoesNotRiseUntilNewMemberReplies(t *testing.T) {
 	s := New("a", []fleet.DaemonID{"b"}, DefaultConfig())
 	own := Demand{Tokens: 500}
--- a/internal/admission/sim_bench_test.go
+++ b/internal/admission/sim_bench_test.go
@@ -10,12 +10,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// The figures of docs/adr/0007-limits.md.
-// Run: go test -run=- -bench=Loop -benchtime=1x ./internal/admission
+// These benchmarks produce the figures of docs/adr/0007-limits.md.
+// Run: go test -run=- -bench=Sim -benchtime=1x ./internal/admission
 
 const simTime = 10 * time.Minute
 
-// capacity is what the loop's engines can serve, in requests a second.
+// capacity is what the simulated engines can serve, in requests a second.
 func capacity() float64 { return simSlots / meanHold() }
 
 func workspaceName(i int) fleet.WorkspaceID { return fleet.WorkspaceID(fmt.Sprintf("w%d", i)) }
@@ -27,7 +27,7 @@
 	}
 }
 
-// sum adds up what the workspaces but those left out got.
+// sum adds up the tallies of all workspaces but the excluded ones.
 func (l *loadSim) sum(without ...fleet.WorkspaceID) *tally {
 	sum := &tally{}
 	for id, t := range l.tallies {
@@ -45,9 +45,9 @@
 
 func percent(part, whole int) float64 { return 100 * float64(part) / float64(max(1, whole)) }
 
-// BenchmarkSimGoodput offers 30% to 130% of capacity. Ways: no limit, a
-// queue that refuses nothing early, one that drops what is late when its turn
-// comes, and early refusal.
+// BenchmarkSimGoodput offers 30% to 130% of capacity and compares: no limit on
+// requests in flight (none), a queue without early refusal (queue), a queue that
+// drops late requests at dispatch (drop), and early refusal (early).
 func BenchmarkSimGoodput(b *testing.B) {
 	variants := []struct {
 		name string
@@ -78,9 +78,9 @@
 	}
 }
 
-// BenchmarkSimFairness lets one of five workspaces send ten times its fair
-// share while the others stay at 80% of theirs. The ratio is of the others'
-// 95th percentile of the time to the first token to their undisturbed one.
+// BenchmarkSimFairness lets one of five workspaces send ten times its fair share
+// (storm) or 80% of it (calm) while the others send 80% of theirs. The ratio
+// compares the others' 95th percentiles of the time to the first token.
 func BenchmarkSimFairness(b *testing.B) {
 	share := capacity() / 5
 	limit := Limits{TokensPerSecond: share * meanTokens(), TokenBurst: 5 * share * meanTokens()}
@@ -103,7 +103,8 @@
 	}
 }
 
-// othersBesideRate returns what four workspaces get while a fifth offers rate.
+// othersBesideRate returns what four workspaces get while a fifth offers rate
+// requests a second.
 func othersBesideRate(limits Limits, rate float64) *tally {
 	l := newLoadSim(1, DefaultConfig())
 	for i := range 5 {
@@ -136,8 +137,8 @@
 	}
 }
 
-// BenchmarkSimRetry sends 300 requests at once every minute beside 50% load.
-// Refused callers try again, up to 20 times.
+// BenchmarkSimRetry sends a burst of 300 requests every minute in addition to
+// 50% load. Refused callers retry, up to 20 tries in all.
 func BenchmarkSimRetry(b *testing.B) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	variants := []struct {
--- a/internal/admission/sim_test.go
+++ b/internal/admission/sim_test.go
@@ -9,21 +9,21 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// The measured loop: seeded open-loop arrivals of one daemon, whose engines
-// are plain slots with a first-in-first-out queue behind the in-flight limit.
-// A request is good when an engine starts it by its deadline.
+// The simulation has seeded open-loop arrivals at one daemon. Its engines are
+// plain slots with a first-in-first-out queue behind the in-flight limit. A
+// request is good if an engine starts it by its deadline.
 const (
 	simSlots       = 64
-	simDeadline    = time.Second // of the 1.5 s to the first token
-	simPrefillRate = 8_000.0     // tokens a second
+	simDeadline    = time.Second // for the start, of the 1.5 s to the first token
+	simPrefillRate = 8_000.0     // prompt tokens a second
 	simTokenTime   = 34e-3       // seconds between tokens
 )
 
-// requestKind is one requestKind of request of the two deployments' mixes.
+// requestKind is one kind of request of the two deployments' mixes.
 type requestKind struct {
 	share      float64 // of the arrivals
 	prompt     int
-	completion int // mean
+	completion int // mean, in tokens
 	max        int // max_tokens
 }
 
@@ -33,7 +33,7 @@
 	{0.30, 100, 20, 60},     // check
 }
 
-// meanTokens is the mean of prompt and completion.
+// meanTokens is the mean sum of prompt and completion of a request, in tokens.
 func meanTokens() float64 {
 	tokens := 0.0
 	for _, k := range simKinds {
@@ -42,7 +42,7 @@
 	return tokens
 }
 
-// meanHold is the mean time that a request holds a slot.
+// meanHold is the mean time that a request holds a slot, in seconds.
 func meanHold() float64 {
 	hold := 0.0
 	for _, k := range simKinds {
@@ -51,24 +51,24 @@
 	return hold
 }
 
-// job is one caller's request with its retries.
+// job is one caller's request, including its retries.
 type job struct {
 	request      Request
-	completion   int           // real, in tokens
-	firstArrival time.Duration // arrival of the first try
+	completion   int           // actual, in tokens
+	firstArrival time.Duration // of the first try
 	lastArrival  time.Duration // of the latest try
-	nextEvent    time.Duration // of the next event
+	nextEvent    time.Duration // time of the next event: a try or the end of the run
 	tries        int
 	running      bool
 }
 
-// tally is what one workspace got.
+// tally counts the outcomes of one workspace's requests.
 type tally struct {
 	offered, good, late, refused int
-	firstTokens                  []time.Duration // from arrival to the first token
+	firstTokens                  []time.Duration // times from the latest arrival to the first token
 }
 
-// firstToken returns a quantile of the time to the firstToken token.
+// firstToken returns a quantile of the time to the first token.
 func (t *tally) firstToken(quantile float64) time.Duration {
 	if len(t.firstTokens) == 0 {
 		return 0
@@ -84,22 +84,22 @@
 	now         time.Duration
 	events      heap[*job]
 	waiting     map[fleet.RequestID]*job // queued in admission
-	engineSlots int                      // slots that the engines have
+	engineSlots int                      // slots of all engines
 	busySlots   int
-	backlog     []*job // dispatched, waiting in an engine
+	backlog     []*job // dispatched, queued at the engines
 	jobCount    int
 
 	maxTries   int
 	retryDelay func(time.Duration) time.Duration
-	noDeadline bool // asks carry no deadline: nothing is refused early
-	dropLate   bool // with blind: refuse at the start what is past its deadline
+	noDeadline bool // requests have a distant deadline: none is refused early
+	dropLate   bool // with noDeadline: refuse late requests at dispatch
 
 	tallies           map[fleet.WorkspaceID]*tally
 	tries             int
-	startDelays       []time.Duration // from first arrival to the start, retries included
-	timeToRefusal     time.Duration   // sum of the times from offer to refusal
+	startDelays       []time.Duration // from the first arrival to the start, retries included
+	timeToRefusal     time.Duration   // sum of the times from arrival to refusal
 	refusals          int
-	refusedAfterQueue int // refusals of what had been queued
+	refusedAfterQueue int // refusals of requests that had been queued
 }
 
 func newLoadSim(seed uint64, cfg Config) *loadSim {
@@ -111,7 +111,7 @@
 		maxTries:    1,
 		retryDelay:  func(d time.Duration) time.Duration { return d },
 	}
-	cfg.LeaseTime = time.Hour // the loop extends nothing
+	cfg.LeaseTime = time.Hour // the simulation renews no leases
 	l.a = New(cfg, rand.New(rand.NewPCG(seed, 2)))
 	l.a.SetCapacity("engines", simSlots)
 	l.events.less = func(a, b *job) bool { return a.nextEvent < b.nextEvent }
@@ -121,7 +121,8 @@
 
 func (l *loadSim) clock() time.Time { return time.Unix(1_000, 0).Add(l.now) }
 
-// addArrivals adds Poisson arrivals of a workspace in [from, to), rate a second.
+// addArrivals adds Poisson arrivals of a workspace within [from, to), at rate a
+// second.
 func (l *loadSim) addArrivals(w fleet.WorkspaceID, rate float64, from, to time.Duration) {
 	for at := from; ; {
 		at += time.Duration(l.rng.ExpFloat64() / rate * float64(time.Second))
@@ -154,7 +155,7 @@
 	return j
 }
 
-// run handles all events.
+// run processes events until none is left.
 func (l *loadSim) run() {
 	for l.events.len() > 0 {
 		j := l.events.pop()
@@ -216,7 +217,8 @@
 	}
 }
 
-// tickOnce reports whether a dropped request gave its slot back.
+// tickOnce reports whether a dropped request freed its slot, so that another
+// Tick may start more.
 func (l *loadSim) tickOnce() bool {
 	dropped := false
 	for _, act := range l.a.Tick(l.clock()) {
@@ -242,7 +244,7 @@
 	l.serve()
 }
 
-// serve starts what the engines have slots for.
+// serve starts jobs of the backlog while the engines have free slots.
 func (l *loadSim) serve() {
 	for l.busySlots < l.engineSlots && len(l.backlog) > 0 {
 		j := l.backlog[0]
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -6,16 +6,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// PoolState is what a pool looks like now, for metrics and for capacity.
+// PoolState is a snapshot of a pool, for metrics and for setting its capacity.
 type PoolState struct {
 	Slots      int
 	Running    int
 	Queued     int
 	QueuedWork float64 // generated tokens
-	SlotRate   float64 // generated tokens a second and slot
+	SlotRate   float64 // generated tokens a second, per slot
 }
 
-// PoolState returns the state of a pool.
+// PoolState returns a snapshot of a pool. A pool that does not exist is created.
 func (a *Admission) PoolState(name Pool) PoolState {
 	p := a.pool(name)
 	return PoolState{
@@ -27,14 +27,16 @@
 	}
 }
 
-// Demand is what was offered by a workspace here, refused requests included.
+// Demand is the load that a workspace offers to this daemon, refused requests
+// included.
 type Demand struct {
 	Requests float64 // a second
 	Tokens   float64 // a second, estimated
 	Running  int
 }
 
-// Demand returns a workspace's demand, to be told to its other daemons.
+// Demand returns a workspace's demand, to be reported to its other daemons. It
+// is zero for an unknown workspace.
 func (a *Admission) Demand(now time.Time, id fleet.WorkspaceID) Demand {
 	w, ok := a.workspaces[id]
 	if !ok {
--- a/internal/admission/tick.go
+++ b/internal/admission/tick.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// checkInterval is how often the predictions of what waits are made anew. A
-// quarter of a second keeps the scan of a full queue below 0.1% of a core and
-// tells a caller long before its deadline.
+// checkInterval is the time between two predictions of the waits of queued
+// requests. At a quarter of a second the scan of a full queue takes less than
+// 0.1% of a core, and callers are refused long before their deadlines.
 const checkInterval = 250 * time.Millisecond
 
-// Tick expires leases, starts what may start and refuses what would now miss
-// its deadline. Call it after each batch of Release and at NextTick. The
-// result is valid until the next call.
+// Tick expires leases, starts queued requests that may start and refuses those
+// that would now miss their deadlines. Call it after each batch of Release
+// calls and at NextTick. The result is valid until the next call.
 func (a *Admission) Tick(now time.Time) []Action {
 	t := a.elapsed(now)
 	a.actions = a.actions[:0]
@@ -30,8 +30,8 @@
 	return a.actions
 }
 
-// NextTick returns when Tick has something to do at the latest, without
-// further calls; the zero time when nothing is pending.
+// NextTick returns when Tick must be called if no other method is called before
+// then, or the zero time if nothing is pending.
 func (a *Admission) NextTick() time.Time {
 	next := time.Duration(-1)
 	earlier := func(t time.Duration) {
@@ -59,8 +59,8 @@
 	return a.epoch.Add(next)
 }
 
-// expire frees the slots of requests whose holder went silent. The estimate
-// stays charged: the tokens were most likely spent.
+// expire frees the slots of requests whose leases were not renewed. The
+// estimate stays charged, because the tokens were most likely spent.
 func (a *Admission) expire(now time.Duration) {
 	for r := a.leases.first(); r != nil && r.expires <= now; r = a.leases.first() {
 		a.releaseSlot(r)
@@ -68,7 +68,7 @@
 	}
 }
 
-// resume makes flows ready whose workspace has paid its debt.
+// resume makes throttled flows ready whose workspace has paid off its debt.
 func (a *Admission) resume(now time.Duration) {
 	for a.throttled.len() > 0 && a.throttled.top().readyAt <= now {
 		a.makeReady(a.throttled.top())
@@ -94,8 +94,8 @@
 	}
 }
 
-// startNext starts the first of f's queue, or refuses it if it is too late:
-// starting it would spend a slot on an answer that nobody waits for.
+// startNext starts the first request of f's queue. It refuses one whose deadline
+// has passed: the slot would be spent on a response that nobody waits for.
 func (a *Admission) startNext(now time.Duration, f *flow) {
 	r := f.queue.top()
 	if r.deadline < now {
@@ -110,8 +110,8 @@
 	a.actions = append(a.actions, Action{Request: r.id, Start: true})
 }
 
-// check refuses what waits in p and would now miss its deadline, because
-// capacity went away or more urgent requests came.
+// check refuses requests queued in p that would now miss their deadlines,
+// because capacity was lost or more urgent requests arrived.
 func (a *Admission) check(now time.Duration, p *pool) {
 	if p.queued == 0 {
 		return
@@ -144,7 +144,7 @@
 	return 1
 }
 
-// shed refuses a request that waits and returns what it took.
+// shed refuses a queued request and refunds its charge to the request rate.
 func (a *Admission) shed(now time.Duration, r *requestState, wait time.Duration) {
 	a.dequeue(r)
 	f := r.flow
--- a/internal/admission/workspace.go
+++ b/internal/admission/workspace.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// workspace is the state of one workspace on this daemon.
+// workspace holds the state of one workspace on this daemon.
 type workspace struct {
 	id            fleet.WorkspaceID
 	limits        Limits
@@ -15,18 +15,18 @@
 	running       int
 	requests      bucket
 	tokens        bucket
-	queuedCost    float64 // estimated tokens of what waits, not yet charged
+	queuedCost    float64 // estimated tokens of queued requests, not yet charged
 	estimates     estimates
-	flows         []*flow // one for each pool that it has used
+	flows         []*flow // one for each pool used
 	offered       meter   // requests offered a second
 	offeredTokens meter   // estimated tokens offered a second
 }
 
-// apply changes the limits to l times share.
+// apply sets the limits to l, scaled by share.
 func (w *workspace) apply(now time.Duration, l Limits, share float64) {
 	w.limits = l
 	w.slots = l.slots(share)
-	burst := max(1, l.RequestBurst) // a smaller bucket could never pay for one request
+	burst := max(1, l.RequestBurst) // a smaller bucket could never admit a request
 	w.requests.resize(now, share*l.RequestsPerSecond, max(1, share*burst))
 	w.tokens.resize(now, share*l.TokensPerSecond, share*l.TokenBurst)
 	w.setWeight(l.weight())
@@ -41,18 +41,19 @@
 	w.weight = weight
 }
 
-// tokenWait returns how long until the debt, with what waits already, is paid.
+// tokenWait returns how long it takes to pay off the debt and to cover the
+// queued requests.
 func (w *workspace) tokenWait(now time.Duration) time.Duration {
 	return w.tokens.wait(now, w.queuedCost)
 }
 
-// inDebt reports whether nothing may start yet, and until when.
+// inDebt returns when the debt is paid off, and reports whether there is any.
 func (w *workspace) inDebt(now time.Duration) (time.Duration, bool) {
 	wait := w.tokens.wait(now, 0)
 	return now + wait, wait > 0
 }
 
-// flow returns the workspace's queue in p.
+// flow returns the workspace's flow in p and creates it if needed.
 func (w *workspace) flow(p *pool) *flow {
 	for _, f := range w.flows {
 		if f.pool == p {
@@ -65,7 +66,7 @@
 	return f
 }
 
-// idle reports whether nothing of the workspace waits or runs.
+// idle reports whether no request of the workspace is queued or running.
 func (w *workspace) idle() bool {
 	for _, f := range w.flows {
 		if f.active() {
--- a/internal/quarantine/crash.go
+++ b/internal/quarantine/crash.go
@@ -11,57 +11,60 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Incarnation names one life of an endpoint: one that starts again under its ID is
-// another one.
+// Incarnation identifies one run of an endpoint's process: an endpoint that
+// restarts under the same ID has a new one.
 type Incarnation uint64
 
-// IncarnationOf returns the name of the life that began at born, zero where that isn't
-// told.
+// IncarnationOf returns the incarnation of an endpoint that started at born, the
+// zero time if that is not reported.
 func IncarnationOf(id fleet.EndpointID, born time.Time) Incarnation {
 	return Incarnation(xxh3.HashString(string(id) + " " + strconv.FormatInt(born.UnixMilli(), 10)))
 }
 
-// MarshalText returns the life in hexadecimal.
+// MarshalText returns 16 hexadecimal digits.
 func (inc Incarnation) MarshalText() ([]byte, error) {
 	return fmt.Appendf(nil, "%016x", uint64(inc)), nil
 }
 
-// UnmarshalText accepts the form of MarshalText.
+// UnmarshalText parses a hexadecimal number.
 func (inc *Incarnation) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	*inc = Incarnation(n)
 	return Error.Wrap(err)
 }
 
-// Crash is the end of an endpoint's process that nothing announced.
+// Crash is the unannounced exit of an endpoint's process.
 type Crash struct {
 	Endpoint Incarnation
 	At       time.Time // by the fleet's clock
-	// Void says that it was none: the endpoint was leaving, or still answers.
+	// Void means that it was no crash after all: the endpoint was leaving, or it
+	// still responds.
 	Void bool `json:",omitempty"`
-	// Suspects are the requests that were there and had no piece of an answer:
-	// one of them may be the cause. Others had run for a while, and aren't.
+	// Suspects are the requests at the endpoint that had produced no part of a
+	// response: one of them may be the cause. Requests that had produced some are
+	// not suspected, because they had run for a while.
 	Suspects []Suspect `json:",omitempty"`
-	// Cleared are suspects that an endpoint has run since.
+	// Cleared are suspects that an endpoint has since run without a crash.
 	Cleared []Key `json:",omitempty"`
 }
 
-// Suspect is a request that may be a crash's cause.
+// Suspect is a request that may be the cause of a crash.
 type Suspect struct {
 	Request Key
-	Sent    time.Time // the first to the endpoint, by the fleet's clock
+	Sent    time.Time // when it was first sent to the endpoint, by the fleet's clock
 }
 
-// maxSuspects bounds the suspects of a crash: an endpoint runs some dozens of
-// requests at once, of which few have no piece of an answer yet.
+// maxSuspects bounds the suspects of a crash. An endpoint runs some dozens of
+// requests at once, few of which have not started their responses.
 const maxSuspects = 64
 
-// timeTolerance is how far apart two tellings of one moment may be: what clocks lose
-// to rounding on each way, many times over, and far below what is weighed.
+// timeTolerance is the difference below which two reported times of one event
+// count as equal: many times the rounding error of one transmission between
+// daemons, and far below correlationWindow.
 const timeTolerance = 5 * time.Millisecond
 
-// merge adds what another daemon knows of the same crash, and reports whether
-// that was new.
+// merge adds another daemon's report of the same crash, and reports whether it
+// changed c. The earlier time wins.
 func (c *Crash) merge(o *Crash) bool {
 	changed := false
 	if o.Void && !c.Void {
@@ -83,7 +86,7 @@
 	return changed
 }
 
-// Shift moves the crash to another clock's time.
+// Shift adds d to all times, to convert them from one daemon's clock to another's.
 func (c *Crash) Shift(d time.Duration) {
 	c.At = c.At.Add(d)
 	for i := range c.Suspects {
@@ -91,7 +94,8 @@
 	}
 }
 
-// AddSuspect adds a request that may be its cause, and reports whether that was new.
+// AddSuspect adds a request that may be the cause, or its earlier sending time,
+// and reports whether that changed c.
 func (c *Crash) AddSuspect(s Suspect) bool {
 	i := c.index(s.Request)
 	switch {
@@ -105,7 +109,7 @@
 	return false
 }
 
-// clear notes that a request isn't its cause, and reports whether that was new.
+// clear records that a request isn't the cause, and reports whether that changed c.
 func (c *Crash) clear(k Key) bool {
 	if len(c.Cleared) >= maxSuspects || slices.Contains(c.Cleared, k) {
 		return false
@@ -118,17 +122,17 @@
 	return slices.IndexFunc(c.Suspects, func(s Suspect) bool { return s.Request == k })
 }
 
-// isSuspect reports whether a request may be its cause.
+// isSuspect reports whether a request may be the cause.
 func (c *Crash) isSuspect(k Key) bool {
 	return !c.Void && c.index(k) >= 0 && !slices.Contains(c.Cleared, k)
 }
 
-// anySuspect reports whether something holds for a request that may be its cause.
+// anySuspect reports whether f holds for any request that may be the cause.
 func (c *Crash) anySuspect(f func(k Key) bool) bool {
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return c.isSuspect(s.Request) && f(s.Request) })
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (c *Crash) clone() Crash {
 	out := *c
 	out.Suspects, out.Cleared = slices.Clone(c.Suspects), slices.Clone(c.Cleared)
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,5 +1,6 @@
-// Package quarantine decides which requests crash the endpoints that run them,
-// so that no daemon of the fleet sends them on. Which endpoints ended, and under
-// which requests, goes in; which requests are held comes out. The verdict is a
-// plain decision; Table keeps what it is drawn from, under a lock of its own.
+// Package quarantine finds the requests that crash the endpoints that run them,
+// so that the daemons hold them: refuse to send them to endpoints. The input are
+// the crashes of endpoints, each with the requests that ran there, as observed by
+// all daemons of the fleet. Table stores them and is safe for concurrent use;
+// diagnose, which finds the causes among them, is a pure function.
 package quarantine
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -9,20 +9,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Error is the class of errors made by this package.
+// Error is the class of this package's errors.
 var Error = errs.Class("quarantine")
 
-// Key names a request that may come again as another one: at another daemon, with
-// an id of its own, but for the same workspace, with the same target and body.
-// The workspace stands apart: the hash can be met on purpose, and a workspace
-// must not have another one's requests held.
+// Key identifies a request by its content, so that it is recognised when it is
+// sent again under another id or to another daemon. The workspace has a field of
+// its own: hash collisions can be produced on purpose, and a workspace must not
+// be able to get the requests of another one held.
 type Key struct {
 	Workspace uint32 // hash of its name
 	Request   uint64 // hash of method, target and body
 }
 
-// KeyOf returns the key of a workspace's request. The target is the path with
-// the query.
+// KeyOf returns the key of a workspace's request. target is the path with the
+// query.
 func KeyOf(w fleet.WorkspaceID, method, target string, body []byte) Key {
 	h := xxh3.New()
 	_, _ = h.WriteString(method)
@@ -35,13 +35,13 @@
 
 const keyFormat = "%08x-%016x"
 
-// String returns the form that logs and the store have.
+// String returns the form used in logs and in the store.
 func (k Key) String() string { return fmt.Sprintf(keyFormat, k.Workspace, k.Request) }
 
-// MarshalText returns String.
+// MarshalText returns the form of String.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText accepts the form of String.
+// UnmarshalText parses the form of String.
 func (k *Key) UnmarshalText(text []byte) error {
 	_, err := fmt.Sscanf(string(text), keyFormat, &k.Workspace, &k.Request)
 	return Error.Wrap(err)
--- a/internal/quarantine/quarantinepb/codec.go
+++ b/internal/quarantine/quarantinepb/codec.go
@@ -1,4 +1,5 @@
-// Package quarantinepb is how daemons tell each other of endpoints' crashes.
+// Package quarantinepb is the wire format in which daemons exchange the crashes of
+// endpoints.
 package quarantinepb
 
 import (
@@ -7,7 +8,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-// Encode returns crashes as they are told.
+// Encode returns crashes in the wire format.
 func Encode(all []quarantine.Crash) []*Crash {
 	out := make([]*Crash, len(all))
 	for i := range all {
@@ -20,7 +21,8 @@
 	return out
 }
 
-// Decode returns crashes that were told.
+// Decode returns crashes from the wire format. A suspect without a sending time is
+// ignored.
 func Decode(all []*Crash) []quarantine.Crash {
 	var out []quarantine.Crash
 	for _, c := range all {
@@ -70,7 +72,7 @@
 	return out
 }
 
-// decodeKeys ignores what has no counterpart in both lists.
+// decodeKeys ignores entries without a counterpart in the other list.
 func decodeKeys(r *Requests) []quarantine.Key {
 	n := min(len(r.GetWorkspaces()), len(r.GetRequests()))
 	var out []quarantine.Key
@@ -80,12 +82,12 @@
 	return out
 }
 
-// EncodePosition returns a position as it is told.
+// EncodePosition returns a position in the wire format.
 func EncodePosition(p quarantine.Position) *Position {
 	return &Position{Epoch: p.Epoch, Seq: p.Seq}
 }
 
-// DecodePosition returns a position that was told, the zero one for none.
+// DecodePosition returns a position from the wire format, the zero one for nil.
 func DecodePosition(p *Position) quarantine.Position {
 	return quarantine.Position{Epoch: p.GetEpoch(), Seq: p.GetSeq()}
 }
--- a/internal/quarantine/quarantinepb/codec_test.go
+++ b/internal/quarantine/quarantinepb/codec_test.go
@@ -9,6 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
+// Encoding and decoding must keep every field of crashes and positions.
 func TestCrashesRoundTrip(t *testing.T) {
 	at := time.UnixMilli(1_000_000_123)
 	k := quarantine.KeyOf("w", "POST", "/x", []byte("b"))
@@ -24,7 +25,8 @@
 	assert.Equal(t, DecodePosition(EncodePosition(p)), p)
 }
 
-// Lists of another length, or none, are read as far as they belong together.
+// Lists of different lengths, or missing ones, must be read up to the shortest
+// and must not panic.
 func TestUnevenListsAreTruncated(t *testing.T) {
 	got := Decode([]*Crash{
 		{Endpoint: 1, Suspects: &Requests{Workspaces: []uint32{1, 2}, Requests: []uint64{1}, SentMs: []int64{5, 6, 7}}},
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -14,50 +14,53 @@
 	// endpoints thus crashes three of them in that time, and one that is held
 	// by mistake is served again afterwards.
 	retention = 30 * time.Minute
-	// maxCrashes bounds what is remembered, some hundred kilobytes at the most
-	// that are usual: enough to hold 300 requests at once.
+	// maxCrashes bounds the stored crashes: typically some hundred kilobytes at
+	// most, and enough to hold 300 requests at once.
 	maxCrashes = 1024
-	// maxFuture is how far a crash may lie in the future by the clock of who told it.
+	// maxFuture is how far in the future the time of a reported crash may be;
+	// the clock of the daemon that reports it may be wrong.
 	maxFuture = time.Minute
-	// minRestartTime is how long after its end an endpoint that answers wasn't
-	// ended: one that starts again takes longer.
+	// minRestartTime is less than any endpoint takes to restart: one that responds
+	// sooner after its reported exit had not exited.
 	minRestartTime = 1500 * time.Millisecond
 )
 
-// Position is what somebody has of a table: all that had changed up to Seq of the
-// run of a process that Epoch names.
+// Position says which changes of a table a reader has received: all up to number
+// Seq in the process run identified by Epoch.
 type Position struct{ Epoch, Seq uint64 }
 
-// Change is what an event changed.
+// Change lists the requests that are newly held, and those no longer held.
 type Change struct{ Held, Released []Key }
 
-// Table keeps the crashes of the fleet and which requests are held for them. It
-// is safe for concurrent use; now is the fleet's time.
+// Table stores the crashes of the fleet's endpoints and which requests are held
+// because of them. It is safe for concurrent use. The parameter now of its
+// methods is the time by the fleet's clock.
 type Table struct {
 	epoch uint64
 
 	mu         sync.Mutex
 	seq        uint64
-	crashes    []*record // in order of time
+	crashes    []*record // sorted by time
 	held       map[Key]time.Time
-	suspected  map[Key]bool // may be a crash's cause
-	crashCount atomic.Int64 // of crashes, and of held below, without the lock
+	suspected  map[Key]bool // requests that may be the cause of an unexplained crash
+	crashCount atomic.Int64 // len(crashes), readable without the lock; heldCount is len(held)
 	heldCount  atomic.Int64
 }
 
-// record is a crash with the sequence number of its last change.
+// record is a crash with the sequence number of its latest change.
 type record struct {
 	Crash
 	changed uint64
 }
 
-// NewTable returns an empty table. epoch differs from each earlier run's.
+// NewTable returns an empty table. epoch identifies the run of the process and
+// must differ from those of earlier runs.
 func NewTable(epoch uint64) *Table {
 	return &Table{epoch: epoch, held: map[Key]time.Time{}, suspected: map[Key]bool{}}
 }
 
-// Held returns for how long a request isn't to be sent to endpoints, 0 where it
-// may be. key is asked only where some request is held.
+// Held returns for how long a request must not be sent to endpoints, 0 if it may
+// be sent. It calls key only if any request is held.
 func (t *Table) Held(now time.Time, key func() Key) time.Duration {
 	if t.heldCount.Load() == 0 {
 		return 0
@@ -68,13 +71,14 @@
 	return max(t.held[k].Sub(now), 0)
 }
 
-// HeldCount returns how many requests are held.
+// HeldCount returns the number of requests that are held.
 func (t *Table) HeldCount() int { return int(t.heldCount.Load()) }
 
-// CrashCount returns how many crashes are remembered.
+// CrashCount returns the number of stored crashes.
 func (t *Table) CrashCount() int { return int(t.crashCount.Load()) }
 
-// Add takes crashes, of this daemon's or told by others.
+// Add adds crashes observed by this daemon or reported by others. It ignores
+// those whose times are too old or too far in the future.
 func (t *Table) Add(now time.Time, crashes ...Crash) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +95,8 @@
 	return t.recompute(now)
 }
 
-// addOne adds one crash. The lock is held.
+// addOne adds or merges one crash and reports whether that changed anything. The
+// lock must be held.
 func (t *Table) addOne(c *Crash) bool {
 	r := t.find(c.Endpoint, c.At)
 	if r == nil {
@@ -108,9 +113,9 @@
 	return true
 }
 
-// find returns an endpoint's crash at about a time: where it isn't told when an
-// endpoint started, it can end more than once in what looks like one life. The
-// lock is held.
+// find returns the crash of an incarnation at about the given time, or nil. If
+// endpoints do not report when they started, several crashes can have the same
+// incarnation. The lock must be held.
 func (t *Table) find(inc Incarnation, at time.Time) *record {
 	for _, r := range slices.Backward(t.crashes) {
 		if r.Endpoint == inc && r.At.Sub(at).Abs() < minRestartTime {
@@ -120,8 +125,8 @@
 	return nil
 }
 
-// recent returns an endpoint's crash if it is as young as answersWithin. The lock
-// is held.
+// recent returns the crash of an incarnation if it happened less than
+// minRestartTime ago, or nil. The lock must be held.
 func (t *Table) recent(now time.Time, inc Incarnation) *record {
 	for _, r := range slices.Backward(t.crashes) {
 		if now.Sub(r.At) >= minRestartTime {
@@ -139,8 +144,8 @@
 	r.changed = t.seq
 }
 
-// Void says that an endpoint that ended at about a time did not crash: it was
-// leaving.
+// Void records that an endpoint that exited at about the given time did not crash,
+// because it was leaving.
 func (t *Table) Void(now time.Time, inc Incarnation, at time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,8 +158,10 @@
 	return t.recompute(now)
 }
 
-// Ran says that an endpoint gave a first piece of an answer to a request that
-// was sent at a time: it can be run, and the endpoint is there.
+// Ran records that an endpoint has sent the first part of its response to a
+// request that was sent to it at sent. So the request does not crash endpoints, and
+// the endpoint had not exited before sent. It calls key only if any crash is
+// stored.
 func (t *Table) Ran(now, sent time.Time, inc Incarnation, key func() Key) Change {
 	if t.crashCount.Load() == 0 {
 		return Change{}
@@ -173,8 +180,8 @@
 	return t.recompute(now)
 }
 
-// clear notes that a request isn't the cause of what it is suspected of. The
-// lock is held.
+// clear clears a request of all crashes of which it is suspected, and reports
+// whether there are any. The lock must be held.
 func (t *Table) clear(k Key) bool {
 	if !t.suspected[k] {
 		return false
@@ -187,7 +194,8 @@
 	return true
 }
 
-// Tick forgets what is too old. It should be called about once a second.
+// Tick removes crashes older than the retention. It should be called about once a
+// second.
 func (t *Table) Tick(now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,18 +206,19 @@
 	return t.recompute(now)
 }
 
-// maxBatch bounds the crashes that are told at once: some kilobytes.
+// maxBatch bounds the crashes that Since returns at once: some kilobytes.
 const maxBatch = 64
 
-// Position returns the newest position.
+// Position returns the position after the latest change.
 func (t *Table) Position() Position {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Position{Epoch: t.epoch, Seq: t.seq}
 }
 
-// Since returns what has changed after a position, as much as is told at once,
-// and the position that it leads to.
+// Since returns the crashes that changed after position p, at most maxBatch, in
+// order of change if there are more, and the position of a reader that has them.
+// After a position of another epoch it returns all.
 func (t *Table) Since(p Position) ([]Crash, Position) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,12 +244,12 @@
 	return out, to
 }
 
-// maxStored bounds the crashes that are kept in the store, well below the size
-// that an object may have.
+// maxStored bounds the crashes written to the store, which stay well below the
+// largest size of an object there.
 const maxStored = 256
 
-// Snapshot returns what is to be kept for daemons that start after all have ended:
-// the newest crashes that say something of a request.
+// Snapshot returns what is written to the store for daemons that start when no
+// other is running: the newest crashes that have a suspect.
 func (t *Table) Snapshot() []Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -253,7 +262,7 @@
 	return out
 }
 
-// SuspectedIn returns how many crashes a request is suspected of.
+// SuspectedIn returns the number of crashes of which a request is suspected.
 func (t *Table) SuspectedIn(k Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -266,7 +275,8 @@
 	return n
 }
 
-// recompute brings all that follows from the crashes up to date. The lock is held.
+// recompute removes old crashes and updates everything derived from the others.
+// The lock must be held.
 func (t *Table) recompute(now time.Time) Change {
 	t.crashes = slices.DeleteFunc(t.crashes, func(r *record) bool { return now.Sub(r.At) >= retention })
 	slices.SortStableFunc(t.crashes, func(a, b *record) int { return a.At.Compare(b.At) })
@@ -290,8 +300,8 @@
 	return diff(before, t.held)
 }
 
-// heldUntil returns until when requests are held, of those that are under enough
-// crashes: until one of these is forgotten.
+// heldUntil returns the end of the hold for each of the keys that is suspected of
+// enough crashes: when the oldest of its newest minCrashes crashes is removed.
 func heldUntil(crashes []*Crash, keys []Key) map[Key]time.Time {
 	crashTimes := make(map[Key][]time.Time, len(keys))
 	for _, k := range keys {
@@ -313,6 +323,7 @@
 	return out
 }
 
+// diff returns the keys that are only in after, and those only in before.
 func diff(before, after map[Key]time.Time) Change {
 	var out Change
 	for k := range after {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -19,7 +19,7 @@
 
 func incarnation(n int) Incarnation { return IncarnationOf("e", time.UnixMilli(int64(n))) }
 
-// crash is the end of endpoint n at a time under requests sent 50 ms before.
+// crash returns a crash of endpoint n with suspects that were sent 50 ms before.
 func crash(n int, seconds float64, requests ...int) Crash {
 	c := Crash{Endpoint: incarnation(n), At: at(seconds)}
 	for _, r := range requests {
@@ -32,9 +32,9 @@
 	return t.Held(at(now), func() Key { return key(request) }) > 0
 }
 
-// A request ends one endpoint after the other, at times while others run there.
-// It is held after the third; the others, of which each was there once or twice,
-// aren't.
+// A request crashes one endpoint after another, at times while other requests run
+// there. It must be held after the third crash. The others, each present at one or
+// two crashes, must not.
 func TestRequestSuspectedInThreeCrashesIsHeld(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(1), crash(1, 1, 0, 7, 8))
@@ -48,8 +48,8 @@
 	}
 }
 
-// Its caller sends it again at once, so that the ends are some ten milliseconds
-// apart.
+// The caller retries at once, so that the crashes are some ten milliseconds apart
+// and look like ones with a common cause.
 func TestImmediatelyRetriedRequestIsHeld(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
@@ -61,9 +61,9 @@
 	assert.Assert(t, held(table, 1.1, 0))
 }
 
-// An innocent request is repeated each time beside the one that ends the
-// endpoints. They can't be told apart and neither is held, until one of them
-// comes alone.
+// A harmless request runs each time together with the one that crashes the
+// endpoints. They can't be distinguished, so neither must be held until one of them
+// is the only suspect of a crash.
 func TestRequestsThatAlwaysRunTogetherAreNotHeld(t *testing.T) {
 	table := NewTable(1)
 	for i := range 4 {
@@ -75,8 +75,8 @@
 	assert.Assert(t, !held(table, 5, 7))
 }
 
-// Endpoints are killed together, three times in a row, and a request was repeated
-// each time onto one of them.
+// Endpoints are repeatedly killed together, and a harmless request is retried each
+// time on one of them.
 func TestRequestOnEndpointsKilledTogetherIsNotHeld(t *testing.T) {
 	table := NewTable(1)
 	for i := range 5 {
@@ -86,8 +86,8 @@
 	assert.Equal(t, table.HeldCount(), 0)
 }
 
-// Many callers send the same request, so that each endpoint that is killed has
-// it.
+// Many callers send the same request, so that it runs on each of the endpoints that
+// are killed together.
 func TestCommonRequestIsNotHeldAfterOneCorrelatedFailure(t *testing.T) {
 	table := NewTable(1)
 	for i := range 6 {
@@ -96,7 +96,8 @@
 	assert.Equal(t, table.HeldCount(), 0)
 }
 
-// The endpoints had said that they leave; the word comes after their end.
+// Endpoints announce that they leave, and the announcement arrives after their
+// exits. These must no longer count, even if another daemon reports them again.
 func TestExitsOfLeavingEndpointsDoNotCount(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
@@ -106,12 +107,12 @@
 	assert.Assert(t, held(table, 3, 7))
 	change := table.Void(at(3), incarnation(1), at(1))
 	assert.DeepEqual(t, change.Released, []Key{key(7)})
-	table.Add(at(3), crash(1, 1, 7)) // told again by who hasn't heard the word
+	table.Add(at(3), crash(1, 1, 7)) // from a daemon without the announcement
 	assert.Assert(t, !held(table, 3, 7))
 }
 
-// Connections to an endpoint are refused to some daemons that are cut off from
-// it; another one gets answers.
+// A network failure makes some daemons report that an endpoint exited, while
+// another daemon still gets responses from it.
 func TestRespondingEndpointHasNotCrashed(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
@@ -122,8 +123,8 @@
 	assert.Equal(t, table.HeldCount(), 0)
 }
 
-// An answer that was on its way when the endpoint ended proves nothing, nor does
-// one of an endpoint that has started again since.
+// A response to a request sent before the crash does not show that the endpoint is
+// running, nor does a response after the endpoint had time to restart.
 func TestStaleResponseDoesNotVoidCrash(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
@@ -135,8 +136,8 @@
 	assert.Assert(t, held(table, 3, 0))
 }
 
-// A request ran beside the cause twice, was run to its first piece, and is under a
-// third crash later.
+// A harmless request is a suspect of two crashes, then an endpoint starts to
+// respond to it, and later it is present at a third crash.
 func TestRequestThatRanIsCleared(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(1), crash(1, 1, 7))
@@ -146,8 +147,8 @@
 	assert.Assert(t, !held(table, 3, 7))
 }
 
-// A request is held and goes on coming. It is let through again when the first of
-// its crashes is forgotten, and held again after one more.
+// A request is held and its caller keeps retrying. It must be released when the
+// first of its crashes is past the retention, and held again after one more crash.
 func TestHeldRequestIsReleasedAfterRetention(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
@@ -162,8 +163,8 @@
 	assert.Assert(t, held(table, later, 0))
 }
 
-// A flood of requests that each crash endpoints. What is remembered is bounded,
-// and the newest are held.
+// Many different requests crash endpoints. The table must stay bounded, in memory,
+// on the wire and in the store, and hold the newest ones.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable(1)
 	now := 0.0
@@ -184,8 +185,8 @@
 	assert.Assert(t, len(kept) < 100_000, "%d", len(kept))
 }
 
-// What two daemons tell each other ends in the same state, whatever is told twice
-// or late, and nothing is told for ever.
+// Two daemons exchange their changes, some of them repeated or late. Both tables
+// must reach the same state, and the exchange must come to an end.
 func TestTablesConverge(t *testing.T) {
 	a, b := NewTable(1), NewTable(2)
 	a.Add(at(1), crash(1, 1, 0, 7), crash(2, 2, 0))
@@ -206,7 +207,8 @@
 	}
 }
 
-// The whole fleet is killed. Who starts again holds what is kept in the store.
+// All daemons are killed. One that starts again must hold the same requests, based
+// on the crashes in the store.
 func TestStoredCrashesRestoreHolds(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
@@ -222,28 +224,29 @@
 	assert.Equal(t, fresh.HeldCount(), 1)
 }
 
-// A daemon whose clock is off tells of a crash in an hour.
+// A daemon with a wrong clock reports crashes an hour in the future or the past.
 func TestCrashesWithImplausibleTimesAreIgnored(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(0), crash(1, 3600, 0), crash(2, -3600, 0))
 	assert.Equal(t, table.CrashCount(), 0)
 }
 
-// An endpoint ends three times under a request, and when it started is not told:
-// its ends are apart in time alone.
+// An endpoint crashes three times, and its start times are not reported, so all
+// crashes have the same incarnation. They must be distinguished by time, while
+// two daemons' reports of the same crash must be merged.
 func TestCrashesOfOneIncarnationAreSeparatedByTime(t *testing.T) {
 	table := NewTable(1)
 	for i := range 3 {
 		now := 5 * float64(i)
 		table.Add(at(now), crash(1, now, 0))
-		table.Add(at(now), crash(1, now+0.2, 0)) // as another daemon saw it
+		table.Add(at(now), crash(1, now+0.2, 0)) // another daemon's report
 	}
 	assert.Equal(t, table.CrashCount(), 3)
 	assert.Assert(t, held(table, 11, 0))
 }
 
-// The same body of another workspace, to another target or by another method is
-// another request.
+// Requests that differ in workspace, method, target or body must have different
+// keys, and a key's text must be parsed to the same key.
 func TestKeysDifferAndRoundTrip(t *testing.T) {
 	one := KeyOf("w", "POST", "/x", []byte("b"))
 	for _, other := range []Key{
@@ -260,7 +263,8 @@
 	assert.Assert(t, read.UnmarshalText([]byte("x")) != nil)
 }
 
-// What a request costs while nothing is held, and while requests are.
+// BenchmarkHeld measures the cost of the check for each request, with and without
+// held requests.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{0, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -275,7 +279,8 @@
 	}
 }
 
-// What one more crash costs where all that is remembered says something.
+// BenchmarkAdd measures the cost of one more crash in a table in which every crash
+// has a suspect.
 func BenchmarkAdd(b *testing.B) {
 	table := fullTable(300)
 	b.ReportAllocs()
@@ -297,9 +302,9 @@
 	return table
 }
 
-// The same crash is told back and forth between daemons whose clocks are compared
-// anew each time. What it differs by then must not count as news, or it is told
-// for as long as it is remembered.
+// A crash is exchanged between daemons that estimate the offset of their clocks
+// anew each time. The small differences must not count as changes, or the daemons
+// would send it to each other until the end of its retention.
 func TestSmallTimeDifferencesAreNotChanges(t *testing.T) {
 	table := NewTable(1)
 	table.Add(at(1), crash(1, 1, 0))
@@ -308,7 +313,7 @@
 	again.Shift(-900 * time.Microsecond)
 	table.Add(at(1), again)
 	assert.Equal(t, table.Position(), before)
-	again.Shift(-20 * time.Millisecond) // another daemon saw it earlier
+	again.Shift(-20 * time.Millisecond) // another daemon observed it earlier
 	table.Add(at(1), again)
 	assert.Assert(t, table.Position() != before)
 }
