--- a/internal/quarantine/diagnosis.go
+++ b/internal/quarantine/diagnosis.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// minCrashes is how many crashes a request must be the likeliest cause of: one
-	// can be chance, and of two that ran beside each other either.
+	// minCrashes is the number of crashes of which a request must be the likeliest
+	// cause before it is held. One may be a coincidence, and after two there may be
+	// several requests that were present at both.
 	minCrashes = 3
-	// minIsolated is how many of them must have come alone. Failure: endpoints
-	// are killed together, again and again. Symptom: a request that was repeated
-	// each time onto one of them would be held for it.
+	// minIsolated is how many of these crashes must be isolated. Otherwise, if
+	// endpoints are repeatedly killed together, a request that is retried each time
+	// on one of them would be held.
 	minIsolated = 2
-	// correlationWindow is how far apart the ends of endpoints that one cause ends are
-	// told at the most: a few milliseconds, and what daemons' clocks differ by.
+	// correlationWindow is the largest difference between the reported times of
+	// crashes with a common cause: a few milliseconds, plus the difference between
+	// the daemons' clocks.
 	correlationWindow = 150 * time.Millisecond
 )
 
 // diagnose returns the requests that crash the endpoints that run them, and the
-// crashes that none of them explains. crashes are in order of time. A crash that
-// is explained counts neither against those that ran beside its cause, nor as a
-// sign of a common cause for others.
+// crashes that none of them explains. crashes must be sorted by time. An explained
+// crash counts neither against the other requests that ran there nor as evidence
+// that a crash at the same time had a common cause.
 func diagnose(crashes []*Crash) (causes []Key, unexplained []*Crash) {
 	for {
 		found := newDiagnosis(crashes).causes()
@@ -33,7 +35,8 @@
 	}
 }
 
-// withoutCauses returns the crashes that have none of some suspects.
+// withoutCauses returns the crashes that are not void and have no suspect for
+// which isCause holds.
 func withoutCauses(crashes []*Crash, isCause func(k Key) bool) []*Crash {
 	var out []*Crash
 	for _, c := range crashes {
@@ -44,11 +47,11 @@
 	return out
 }
 
-// diagnosis weighs the crashes that nothing explains yet.
+// diagnosis counts the crashes that are not explained yet, by suspect.
 type diagnosis struct {
 	crashes  []*Crash
-	isolated map[Key]int // crashes that came alone, by their suspects
-	counted  map[Key]int // crashes that count
+	isolated map[Key]int // isolated crashes
+	counted  map[Key]int // crashes that count against the suspect
 }
 
 func newDiagnosis(crashes []*Crash) *diagnosis {
@@ -58,9 +61,9 @@
 	return d
 }
 
-// count returns how many crashes count, by their suspects. Those that come together
-// count once for a request that had been sent to all of the endpoints before:
-// many callers may send the same one.
+// count returns for each suspect the number of crashes for which counts holds.
+// Crashes within the correlation window count once for a request that had been
+// sent to all of their endpoints before, since many callers may send the same one.
 func (d *diagnosis) count(counts func(i int, k Key) bool) map[Key]int {
 	n := map[Key]int{}
 	last := map[Key]time.Time{}
@@ -78,13 +81,14 @@
 	return n
 }
 
-// counts reports whether a crash counts against one of its suspects.
+// counts reports whether crash i counts against its suspect k.
 func (d *diagnosis) counts(i int, k Key) bool {
 	return d.isolated[k] >= minIsolated || d.isIsolated(i, k, true)
 }
 
-// isIsolated reports whether no endpoint ended together with a crash but under the
-// same request. Others that have a likely cause of their own may be passed over.
+// isIsolated reports whether each other crash within the correlation window of
+// crash i has suspect k as well. With ignoreExplained, crashes that have a likely
+// cause of their own are ignored.
 func (d *diagnosis) isIsolated(i int, k Key, ignoreExplained bool) bool {
 	c := d.crashes[i]
 	beside := func(o *Crash) bool {
@@ -103,12 +107,13 @@
 	return true
 }
 
-// hasLikelyCause reports whether a crash has a suspect that others came alone with.
+// hasLikelyCause reports whether a crash has a suspect with enough isolated
+// crashes.
 func (d *diagnosis) hasLikelyCause(c *Crash) bool {
 	return c.anySuspect(func(k Key) bool { return d.isolated[k] >= minIsolated })
 }
 
-// causes returns the requests that are the likeliest cause of minCrashes crashes.
+// causes returns the requests that are the likeliest cause of enough crashes.
 func (d *diagnosis) causes() []Key {
 	likeliest := d.count(func(i int, k Key) bool { return d.counts(i, k) && d.isLikeliest(d.crashes[i], k) })
 	var out []Key
@@ -120,8 +125,8 @@
 	return out
 }
 
-// isLikeliest reports whether a suspect was under more crashes than each other one of
-// the same crash. Two that always ran beside each other can't be told apart.
+// isLikeliest reports whether k is a suspect of more crashes than each other
+// suspect of c. Two requests that always ran together can't be distinguished.
 func (d *diagnosis) isLikeliest(c *Crash, k Key) bool {
 	return !c.anySuspect(func(o Key) bool { return o != k && d.counted[o] >= d.counted[k] })
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -14,18 +14,17 @@
 
 const (
 	step = 10 * time.Millisecond
-	// processingTime is from a request's begin until the endpoint that it crashes ends,
-	// or until its first piece.
+	// processingTime is the time from the start of a request until it crashes the
+	// endpoint, or at least until the first part of its response.
 	processingTime = 60 * time.Millisecond
-	// restartTime is how long an endpoint is away.
-	restartTime = 4 * time.Second
-	// grace is how long after a third crash sends are free, the shortest that
-	// platforms state, and retries the sends allowed after it.
+	restartTime    = 4 * time.Second
+	// A request may be sent any number of times within grace after its third crash,
+	// the shortest that platforms state, and retries times after that.
 	grace, retries = 3 * time.Second, 3
 )
 
-// fleetSim is a fleet of daemons that tell each other of crashes by two hubs, and
-// endpoints that end under some requests.
+// fleetSim simulates daemons that exchange crashes through two hubs, and endpoints
+// that some requests crash.
 type fleetSim struct {
 	rng           *rand.Rand
 	now           time.Time
@@ -33,7 +32,7 @@
 	hubs          [2]*daemon
 	endpoints     []*endpoint
 	outcomes      map[quarantine.Key]*outcome
-	harmlessHeld  int // of innocent requests
+	harmlessHeld  int // harmless requests that were held
 	mostLateSends int
 }
 
@@ -42,11 +41,11 @@
 	sentUpTo     [2]quarantine.Position
 	receivedUpTo [2]quarantine.Position
 	nextReport   time.Time
-	// skew is how far its view of the fleet's time is off.
+	// skew is the error of its estimate of the fleet's time.
 	skew time.Duration
 }
 
-// endpoint is an endpoint with what runs there.
+// endpoint is an endpoint with the requests that run there.
 type endpoint struct {
 	incarnation int
 	upAt        time.Time
@@ -58,15 +57,16 @@
 	key     quarantine.Key
 	sent    time.Time
 	crashes bool
-	// firstPart is when it has its first piece, if the endpoint lives until then.
+	// firstPart is when the first part of its response is sent, unless the endpoint
+	// exits before.
 	firstPart time.Time
 }
 
-// outcome is what became of a request that crashes endpoints.
+// outcome counts what a request that crashes endpoints has caused.
 type outcome struct {
 	crashes    int
 	thirdCrash time.Time
-	lateSends  int // sends after the grace
+	lateSends  int // sends later than grace after the third crash
 }
 
 func newFleetSim(seed uint64, daemons int) *fleetSim {
@@ -89,7 +89,7 @@
 
 func (d *daemon) time(s *fleetSim) time.Time { return s.now.Add(d.skew).Truncate(time.Millisecond) }
 
-// report reports to both hubs where that is due.
+// report exchanges crashes with both hubs for each daemon whose report is due.
 func (s *fleetSim) report() {
 	interval := exchange.CalmInterval(len(s.daemons))
 	for _, d := range s.daemons {
@@ -110,7 +110,8 @@
 	}
 }
 
-// send sends a request from a daemon to an endpoint that is there.
+// send sends a request from a daemon to a random running endpoint, unless it is
+// held.
 func (s *fleetSim) send(d *daemon, k quarantine.Key, crashes bool) {
 	if d.table.Held(d.time(s), func() quarantine.Key { return k }) > 0 {
 		if !crashes {
@@ -127,7 +128,7 @@
 		if s.now.Before(e.upAt) {
 			continue
 		}
-		// Prompts wait for each other: a first piece takes up to 1.5 s.
+		// Prompts are queued at the endpoint: the first part may take 1.5 s.
 		firstPart := s.now.Add(processingTime + time.Duration(s.rng.ExpFloat64()*float64(300*time.Millisecond)))
 		if crashes {
 			firstPart = s.now.Add(processingTime)
@@ -137,7 +138,7 @@
 	}
 }
 
-// serve ends the runs that are over, and endpoints under requests that crash them.
+// serve finishes attempts and kills the endpoints of those that crash them.
 func (s *fleetSim) serve() {
 	for n, e := range s.endpoints {
 		for i := 0; i < len(e.attempts); i++ {
@@ -157,7 +158,8 @@
 	}
 }
 
-// kill ends an endpoint. Its requests are sent again, once, at any daemon.
+// kill ends endpoint n. Each harmless request that ran there is retried at any
+// daemon.
 func (s *fleetSim) kill(n int) {
 	e := s.endpoints[n]
 	reports := map[*daemon]*quarantine.Crash{}
@@ -202,8 +204,8 @@
 	return quarantine.KeyOf("w", "POST", "/x", fmt.Append(nil, kind, n))
 }
 
-// run plays some seconds in which requests that crash endpoints come about once a
-// second each, and endpoints are killed together each five seconds.
+// run simulates some seconds in which each of the crashing requests is sent about
+// once a second, and some endpoints are killed together every five seconds.
 func (s *fleetSim) run(seconds, crashing int) {
 	harmless := 0
 	for tick := range int(time.Duration(seconds) * time.Second / step) {
@@ -229,9 +231,9 @@
 	}
 }
 
-// Requests that crash their endpoints come again each second, at any daemon,
-// while others run beside them and endpoints are killed together. Each is held in
-// time in a fleet of any size, and no other is.
+// Requests that crash their endpoints are sent again every second, at any daemon,
+// while other requests run there and endpoints are killed together. In a fleet of
+// any size each of them must be held in time, and no other request may be.
 func TestFleetsHoldCrashingRequests(t *testing.T) {
 	for daemons, seeds := range map[int]uint64{6: 4, 80: 2, 195: 1, 340: 1} {
 		for _, crashing := range []int{1, 4} {
