--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -12,22 +12,22 @@
 	Concurrency       int     // running requests
 	MaxTokens         int     // largest max_tokens of one request
 	Weight            float64 // share under overload relative to other workspaces; 0 means 1
-	Priority          int     // closing-time priority from the template, 0 to MaxPriority
+	Priority          int     // during the workspace's monthly closing, from its template; 0 to MaxPriority
 }
 
-// MaxPriority bounds closing-time priority, so that no template can starve the
-// other workspaces: it multiplies the weight by at most
+// MaxPriority bounds the priority of a closing, so that no template can starve
+// the other workspaces: the weight is multiplied by at most
 // PriorityFactor^MaxPriority.
 const MaxPriority = 3
 
-// PriorityFactor multiplies a workspace's weight for each level of priority.
+// PriorityFactor multiplies a workspace's weight once for each level of priority.
 const PriorityFactor = 2
 
 // minSlots lets a workspace run requests on each of its daemons even if its
 // concurrency is smaller than the number of daemons.
 const minSlots = 1
 
-// weight returns the workspace's share under overload.
+// weight returns the workspace's weight in fair queueing, priority included.
 func (l Limits) weight() float64 {
 	w := l.Weight
 	if w <= 0 {
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -8,7 +8,7 @@
 const (
 	// servedDecay is the time constant of the work started by a flow: long
 	// enough to cover tens of requests, short enough to follow the rise in load
-	// at the start of a closing.
+	// when a workspace's monthly closing starts.
 	servedDecay = 5 * time.Second
 	// demandDecay is the time constant of the demand that a daemon reports to
 	// others. With five seconds, seven times as many requests were refused at
--- a/internal/admission/sim_bench_test.go
+++ b/internal/admission/sim_bench_test.go
@@ -118,8 +118,8 @@
 	return l.sum(workspaceName(0))
 }
 
-// BenchmarkSimPriority gives one of five workspaces closing-time priority at
-// 130% load.
+// BenchmarkSimPriority gives one of five workspaces each priority that a closing
+// can have, at 130% load.
 func BenchmarkSimPriority(b *testing.B) {
 	for priority := range MaxPriority + 1 {
 		b.Run(fmt.Sprintf("priority=%d", priority), func(b *testing.B) {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -18,8 +18,8 @@
 	// endpoint, or at least until the first part of its response.
 	processingTime = 60 * time.Millisecond
 	restartTime    = 4 * time.Second
-	// A request may be sent any number of times within grace after its third crash,
-	// the shortest that platforms state, and retries times after that.
+	// After its third crash a request may be sent any number of times within grace,
+	// the shortest grace period that a platform specifies, and retries times later.
 	grace, retries = 3 * time.Second, 3
 )
 
