--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -11,19 +11,19 @@
 type Admission struct {
 	cfg        Config
 	rng        *rand.Rand
-	epoch      time.Time // time of the first call; all internal times are relative to it
-	latest     time.Duration
+	epoch      time.Time     // time of the first call; all internal times are relative to it
+	latest     time.Duration // latest time passed in
 	workspaces map[fleet.WorkspaceID]*workspace
 	pools      map[Pool]*pool
 	poolList   []*pool // in order of creation, for a deterministic order of iteration
 	requests   map[fleet.RequestID]*requestState
-	free       []*requestState
+	free       []*requestState // for reuse
 	leases     leases
-	throttled  heap[*flow]
-	seq        uint64
-	nextCheck  time.Duration
-	actions    []Action
-	scratch    []*requestState
+	throttled  heap[*flow]     // by readyAt
+	seq        uint64          // of the latest request
+	nextCheck  time.Duration   // when Tick next checks the queued requests
+	actions    []Action        // result of the latest Tick
+	scratch    []*requestState // buffer of checkFlow
 }
 
 // New returns an Admission without workspaces or pools; they are created on first use.
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -8,8 +8,8 @@
 	rate    float64 // a second
 	burst   float64
 	balance float64
-	last    time.Duration
-	retries retryBacklog
+	last    time.Duration // of the latest refill
+	retries retryBacklog  // callers refused by this bucket, in its unit
 }
 
 // refill adds the tokens accrued since the last call.
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -28,7 +28,7 @@
 	state      flowState
 	index      int           // in the heap for its state, or notInHeap
 	readyAt    time.Duration // when a throttled flow becomes ready
-	retries    retryBacklog  // in work
+	retries    retryBacklog  // callers refused in this flow, in work
 }
 
 func newFlow(w *workspace, p *pool) *flow {
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// The averages of work and hold time start as if holdPrior requests had matched
-// the configured estimates, and later cover about the last 1/holdGain requests.
+// The averages of work and hold time (the time that a request keeps its slot)
+// start as if holdPrior requests had matched the configured estimates, and later
+// cover about the last 1/holdGain requests.
 const (
 	holdGain  = 0.02
 	holdPrior = 4
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -66,8 +66,8 @@
 	a.leases.add(r, now+a.cfg.LeaseTime)
 }
 
-// releaseSlot ends r's lease, frees its slot and makes the workspace's blocked
-// flows ready.
+// releaseSlot removes the running request r: it ends the lease, frees the slot and
+// makes the workspace's blocked flows ready.
 func (a *Admission) releaseSlot(r *requestState) {
 	f := r.flow
 	a.leases.remove(r)
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -15,7 +15,7 @@
 	refusalRetention = time.Minute
 )
 
-// Refusals records when requests were first refused. A request retried
+// Refusals records when requests were first refused. A request that is retried
 // under the same id has waited since then. Without the record it would be queued
 // as if it were new, and under overload the slots would go to requests that are
 // already late while new ones become late behind them. The time within the id is
