--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -7,52 +7,53 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Admission decides which requests start, wait or are refused on one daemon.
+// Admission decides on one daemon which requests start, are queued or are refused.
 type Admission struct {
 	cfg        Config
 	rng        *rand.Rand
-	epoch      time.Time // of the first call; inside, time is counted from it
-	latest     time.Duration
+	epoch      time.Time     // time of the first call; all internal times are relative to it
+	latest     time.Duration // latest time passed in
 	workspaces map[fleet.WorkspaceID]*workspace
 	pools      map[Pool]*pool
-	poolList   []*pool // in order of creation, so that runs repeat
-	requests   map[fleet.RequestID]*request
-	free       []*request
+	poolList   []*pool // in order of creation, for a deterministic order of iteration
+	requests   map[fleet.RequestID]*requestState
+	free       []*requestState // for reuse
 	leases     leases
-	asleep     heap[*flow]
-	seq        uint64
-	nextCheck  time.Duration
-	actions    []Action
-	scratch    []*request
+	throttled  heap[*flow]     // by readyAt
+	seq        uint64          // of the latest request
+	nextCheck  time.Duration   // when Tick next checks the queued requests
+	actions    []Action        // result of the latest Tick
+	scratch    []*requestState // buffer of checkFlow
 }
 
-// New returns an Admission without workspaces or pools; both come up on use.
+// New returns an Admission without workspaces or pools; they are created on first use.
 func New(cfg Config, rng *rand.Rand) *Admission {
 	a := &Admission{
 		cfg:        cfg,
 		rng:        rng,
 		workspaces: make(map[fleet.WorkspaceID]*workspace),
 		pools:      make(map[Pool]*pool),
-		requests:   make(map[fleet.RequestID]*request),
+		requests:   make(map[fleet.RequestID]*requestState),
 	}
 	a.leases.init()
-	a.asleep.less = flowWakesBefore
-	a.asleep.moved = flowMoved
+	a.throttled.less = flowReadyBefore
+	a.throttled.moved = setFlowIndex
 	return a
 }
 
-// SetLimits puts limits in force for a workspace, of which this daemon has a
-// share in [0,1]. Tokens already spent stay spent.
+// SetLimits sets a workspace's limits, of which this daemon applies the given
+// share, in [0,1]. Tokens already spent stay spent.
 func (a *Admission) SetLimits(now time.Time, id fleet.WorkspaceID, l Limits, share float64) {
-	t := a.clock(now)
+	t := a.elapsed(now)
 	w := a.workspace(t, id)
 	w.apply(t, l, share)
 	for _, f := range w.flows {
-		a.reconsider(f)
+		a.makeReady(f)
 	}
 }
 
-// Forget drops a workspace of which nothing waits or runs. It reports whether it did.
+// Forget removes a workspace if none of its requests is queued or running, and
+// reports whether it did.
 func (a *Admission) Forget(id fleet.WorkspaceID) bool {
 	w, ok := a.workspaces[id]
 	if !ok || !w.idle() {
@@ -66,30 +67,30 @@
 }
 
 // SetCapacity sets how many requests of a pool this daemon may have in flight:
-// its share of the slots that the pool's endpoints report.
+// its share of the slots reported by the pool's endpoints.
 func (a *Admission) SetCapacity(p Pool, slots int) {
 	pool := a.pool(p)
 	if slots < pool.slots {
-		a.nextCheck = 0 // what waits may no longer make its deadline: say so in the next Tick
+		a.nextCheck = 0 // queued requests may now miss their deadlines: check them in the next Tick
 	}
 	pool.slots = slots
 }
 
-// Extend renews a running request's lease. It reports false when the lease is
-// gone; the request must be offered anew before it takes more.
+// Extend renews a running request's lease. It reports false if the request
+// holds no lease; it must then be offered again before it continues.
 func (a *Admission) Extend(now time.Time, id fleet.RequestID) bool {
 	r, ok := a.requests[id]
 	if !ok || !r.running {
 		return false
 	}
-	t := a.clock(now)
+	t := a.elapsed(now)
 	a.leases.remove(r)
 	a.leases.add(r, t+a.cfg.LeaseTime)
 	return true
 }
 
-// clock turns now into time since the first call, never backwards.
-func (a *Admission) clock(now time.Time) time.Duration {
+// elapsed converts now to the time since the first call; it never decreases.
+func (a *Admission) elapsed(now time.Time) time.Duration {
 	if a.epoch.IsZero() {
 		a.epoch = now
 	}
@@ -100,8 +101,8 @@
 func (a *Admission) workspace(now time.Duration, id fleet.WorkspaceID) *workspace {
 	w, ok := a.workspaces[id]
 	if !ok {
-		w = &workspace{id: id, asked: meter{time: demandTime}, askedCost: meter{time: demandTime}}
-		w.estimates.first = a.cfg.FirstEstimate
+		w = &workspace{id: id, offered: meter{decay: demandDecay}, offeredTokens: meter{decay: demandDecay}}
+		w.estimates.initial = a.cfg.FirstEstimate
 		w.apply(now, a.cfg.Default, 1)
 		a.workspaces[id] = w
 	}
@@ -118,14 +119,14 @@
 	return p
 }
 
-// reconsider makes a flow that waited for its workspace ready; the next Tick
-// finds out whether it may start.
-func (a *Admission) reconsider(f *flow) {
+// makeReady makes a throttled or blocked flow ready; the next Tick checks
+// whether it may start a request.
+func (a *Admission) makeReady(f *flow) {
 	switch f.state {
-	case flowAsleep:
-		a.asleep.remove(f.index)
-		f.pool.enter(f)
+	case flowThrottled:
+		a.throttled.remove(f.index)
+		f.pool.pushReady(f)
 	case flowBlocked:
-		f.pool.enter(f)
+		f.pool.pushReady(f)
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,8 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// enqueue adds r to its flow's queue.
-func (a *Admission) enqueue(r *request) {
+func (a *Admission) enqueue(r *requestState) {
 	f := r.flow
 	p := f.pool
 	p.activate(f)
@@ -17,12 +16,12 @@
 	p.queued++
 	p.queuedWork += r.work
 	if f.state == flowEmpty {
-		p.enter(f)
+		p.pushReady(f)
 	}
 }
 
-// dequeue takes r out of its flow's queue.
-func (a *Admission) dequeue(r *request) {
+// dequeue removes r from its flow's queue, wherever it is in it.
+func (a *Admission) dequeue(r *requestState) {
 	f := r.flow
 	p := f.pool
 	f.queue.remove(r.index)
@@ -33,27 +32,27 @@
 	if f.queue.len() > 0 {
 		return
 	}
-	a.unqueue(f)
+	a.detach(f)
 	p.deactivate(f)
 	if p.queued == 0 {
-		p.queuedWork = 0 // sheds the rounding of many sums
+		p.queuedWork = 0 // discards accumulated rounding errors
 	}
 	f.queuedWork = 0
 }
 
-// unqueue takes an empty flow out of whatever it waited in.
-func (a *Admission) unqueue(f *flow) {
+// detach removes an empty flow from the heap it is in, if any.
+func (a *Admission) detach(f *flow) {
 	switch f.state {
 	case flowReady:
-		f.pool.leave(f, flowEmpty)
-	case flowAsleep:
-		a.asleep.remove(f.index)
+		f.pool.removeReady(f, flowEmpty)
+	case flowThrottled:
+		a.throttled.remove(f.index)
 	}
 	f.state = flowEmpty
 }
 
 // start gives r a lease and charges its estimate.
-func (a *Admission) start(now time.Duration, r *request) {
+func (a *Admission) start(now time.Duration, r *requestState) {
 	f := r.flow
 	w, p := f.workspace, f.pool
 	p.activate(f)
@@ -61,14 +60,15 @@
 	p.running++
 	w.running++
 	w.tokens.take(now, r.cost)
-	p.charge(now, f, r.work)
+	p.advanceTags(now, f, r.work)
 	r.running = true
 	r.started = now
 	a.leases.add(r, now+a.cfg.LeaseTime)
 }
 
-// stop takes r's lease and slot back and wakes flows that waited for the slot.
-func (a *Admission) stop(r *request) {
+// releaseSlot removes the running request r: it ends the lease, frees the slot and
+// makes the workspace's blocked flows ready.
+func (a *Admission) releaseSlot(r *requestState) {
 	f := r.flow
 	a.leases.remove(r)
 	f.running--
@@ -77,27 +77,27 @@
 	f.workspace.running--
 	for _, o := range f.workspace.flows {
 		if o.state == flowBlocked {
-			a.reconsider(o)
+			a.makeReady(o)
 		}
 	}
 	delete(a.requests, r.id)
 }
 
-// activate counts f's weight when its first request comes.
+// activate adds f's weight if f has no requests yet. It must be called before
+// the first one is counted.
 func (p *pool) activate(f *flow) {
 	if !f.active() {
 		p.activeWeight += f.workspace.weight
 	}
 }
 
-// deactivate takes f's weight away after its last request.
+// deactivate subtracts f's weight if f has no requests left.
 func (p *pool) deactivate(f *flow) {
 	if !f.active() {
 		p.activeWeight -= f.workspace.weight
 	}
 }
 
-// drop forgets a flow.
 func (p *pool) drop(f *flow) {
 	for i, o := range p.flows {
 		if o == f {
@@ -107,16 +107,16 @@
 	}
 }
 
-// Release ends a request. A running one is settled on its real usage; one that
-// waits is forgotten. It reports false, and changes nothing, for a request that
-// holds no lease: a second release, or one after expiry, must not free the slot
-// of another request or settle twice.
+// Release ends a request. A running one is charged its actual usage; a queued
+// one is removed from the queue. For any other request it reports false and
+// changes nothing: a second release, or one after the lease expired, must not
+// free another request's slot or correct the charge twice.
 func (a *Admission) Release(now time.Time, id fleet.RequestID, u Usage) bool {
 	r, ok := a.requests[id]
 	if !ok {
 		return false
 	}
-	t := a.clock(now)
+	t := a.elapsed(now)
 	if !r.running {
 		a.dequeue(r)
 		delete(a.requests, id)
@@ -124,18 +124,19 @@
 		return true
 	}
 	a.settle(t, r, u)
-	a.stop(r)
+	a.releaseSlot(r)
 	a.recycle(r)
 	return true
 }
 
-// settle corrects the charge to the real usage and learns from it.
-func (a *Admission) settle(now time.Duration, r *request, u Usage) {
+// settle replaces r's estimated charge by its actual usage and updates the
+// averages from which later estimates are made.
+func (a *Admission) settle(now time.Duration, r *requestState, u Usage) {
 	w := r.flow.workspace
 	w.tokens.take(now, float64(u.PromptTokens+u.CompletionTokens)-r.cost)
 	isService := r.model == (fleet.ModelRef{})
 	if u.NotRun || !isService && u.CompletionTokens == 0 {
-		return // its times say nothing about the pool
+		return // its duration would distort the pool's averages
 	}
 	if !isService {
 		w.estimates.observe(r.model, u.CompletionTokens)
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -6,34 +6,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// request is one that waits or runs.
-type request struct {
-	id       fleet.RequestID
-	flow     *flow
-	model    fleet.ModelRef
-	cost     float64 // estimated tokens, as charged
-	work     float64 // estimated, in generated tokens
-	deadline time.Duration
-	priority int
-	seq      uint64 // order of arrival
-	index    int    // in the flow's queue
+// Pool names a set of endpoints that share one capacity: the engines that serve
+// a model, or the replicas of a plain service.
+type Pool string
 
-	running bool
-	started time.Duration
-	expires time.Duration
-	prev    *request // in leases
-	next    *request
+// Request describes a request that asks for admission.
+type Request struct {
+	ID           fleet.RequestID
+	Workspace    fleet.WorkspaceID // from the verified credential
+	Pool         Pool
+	Model        fleet.ModelRef // empty for a plain service
+	PromptTokens int
+	MaxTokens    int
+	Deadline     time.Time // latest useful start; zero means Config.MaxQueueWait from now
+	Priority     int       // among the workspace's own requests; higher goes first
 }
 
-// before orders a workspace's own queue: priority, then deadline, then arrival.
-func (r *request) before(o *request) bool {
-	if r.priority != o.priority {
-		return r.priority > o.priority
-	}
-	if r.deadline != o.deadline {
-		return r.deadline < o.deadline
-	}
-	return r.seq < o.seq
+// Usage is the actual cost of a request. The difference from the estimate is
+// charged or refunded.
+type Usage struct {
+	PromptTokens     int
+	CompletionTokens int
+	NotRun           bool // it ran nowhere: its duration is left out of the pool's averages
 }
-
-func requestMoved(r *request, index int) { r.index = index }
