--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -237,7 +237,7 @@
 // daemon lets in while it isn't heard is its own share, for which the others
 // left room: only what it let in at the beginning is counted.
 func (h *heard) moved(silence, interval time.Duration, spent map[fleet.WorkspaceID]float64) (map[fleet.WorkspaceID]float64, bool) {
-	counts := quota.Heard(silence, interval)
+	counts := quota.CountedShare(silence, interval)
 	if h.restored || silence > gap {
 		counts = 0
 	}
--- a/internal/node/keptlimits.go
+++ b/internal/node/keptlimits.go
@@ -24,7 +24,7 @@
 	// Daemons is how many there were; daemons that start again divide limits by it
 	// until they hear of each other.
 	Daemons int                              `json:"daemons"`
-	Limits  map[fleet.WorkspaceID]quota.Kept `json:"limits"`
+	Limits  map[fleet.WorkspaceID]quota.Checkpoint `json:"limits"`
 	// Crashes is what requests are held for.
 	Crashes []quarantine.Crash `json:"crashes,omitempty"`
 }
@@ -34,7 +34,7 @@
 	duties *duties
 	busy   bool
 	last   time.Time
-	limits map[fleet.WorkspaceID]quota.Kept // as written last
+	limits map[fleet.WorkspaceID]quota.Checkpoint // as written last
 }
 
 // due reports whether limits are to be written: each second, and at once where much
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -17,23 +17,23 @@
 	rate, burst float64
 	grace       float64 // how far below zero a request may start
 	level       float64
-	at          time.Time // of level
-	own         float64   // level of this daemon's own bucket
+	levelAt          time.Time // of level
+	ownLevel         float64   // level of this daemon's own bucket
 	fleet       Fleet
 	// The others' spending is known late. Meanwhile it is taken to go on as it
-	// was: predicted is what that makes since it was told last.
-	predicted  float64
+	// was: predictedOthers is what that makes since it was told last.
+	predictedOthers  float64
 	othersRate float64 // a second, smoothed
 	ownRate    float64 // a second, smoothed
 	spent      float64 // by this daemon since told
-	told       time.Time
-	refused    time.Time     // when this daemon last did
-	untold     bool          // nothing was told yet
+	othersAt       time.Time
+	refusedAt    time.Time     // when this daemon last did
+	noReportYet     bool          // nothing was told yet
 	restored   bool          // what was kept says what the others spent
-	presumed   presumed      // of the time before the start
-	interval   time.Duration // until it is told next
+	restartDebt   restartDebt      // of the time before the start
+	reportInterval   time.Duration // until it is told next
 	meanCost   float64       // of what was asked for here, smoothed; zero: nothing was
-	tolerated  float64       // beyond the limit in the window in which it is judged
+	tolerance  float64       // beyond the limit in the window in which it is judged
 	random     *rand.Rand
 }
 
@@ -41,17 +41,17 @@
 type Fleet struct {
 	// Daemons is how many there are or were lately, cut off or not.
 	Daemons int
-	// Part is the part of the rate that this daemon and those who hear of each
+	// ReachableShare is the part of the rate that this daemon and those who hear of each
 	// other may let in together: the rest belongs to daemons that may be cut off.
-	Part float64
+	ReachableShare float64
 }
 
 // NewBucket returns a bucket at now with a level: burst where the whole system
 // starts for the first time. grace is what may be let in beyond it.
 func NewBucket(now time.Time, rate, burst, level, grace float64) *Bucket {
 	return &Bucket{
-		rate: rate, burst: burst, level: min(level, burst), grace: grace, at: now,
-		told: now, untold: true, interval: startInterval, fleet: Fleet{Daemons: 1, Part: 1},
+		rate: rate, burst: burst, level: min(level, burst), grace: grace, levelAt: now,
+		othersAt: now, noReportYet: true, reportInterval: initialReportInterval, fleet: Fleet{Daemons: 1, ReachableShare: 1},
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
@@ -63,34 +63,34 @@
 	b.fill(now)
 	old := b.fleet
 	b.fleet = f
-	if f.Part < old.Part {
-		b.lose(f.Part / old.Part)
+	if f.ReachableShare < old.ReachableShare {
+		b.shrink(f.ReachableShare / old.ReachableShare)
 		return
 	}
-	b.othersRate += (f.Part - old.Part) * b.rate
+	b.othersRate += (f.ReachableShare - old.ReachableShare) * b.rate
 }
 
-// lose leaves this side its part of the level, less its part of what daemons that
+// shrink leaves this side its part of the level, less its part of what daemons that
 // are not heard any more may have spent since they were.
-func (b *Bucket) lose(left float64) {
+func (b *Bucket) shrink(left float64) {
 	spending := min(b.othersRate+b.ownRate, b.rate)
-	b.level = left * (b.level - (1-left)*spending*noticeSeconds)
+	b.level = left * (b.level - (1-left)*spending*detectionSeconds)
 }
 
-// setInterval takes how long it is until this daemon is told again.
-func (b *Bucket) setInterval(now time.Time, d time.Duration) {
+// setReportInterval takes how long it is until this daemon is told again.
+func (b *Bucket) setReportInterval(now time.Time, d time.Duration) {
 	b.fill(now)
-	b.interval = d
+	b.reportInterval = d
 }
 
-// short reports whether so little is left that the others' spending must be
+// nearLimit reports whether so little is left that the others' spending must be
 // heard of soon.
-func (b *Bucket) short(now time.Time) bool {
+func (b *Bucket) nearLimit(now time.Time) bool {
 	if b.rate <= 0 {
 		return false
 	}
 	b.fill(now)
-	return b.left() < shortShare*b.burst
+	return b.available() < nearLimitShare*b.burst
 }
 
 // SetLimit takes a changed limit. A smaller burst binds at once.
@@ -100,83 +100,83 @@
 	b.level = min(b.level, burst)
 }
 
-// Others takes what all other daemons have spent since it was told last. What
+// AddOthers takes what all other daemons have spent since it was told last. What
 // was spent in a silence counts in part: the level stood still meanwhile.
-func (b *Bucket) Others(now time.Time, spent float64) {
+func (b *Bucket) AddOthers(now time.Time, spent float64) {
 	b.fill(now)
-	d := now.Sub(b.told)
-	b.level = min(b.level-spent*Heard(d, b.interval), b.burst)
+	d := now.Sub(b.othersAt)
+	b.level = min(b.level-spent*CountedShare(d, b.reportInterval), b.burst)
 	switch {
 	case d <= 0:
-	case !b.untold:
-		b.learn(spent/d.Seconds(), b.spent/d.Seconds(), 1-math.Exp(-d.Seconds()/rateSeconds))
+	case !b.noReportYet:
+		b.updateRates(spent/d.Seconds(), b.spent/d.Seconds(), 1-math.Exp(-d.Seconds()/rateSeconds))
 	case b.restored:
-		b.learn(spent/d.Seconds(), b.spent/d.Seconds(), 1)
+		b.updateRates(spent/d.Seconds(), b.spent/d.Seconds(), 1)
 	}
-	b.heard(now)
+	b.markUpdated(now)
 }
 
-// learn takes what the others and this daemon have spent a second, with a weight against
+// updateRates takes what the others and this daemon have spent a second, with a weight against
 // what was known before.
-func (b *Bucket) learn(others, own, weight float64) {
+func (b *Bucket) updateRates(others, own, weight float64) {
 	b.othersRate += (others - b.othersRate) * weight
 	b.ownRate += (own - b.ownRate) * weight
 }
 
-// Hear notes that the others are heard, though not what they have spent: a hub
+// ApplyPrediction notes that the others are heard, though not what they have spent: a hub
 // that is new begins with nothing. They are taken to have spent as before.
-func (b *Bucket) Hear(now time.Time) {
+func (b *Bucket) ApplyPrediction(now time.Time) {
 	b.fill(now)
-	b.level -= b.predicted
-	b.heard(now)
+	b.level -= b.predictedOthers
+	b.markUpdated(now)
 }
 
-func (b *Bucket) heard(now time.Time) {
-	b.predicted, b.spent = 0, 0
-	b.told, b.untold = now, false
+func (b *Bucket) markUpdated(now time.Time) {
+	b.predictedOthers, b.spent = 0, 0
+	b.othersAt, b.noReportYet = now, false
 }
 
-// Heard returns the part of a silence for which the level is filled as if the
+// CountedShare returns the part of a silence for which the level is filled as if the
 // silent side were heard, where reports come at an interval.
-func Heard(silence, interval time.Duration) float64 {
-	after := silentAfter(interval)
+func CountedShare(silence, interval time.Duration) float64 {
+	after := staleAfter(interval)
 	if silence <= after {
 		return 1
 	}
 	return after.Seconds() / silence.Seconds()
 }
 
-// silentAfter is how long after it was told last a daemon counts on no more than
+// staleAfter is how long after it was told last a daemon counts on no more than
 // its own share, where it should be told at an interval: one report may be late
 // by half of that, and an answer by answerSlack.
-func silentAfter(interval time.Duration) time.Duration { return interval*3/2 + answerSlack }
+func staleAfter(interval time.Duration) time.Duration { return interval*3/2 + answerSlack }
 
 // Take lets a request of a cost in, or says after how long it could be.
 func (b *Bucket) Take(now time.Time, cost float64) (wait time.Duration, ok bool) {
 	b.fill(now)
-	b.asked(cost)
-	if b.rate <= 0 || b.plenty(cost) {
+	b.observeCost(cost)
+	if b.rate <= 0 || b.ample(cost) {
 		b.spend(cost)
 		return 0, true
 	}
 	if b.fleet.Daemons == 1 {
-		return waitFor((b.needs(cost) - b.left()) / b.rate), false
+		return boundedWait((b.requiredLevel(cost) - b.available()) / b.rate), false
 	}
 	if b.sparse() {
-		return b.draw(cost)
+		return b.admitByChance(cost)
 	}
-	need := min(b.asks(cost), b.depth())
-	if b.own < need {
-		b.refused = now
-		return waitFor((need - b.own) / b.ownFill()), false
+	need := min(b.requiredOwnLevel(cost), b.depth())
+	if b.ownLevel < need {
+		b.refusedAt = now
+		return boundedWait((need - b.ownLevel) / b.ownFill()), false
 	}
-	b.own -= cost
+	b.ownLevel -= cost
 	b.spend(cost)
 	return 0, true
 }
 
-// asked notes the cost of a request.
-func (b *Bucket) asked(cost float64) {
+// observeCost notes the cost of a request.
+func (b *Bucket) observeCost(cost float64) {
 	if b.meanCost == 0 {
 		b.meanCost = cost
 		return
@@ -189,40 +189,40 @@
 // each daemon's, let in as a debt, is more than is tolerated.
 func (b *Bucket) sparse() bool {
 	debts := float64(b.fleet.Daemons) * b.meanCost
-	return b.fleet.Daemons > 1 && debts > b.tolerated && !b.alone() && b.meanCost > sparseSeconds*b.rate*b.share()
+	return b.fleet.Daemons > 1 && debts > b.tolerance && !b.stale() && b.meanCost > sparseSeconds*b.rate*b.share()
 }
 
-// draw lets a request in by chance, so that of all daemons as many do as their savings
+// admitByChance lets a request in by chance, so that of all daemons as many do as their savings
 // make whole requests. Large requests have the same chance as small ones.
-func (b *Bucket) draw(cost float64) (wait time.Duration, ok bool) {
-	if b.random.Float64()*b.meanCost >= b.own {
-		b.refused = b.at
-		return waitFor((b.meanCost - b.own) / b.ownFill()), false
+func (b *Bucket) admitByChance(cost float64) (wait time.Duration, ok bool) {
+	if b.random.Float64()*b.meanCost >= b.ownLevel {
+		b.refusedAt = b.levelAt
+		return boundedWait((b.meanCost - b.ownLevel) / b.ownFill()), false
 	}
-	b.own -= cost
+	b.ownLevel -= cost
 	b.spend(cost)
 	return 0, true
 }
 
-// plenty reports whether a cost can be let in whatever the others do.
-func (b *Bucket) plenty(cost float64) bool {
-	if b.alone() {
+// ample reports whether a cost can be let in whatever the others do.
+func (b *Bucket) ample(cost float64) bool {
+	if b.stale() {
 		return false
 	}
-	return b.left() >= b.needs(cost)+b.reserve()
+	return b.available() >= b.requiredLevel(cost)+b.reserve()
 }
 
-// needs returns what must be left for a cost. Half of it must be there, the
+// requiredLevel returns what must be left for a cost. Half of it must be there, the
 // rest is left as a debt: were its whole cost asked for, the largest requests
 // would hardly ever be let in; were none, the small ones would be refused for
 // the large ones' debts.
-func (b *Bucket) needs(cost float64) float64 { return min(debtShare*cost, b.burst) }
+func (b *Bucket) requiredLevel(cost float64) float64 { return min(debtShare*cost, b.burst) }
 
-// asks returns what the own bucket must hold for a cost. A daemon that isn't
+// requiredOwnLevel returns what the own bucket must hold for a cost. A daemon that isn't
 // told what the others spend leaves no debt: they don't know of it, and those of
 // a whole fleet add up.
-func (b *Bucket) asks(cost float64) float64 {
-	if b.alone() {
+func (b *Bucket) requiredOwnLevel(cost float64) float64 {
+	if b.stale() {
 		return cost
 	}
 	return debtShare * cost
@@ -230,14 +230,14 @@
 
 func (b *Bucket) spend(cost float64) {
 	b.spent += cost
-	if !b.alone() {
+	if !b.stale() {
 		b.level -= cost
 	}
 }
 
-// owe takes the debt that is presumed of the time before the start, when it is due.
-func (b *Bucket) owe(now time.Time, cost float64) float64 {
-	debt := b.presumed.ask(now, cost)
+// chargeRestartDebt takes the debt that is presumed of the time before the start, when it is due.
+func (b *Bucket) chargeRestartDebt(now time.Time, cost float64) float64 {
+	debt := b.restartDebt.add(now, cost)
 	if debt > 0 {
 		b.fill(now)
 		b.spent += debt
@@ -246,8 +246,8 @@
 	return debt
 }
 
-// GiveBack returns the cost of a request that was not run.
-func (b *Bucket) GiveBack(cost float64) {
+// Refund returns the cost of a request that was not run.
+func (b *Bucket) Refund(cost float64) {
 	b.level = min(b.level+cost, b.burst)
 	b.spent -= cost
 }
@@ -256,8 +256,8 @@
 func (b *Bucket) Adopt(now time.Time, level float64) {
 	b.fill(now)
 	b.level = min(level, b.burst)
-	b.refused = time.Time{}
-	b.presumed = presumed{}
+	b.refusedAt = time.Time{}
+	b.restartDebt = restartDebt{}
 }
 
 // Level returns what could be spent now.
@@ -266,8 +266,8 @@
 	return b.level
 }
 
-// left returns what can be let in now.
-func (b *Bucket) left() float64 { return b.level + b.grace - b.predicted }
+// available returns what can be let in now.
+func (b *Bucket) available() float64 { return b.level + b.grace - b.predictedOthers }
 
 // reserve is what is shared out rather than let in as it comes. A limit that is in
 // force stays shared out until most of it is back: the demand beyond it is still
@@ -276,21 +276,21 @@
 	if b.fleet.Daemons == 1 {
 		return 0
 	}
-	if b.at.Sub(b.refused) < forceTime {
-		return forceShare * b.burst
+	if b.levelAt.Sub(b.refusedAt) < enforcedTime {
+		return enforcedReserveShare * b.burst
 	}
 	return min(reserveSeconds*b.rate, reserveShare*b.burst)
 }
 
-// alone reports whether this daemon isn't told what the others spend.
-func (b *Bucket) alone() bool {
+// stale reports whether this daemon isn't told what the others spend.
+func (b *Bucket) stale() bool {
 	switch {
 	case b.fleet.Daemons == 1:
 		return false
-	case b.untold: // the level is the start's until it is used up
+	case b.noReportYet: // the level is the start's until it is used up
 		return b.level <= 0
 	default:
-		return b.at.Sub(b.told) >= silentAfter(b.interval)
+		return b.levelAt.Sub(b.othersAt) >= staleAfter(b.reportInterval)
 	}
 }
 
@@ -299,50 +299,50 @@
 // isn't told has an even share: it knows its own jump of demand and not the
 // others', so that by what was let in each would take the largest part.
 func (b *Bucket) share() float64 {
-	if b.alone() {
+	if b.stale() {
 		return 1 / float64(b.fleet.Daemons)
 	}
-	n := max(float64(b.fleet.Daemons)*b.fleet.Part, 1)
-	even := evenShare * b.rate / n
-	return (b.ownRate + even) / (b.ownRate + b.othersRate + evenShare*b.rate)
+	n := max(float64(b.fleet.Daemons)*b.fleet.ReachableShare, 1)
+	even := evenShareWeight * b.rate / n
+	return (b.ownRate + even) / (b.ownRate + b.othersRate + evenShareWeight*b.rate)
 }
 
 // ownFill returns the rate at which the own bucket fills: above this daemon's
 // share of the limit while the common level is above zero, and below it while
 // that is in debt.
 func (b *Bucket) ownFill() float64 {
-	if b.alone() {
+	if b.stale() {
 		return b.rate * b.share()
 	}
-	factor := 1 + b.left()/(b.correction()*b.rate)
-	return b.rate * b.fleet.Part * b.share() * min(max(factor, leastFactor), mostFactor)
+	factor := 1 + b.available()/(b.correctionSeconds()*b.rate)
+	return b.rate * b.fleet.ReachableShare * b.share() * min(max(factor, minFillFactor), maxFillFactor)
 }
 
-// correction returns the seconds in which a difference of the common level from zero is
+// correctionSeconds returns the seconds in which a difference of the common level from zero is
 // made up for.
-func (b *Bucket) correction() float64 {
-	return max(correctSeconds, correctReports*b.interval.Seconds())
+func (b *Bucket) correctionSeconds() float64 {
+	return max(minCorrectionSeconds, minCorrectionReports*b.reportInterval.Seconds())
 }
 
 // depth bounds the own bucket. A daemon that leaves no debt must be able to
 // save for the largest request.
 func (b *Bucket) depth() float64 {
-	if b.alone() {
+	if b.stale() {
 		return b.burst
 	}
 	depth := depthSeconds * b.rate * b.share()
-	if b.sparse() && b.left() < b.reserve() {
+	if b.sparse() && b.available() < b.reserve() {
 		return max(depth, b.meanCost)
 	}
 	return depth
 }
 
 func (b *Bucket) fill(now time.Time) {
-	if !now.After(b.at) {
+	if !now.After(b.levelAt) {
 		return
 	}
-	silent := b.told.Add(silentAfter(b.interval))
-	if b.at.Before(silent) && now.After(silent) {
+	silent := b.othersAt.Add(staleAfter(b.reportInterval))
+	if b.levelAt.Before(silent) && now.After(silent) {
 		b.advance(silent)
 	}
 	b.advance(now)
@@ -350,17 +350,17 @@
 
 // advance fills the bucket up to a time in which its rates don't change.
 func (b *Bucket) advance(now time.Time) {
-	d := now.Sub(b.at).Seconds()
+	d := now.Sub(b.levelAt).Seconds()
 	// What a larger share has saved is let go: all daemons would spend it at once.
-	b.own = min(b.own+b.ownFill()*d, b.depth())
-	if !b.alone() {
-		b.level = min(b.level+b.rate*b.fleet.Part*d, max(b.burst*b.fleet.Part, b.level))
-		b.predicted += b.othersRate * d
+	b.ownLevel = min(b.ownLevel+b.ownFill()*d, b.depth())
+	if !b.stale() {
+		b.level = min(b.level+b.rate*b.fleet.ReachableShare*d, max(b.burst*b.fleet.ReachableShare, b.level))
+		b.predictedOthers += b.othersRate * d
 	}
-	b.at = now
+	b.levelAt = now
 }
 
-func waitFor(seconds float64) time.Duration {
+func boundedWait(seconds float64) time.Duration {
 	return time.Duration(math.Min(seconds, maxWaitSeconds) * float64(time.Second))
 }
 
@@ -375,22 +375,22 @@
 	// answerSlack is for an answer that is late, and for a hub that has died: its
 	// call ends after some hundred milliseconds.
 	answerSlack = 250 * time.Millisecond
-	// startInterval is taken for the interval of reports until it is known.
-	startInterval = 400 * time.Millisecond
-	// shortShare is the part of the burst below which a workspace's limit is
+	// initialReportInterval is taken for the interval of reports until it is known.
+	initialReportInterval = 400 * time.Millisecond
+	// nearLimitShare is the part of the burst below which a workspace's limit is
 	// short: it is used up within a report or two by a demand of several times it.
-	shortShare = 0.5
-	// noticeSeconds is about how long a daemon has been silent when it isn't
+	nearLimitShare = 0.5
+	// detectionSeconds is about how long a daemon has been silent when it isn't
 	// counted any more.
-	noticeSeconds = 1.5
+	detectionSeconds = 1.5
 	// reserveSeconds of the rate, and at most reserveShare of the burst, are
 	// shared out: about what is let in before all daemons have heard of it.
 	reserveSeconds = 0.3
 	reserveShare   = 0.25
-	// forceTime is how long a limit is taken to be in force after a refusal, and
+	// enforcedTime is how long a limit is taken to be in force after a refusal, and
 	// forceShare the part of the burst that is shared out meanwhile.
-	forceTime  = 2 * time.Second
-	forceShare = 0.75
+	enforcedTime  = 2 * time.Second
+	enforcedReserveShare = 0.75
 	// depthSeconds is how much of its share a daemon may have saved: some
 	// reports long.
 	depthSeconds = 0.5
@@ -399,14 +399,14 @@
 	sparseSeconds = 5.0
 	// costWeight is the weight of the newest request in the mean cost.
 	costWeight = 0.1
-	// correctSeconds is the time in which a difference of the common level from
+	// minCorrectionSeconds is the time in which a difference of the common level from
 	// zero is made up for: several reports long, or it swings.
-	correctSeconds = 1.0
-	// correctReports is how many reports long that is at least.
-	correctReports = 2.5
-	// leastFactor and mostFactor bound that correction.
-	leastFactor = 0.05
-	mostFactor  = 2
-	// evenShare is the weight of equal shares against what was let in lately.
-	evenShare = 0.5
+	minCorrectionSeconds = 1.0
+	// minCorrectionReports is how many reports long that is at least.
+	minCorrectionReports = 2.5
+	// minFillFactor and mostFactor bound that correction.
+	minFillFactor = 0.05
+	maxFillFactor  = 2
+	// evenShareWeight is the weight of equal shares against what was let in lately.
+	evenShareWeight = 0.5
 )
--- a/internal/quota/size_test.go
+++ b/internal/quota/fleetsize_test.go
@@ -64,7 +64,7 @@
 	limits []*quota.Quota
 	next   []time.Duration // report, by daemon
 	last   []time.Duration
-	kept   map[fleet.WorkspaceID]quota.Kept
+	kept   map[fleet.WorkspaceID]quota.Checkpoint
 	keptAt time.Duration
 	hubs   map[string]*exchange.Hub
 	seqs   []uint64
@@ -100,7 +100,7 @@
 const downTime = 500 * time.Millisecond
 
 // again starts all daemons again, which know what was kept some time ago.
-func (f *sizedFleet) again(t, ago time.Duration, kept map[fleet.WorkspaceID]quota.Kept) {
+func (f *sizedFleet) again(t, ago time.Duration, kept map[fleet.WorkspaceID]quota.Checkpoint) {
 	now := began.Add(t)
 	f.newHubs()
 	for i := range f.limits {
@@ -196,7 +196,7 @@
 func (f *sizedFleet) seen(i int, t time.Duration) int {
 	switch {
 	case t < f.met:
-		return min(f.daemons, quota.StartDaemons)
+		return min(f.daemons, quota.DefaultDaemons)
 	case !f.noticed(t):
 		return f.daemons
 	case !f.isAway(i):
@@ -249,9 +249,9 @@
 func (f *sizedFleet) keep(t time.Duration) {
 	now, ago := began.Add(t), t-f.keptAt
 	due := (t-f.phase)%time.Second == 0
-	urgent := ago >= 100*time.Millisecond && f.limits[0].Fallen(now, ago, f.kept)
+	urgent := ago >= 100*time.Millisecond && f.limits[0].CheckpointOutdated(now, ago, f.kept)
 	if due || urgent {
-		f.kept, f.keptAt = f.limits[0].Keep(now), t
+		f.kept, f.keptAt = f.limits[0].Checkpoints(now), t
 	}
 }
 
@@ -275,7 +275,7 @@
 		return exchange.MeshStartInterval(f.reporters(f.daemons))
 	case exchange.Meshed(f.daemons):
 		return exchange.MeshInterval(f.reporters(f.daemons))
-	case q.Short(began.Add(t)):
+	case q.NearLimit(began.Add(t)):
 		return exchange.UrgentInterval(f.seen(i, t))
 	default:
 		return exchange.CalmInterval(f.seen(i, t))
@@ -292,7 +292,7 @@
 	if !exchange.Meshed(f.daemons) || t%(250*time.Millisecond) != time.Duration(i%25)*playStep {
 		return false
 	}
-	return t-f.last[i] >= exchange.UrgentInterval(f.reporters(f.daemons)) && q.ShortSpent(began.Add(t))
+	return t-f.last[i] >= exchange.UrgentInterval(f.reporters(f.daemons)) && q.UnreportedNearLimit(began.Add(t))
 }
 
 // report makes a daemon's report if it is due.
@@ -303,7 +303,7 @@
 	}
 	f.last[i] = t
 	interval := f.interval(i, q, t)
-	q.SetInterval(now, interval)
+	q.SetReportInterval(now, interval)
 	f.next[i] = t + interval + time.Duration(f.rng.Int64N(int64(30*time.Millisecond)))
 	if f.isolated(i, t) {
 		return
@@ -321,7 +321,7 @@
 		f.hubs[name].Take(now, t, exchange.Part{
 			Daemon: id, Soft: relay.Soft{Spent: spent, Recent: young}, Wall: now, Seq: f.seqs[i], Spare: n > 0,
 		})
-		q.Others(now, name, f.hubs[name].Spent(now, id), young)
+		q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), young)
 	}
 }
 
@@ -512,7 +512,7 @@
 // What was kept is too old to say what was spent since, or in the future of a clock
 // that is off: nothing is let in for it.
 func TestOldKeptLimitsAreNotTaken(t *testing.T) {
-	kept := map[fleet.WorkspaceID]quota.Kept{workshop: {Left: largeRate}}
+	kept := map[fleet.WorkspaceID]quota.Checkpoint{workshop: {Left: largeRate}}
 	for _, ago := range []time.Duration{-time.Millisecond, 4 * time.Second} {
 		q := quota.New(false, quota.Tolerance{})
 		q.Configure(began, &route.Table{Workspaces: []route.Workspace{largeWorkspace}})
--- a/internal/quota/cut_test.go
+++ b/internal/quota/partition_test.go
@@ -128,7 +128,7 @@
 	id := fleet.DaemonID(fmt.Sprint(i))
 	f.hubs[name].Take(now, t, exchange.Part{Daemon: id, Soft: relay.Soft{Spent: spent}, Wall: now})
 	q.KeepHubs([]string{name})
-	q.Others(now, name, f.hubs[name].Spent(now, id), false)
+	q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), false)
 }
 
 // most returns the largest sum over a window, as a part of what a limit allows
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -12,24 +12,24 @@
 type Quota struct {
 	buckets map[fleet.WorkspaceID]*Bucket
 	spent   map[fleet.WorkspaceID]float64 // by this daemon since its start
-	refund  map[fleet.WorkspaceID]float64 // given back and not yet taken off spent
-	full    bool                          // new buckets start full
-	excess  Tolerance
+	pendingRefunds  map[fleet.WorkspaceID]float64 // given back and not yet taken off spent
+	startFull    bool                          // new buckets start full
+	tolerance  Tolerance
 	grace   float64
-	adopted bool // levels were told
-	sums    *Sums
+	levelsAdopted bool // levels were told
+	hubTotals    *HubTotals
 	daemons int     // that share the limits, as far as they hear of each other
-	lately  largest // number of daemons
-	// interval is how long it is until this daemon is told again.
-	interval time.Duration
-	kept     map[fleet.WorkspaceID]Kept // from before this daemon's start
-	keptAt   time.Time
+	recentDaemons  recentMax // number of daemons
+	// reportInterval is how long it is until this daemon is told again.
+	reportInterval time.Duration
+	checkpoints     map[fleet.WorkspaceID]Checkpoint // from before this daemon's start
+	checkpointAt   time.Time
 	random   *rand.Rand
 }
 
-// StartDaemons is the number of daemons that are taken to start together where
+// DefaultDaemons is the number of daemons that are taken to start together where
 // nobody has said how many there are.
-const StartDaemons = 12
+const DefaultDaemons = 12
 
 // graceShare is the part of the tolerated excess that is let in on purpose:
 // who judges cuts time otherwise and would find a refusal below the limit. The
@@ -44,14 +44,14 @@
 	return &Quota{
 		buckets: map[fleet.WorkspaceID]*Bucket{},
 		spent:   map[fleet.WorkspaceID]float64{},
-		refund:  map[fleet.WorkspaceID]float64{},
-		full:    full,
-		excess:  excess,
+		pendingRefunds:  map[fleet.WorkspaceID]float64{},
+		startFull:    full,
+		tolerance:  excess,
 		grace:   graceShare * excess.Amount,
-		sums:    NewSums(),
-		daemons: StartDaemons,
+		hubTotals:    NewHubTotals(),
+		daemons: DefaultDaemons,
 
-		interval: startInterval,
+		reportInterval: initialReportInterval,
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
@@ -66,17 +66,17 @@
 		w := &t.Workspaces[i]
 		if b, ok := q.buckets[w.Name]; ok {
 			b.SetLimit(now, w.Rate, w.Burst)
-			b.tolerated = q.excess.of(w.Rate, w.Burst)
+			b.tolerance = q.tolerance.of(w.Rate, w.Burst)
 			continue
 		}
 		level := -q.grace
-		if q.full {
+		if q.startFull {
 			level = w.Burst
 		}
 		b := NewBucket(now, w.Rate, w.Burst, level, q.grace)
 		b.fleet = q.fleet(now)
-		b.interval, b.random = q.interval, q.random
-		b.tolerated = q.excess.of(w.Rate, w.Burst)
+		b.reportInterval, b.random = q.reportInterval, q.random
+		b.tolerance = q.tolerance.of(w.Rate, w.Burst)
 		q.restore(now, w.Name, b)
 		q.buckets[w.Name] = b
 	}
@@ -89,7 +89,7 @@
 	if b == nil || w.Rate <= 0 {
 		return 0, true
 	}
-	if debt := b.owe(now, cost); debt > 0 {
+	if debt := b.chargeRestartDebt(now, cost); debt > 0 {
 		q.count(w.Name, debt)
 	}
 	wait, ok = b.Take(now, cost)
@@ -99,19 +99,19 @@
 	return wait, ok
 }
 
-// GiveBack returns the cost of a request that no endpoint ran.
-func (q *Quota) GiveBack(w *route.Workspace, cost float64) {
+// Refund returns the cost of a request that no endpoint ran.
+func (q *Quota) Refund(w *route.Workspace, cost float64) {
 	if b := q.buckets[w.Name]; b != nil && w.Rate > 0 {
-		b.GiveBack(cost)
-		q.refund[w.Name] += cost
+		b.Refund(cost)
+		q.pendingRefunds[w.Name] += cost
 	}
 }
 
 // count adds to what was spent, less what was given back before. The total
 // never falls: others take a total that fell for a new beginning.
 func (q *Quota) count(w fleet.WorkspaceID, cost float64) {
-	back := min(q.refund[w], cost)
-	q.refund[w] -= back
+	back := min(q.pendingRefunds[w], cost)
+	q.pendingRefunds[w] -= back
 	q.spent[w] += cost - back
 }
 
@@ -122,7 +122,7 @@
 // called at least each second: what was seen lately is forgotten in time.
 func (q *Quota) SetDaemons(now time.Time, n int) {
 	q.daemons = max(n, 1)
-	q.lately.add(now, q.daemons)
+	q.recentDaemons.add(now, q.daemons)
 	for _, b := range q.buckets {
 		b.SetFleet(now, q.fleet(now))
 	}
@@ -130,50 +130,50 @@
 
 // fleet returns what the buckets must know of the daemons.
 func (q *Quota) fleet(now time.Time) Fleet {
-	all := max(q.lately.of(now), q.daemons)
+	all := max(q.recentDaemons.value(now), q.daemons)
 	part := float64(q.daemons) / float64(all)
 	if part > 0.5 {
-		part = min(part+lostShare, 1)
+		part = min(part+takeoverShare, 1)
 	}
-	return Fleet{Daemons: all, Part: part}
+	return Fleet{Daemons: all, ReachableShare: part}
 }
 
-// SetInterval takes how long it is from now until this daemon is told again what
+// SetReportInterval takes how long it is from now until this daemon is told again what
 // the others have spent.
-func (q *Quota) SetInterval(now time.Time, d time.Duration) {
-	q.interval = d
+func (q *Quota) SetReportInterval(now time.Time, d time.Duration) {
+	q.reportInterval = d
 	for _, b := range q.buckets {
-		b.setInterval(now, d)
+		b.setReportInterval(now, d)
 	}
 }
 
-// Short reports whether some workspace has little left of its limit, so that the
+// NearLimit reports whether some workspace has little left of its limit, so that the
 // daemons must hear of each other soon.
-func (q *Quota) Short(now time.Time) bool {
+func (q *Quota) NearLimit(now time.Time) bool {
 	for _, b := range q.buckets {
-		if b.short(now) {
+		if b.nearLimit(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// ShortSpent reports whether this daemon has let in something of a workspace that has
+// UnreportedNearLimit reports whether this daemon has let in something of a workspace that has
 // little left, which the others don't know of yet.
-func (q *Quota) ShortSpent(now time.Time) bool {
+func (q *Quota) UnreportedNearLimit(now time.Time) bool {
 	for _, b := range q.buckets {
-		if b.spent > 0 && b.short(now) {
+		if b.spent > 0 && b.nearLimit(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// lostShare is the part of the limits that the larger part of a fleet takes
+// takeoverShare is the part of the limits that the larger part of a fleet takes
 // over at once from daemons it has lost: mostly they are dead, and their
 // callers come to the others. Were they cut off instead, it is within what is
 // tolerated beyond a limit.
-const lostShare = 0.04
+const takeoverShare = 0.04
 
 // Levels returns the buckets' levels, by workspace.
 func (q *Quota) Levels(now time.Time) map[fleet.WorkspaceID]float64 {
@@ -185,7 +185,7 @@
 }
 
 // LevelsKnown reports whether the levels are this daemon's own or were told.
-func (q *Quota) LevelsKnown() bool { return q.full || q.adopted }
+func (q *Quota) LevelsKnown() bool { return q.startFull || q.levelsAdopted }
 
 // Adopt takes the levels of a daemon that has run for longer, once, where this
 // one doesn't know them from its own start.
@@ -193,7 +193,7 @@
 	if q.LevelsKnown() || len(levels) == 0 {
 		return
 	}
-	q.adopted = true
+	q.levelsAdopted = true
 	for name, level := range levels {
 		if b := q.buckets[name]; b != nil {
 			b.Adopt(now, level)
@@ -201,26 +201,26 @@
 	}
 }
 
-// Others takes the totals that a hub tells of all other daemons' spending, by
+// UpdateOthers takes the totals that a hub tells of all other daemons' spending, by
 // workspace.
 //
 // recent says that the totals hold nothing but what was let in after a start of the
 // hub and of those it heard of. They count whole where this daemon has just started, too.
-func (q *Quota) Others(now time.Time, hub string, totals map[fleet.WorkspaceID]float64, recent bool) {
+func (q *Quota) UpdateOthers(now time.Time, hub string, totals map[fleet.WorkspaceID]float64, recent bool) {
 	whole := recent && !q.LevelsKnown()
-	first := q.sums.Empty()
-	added := q.sums.Add(hub, totals, whole)
+	first := q.hubTotals.Empty()
+	added := q.hubTotals.Add(hub, totals, whole)
 	for name := range totals {
 		b := q.buckets[name]
 		switch {
 		case b == nil:
 		case first && !whole:
-			b.Hear(now)
+			b.ApplyPrediction(now)
 		default:
-			b.Others(now, added[name])
+			b.AddOthers(now, added[name])
 		}
 	}
 }
 
 // KeepHubs forgets all hubs but some.
-func (q *Quota) KeepHubs(hubs []string) { q.sums.Keep(hubs) }
+func (q *Quota) KeepHubs(hubs []string) { q.hubTotals.Keep(hubs) }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -80,7 +80,7 @@
 						others += v
 					}
 				}
-				q.Others(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
+				q.UpdateOthers(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
 			}
 		}
 		allowed := rate*20 + burst
@@ -125,7 +125,7 @@
 					others += v
 				}
 			}
-			q.Others(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
+			q.UpdateOthers(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
 		}
 	}
 	allowed := rate*8 + rate
@@ -162,7 +162,7 @@
 					others += o.Spent()["w"]
 				}
 			}
-			q.Others(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
+			q.UpdateOthers(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
 		}
 	}
 	assert.Assert(t, let <= 1.25*(8*rate+rate), "let in %v of %v allowed", let, 8*rate+rate)
@@ -208,7 +208,7 @@
 // Two hubs tell the same spending from bases of their own. One of them dies
 // just after it told, and another one starts.
 func TestSumsOfSeveralHubsCountOnce(t *testing.T) {
-	s := NewSums()
+	s := NewHubTotals()
 	of := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
 	assert.Equal(t, s.Add("a", of(100), false)["w"], 0.0)
 	assert.Equal(t, s.Add("b", of(5000), false)["w"], 0.0)
@@ -227,7 +227,7 @@
 	w := route.Workspace{Name: "w", Rate: 100, Burst: 1000}
 	q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 	q.Take(start, &w, 100)
-	q.GiveBack(&w, 100)
+	q.Refund(&w, 100)
 	assert.Equal(t, q.Spent()["w"], 100.0)
 	q.Take(start, &w, 30)
 	assert.Equal(t, q.Spent()["w"], 100.0)
@@ -276,9 +276,9 @@
 // for the whole silence: what they spent in the rest is never taken off.
 func TestLevelStandsStillInASilence(t *testing.T) {
 	b := NewBucket(start, 100, 1000, 0, 0)
-	b.SetFleet(start, Fleet{Daemons: 10, Part: 1})
-	b.Hear(start)
-	assert.Equal(t, b.Level(start.Add(3*time.Second)), 100*silentAfter(startInterval).Seconds())
+	b.SetFleet(start, Fleet{Daemons: 10, ReachableShare: 1})
+	b.ApplyPrediction(start)
+	assert.Equal(t, b.Level(start.Add(3*time.Second)), 100*staleAfter(initialReportInterval).Seconds())
 }
 
 // A fleet that is killed right after a jump of demand has let in what nobody kept.
@@ -294,12 +294,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := New(false, Tolerance{Amount: 1000, Share: 1, Window: 8 * time.Second})
-			q.Restore(start, time.Second, map[fleet.WorkspaceID]Kept{"w": {Left: c.left}})
+			q.Restore(start, time.Second, map[fleet.WorkspaceID]Checkpoint{"w": {Left: c.left}})
 			q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 			for i := range 3 {
-				q.Take(start.Add(time.Duration(i)*unreported/4), &w, 100)
+				q.Take(start.Add(time.Duration(i)*unreportedTime/4), &w, 100)
 			}
-			q.Take(start.Add(unreported), &w, 10)
+			q.Take(start.Add(unreportedTime), &w, 10)
 			assert.Equal(t, q.Spent()["w"], c.want)
 		})
 	}
@@ -309,10 +309,10 @@
 func TestNothingIsPresumedOfALevelThatWasTold(t *testing.T) {
 	w := route.Workspace{Name: "w", Rate: 1000, Burst: 1000}
 	q := New(false, Tolerance{Amount: 1000, Share: 1, Window: 8 * time.Second})
-	q.Restore(start, time.Second, map[fleet.WorkspaceID]Kept{"w": {Left: 1000}})
+	q.Restore(start, time.Second, map[fleet.WorkspaceID]Checkpoint{"w": {Left: 1000}})
 	q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 	q.Take(start, &w, 100)
 	q.Adopt(start, map[fleet.WorkspaceID]float64{"w": 800})
-	q.Take(start.Add(unreported), &w, 100)
+	q.Take(start.Add(unreportedTime), &w, 100)
 	assert.Equal(t, q.Spent()["w"], 200.0)
 }
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -66,7 +66,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quota.GiveBack(a.workspace, a.cost)
+	s.quota.Refund(a.workspace, a.cost)
 }
 
 // retryNoConfiguration is when a daemon without a configuration should have
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -41,7 +41,7 @@
 		quota:    limits,
 		retry:    budget,
 		budgets:  map[string]*retry.Budget{},
-		daemons:  quota.StartDaemons,
+		daemons:  quota.DefaultDaemons,
 		rng:      rng,
 		loads:    newLoads(),
 		underway: map[fleet.EndpointID]map[*track]struct{}{},
@@ -104,14 +104,14 @@
 func (s *State) SetInterval(now time.Time, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quota.SetInterval(now, d)
+	s.quota.SetReportInterval(now, d)
 }
 
 // LimitsShort reports whether some workspace has little left of its limit.
 func (s *State) LimitsShort(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.quota.Short(now)
+	return s.quota.NearLimit(now)
 }
 
 // ShortSpent reports whether this daemon has let in something of a workspace that has
@@ -119,7 +119,7 @@
 func (s *State) ShortSpent(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.quota.ShortSpent(now)
+	return s.quota.UnreportedNearLimit(now)
 }
 
 // Soft is what daemons tell each other about the requests they carry.
@@ -149,7 +149,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quota.Adopt(now, others.Levels)
-	s.quota.Others(now, hub, others.Spent, others.Recent)
+	s.quota.UpdateOthers(now, hub, others.Spent, others.Recent)
 	if others.Load != nil {
 		s.balancer.Others(others.Load)
 	}
@@ -170,22 +170,22 @@
 }
 
 // KeepLimits returns what is to be kept of the workspaces' limits.
-func (s *State) KeepLimits(now time.Time) map[fleet.WorkspaceID]quota.Kept {
+func (s *State) KeepLimits(now time.Time) map[fleet.WorkspaceID]quota.Checkpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.quota.Keep(now)
+	return s.quota.Checkpoints(now)
 }
 
 // LimitsFallen reports whether some limit has much less left than follows from what
 // was kept some time ago.
-func (s *State) LimitsFallen(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]quota.Kept) bool {
+func (s *State) LimitsFallen(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]quota.Checkpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.quota.Fallen(now, ago, kept)
+	return s.quota.CheckpointOutdated(now, ago, kept)
 }
 
 // RestoreLimits takes what was kept of the limits some time ago.
-func (s *State) RestoreLimits(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]quota.Kept) {
+func (s *State) RestoreLimits(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]quota.Checkpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quota.Restore(now, ago, kept)
