--- a/internal/quota/fleetkill_test.go
+++ b/internal/quota/fleetkill_test.go
@@ -10,30 +10,30 @@
 
 // Guards against a limit that is let in once more by a fleet that was killed while
 // one workspace's demand had just jumped.
-func TestLimitIsKeptThroughAKillOfAllDaemons(t *testing.T) {
+func TestLimitIsKeptWhenAllDaemonsAreKilled(t *testing.T) {
 	for _, daemons := range []int{6, 9, 80, 195, 340} {
 		for _, peak := range []float64{3, 6} {
 			t.Run(fmt.Sprintf("%ddaemons_%.0flimits", daemons, peak), func(t *testing.T) {
-				most := mostThroughAKill(daemons, peak)
+				most := worstAfterKill(daemons, peak)
 				assert.Assert(t, most <= 1, "%.3f of what is tolerated", most)
 			})
 		}
 	}
 }
 
-// mostThroughAKill returns the most that is let in, as a part of what is tolerated,
+// worstAfterKill returns the most that is let in, as a part of what is tolerated,
 // over jumps at several times before the kill and writes at several phases.
-func mostThroughAKill(daemons int, peak float64) float64 {
+func worstAfterKill(daemons int, peak float64) float64 {
 	const killed = 10 * time.Second
 	worst := 0.0
 	for _, jump := range []time.Duration{100, 300, 600, 900, 1400, 3000} {
 		for phase := time.Duration(0); phase < time.Second; phase += 300 * time.Millisecond {
 			f := &sizedFleet{
-				daemons: daemons, hot: killed - jump*time.Millisecond, killed: killed,
-				phase: phase, found: 200 * time.Millisecond, peak: peak,
+				daemons: daemons, jumpAt: killed - jump*time.Millisecond, killAt: killed,
+				checkpointPhase: phase, rediscovery: 200 * time.Millisecond, peakDemand: peak,
 			}
-			f.play(uint64(jump+phase), 19*time.Second)
-			worst = max(worst, f.most())
+			f.run(uint64(jump+phase), 19*time.Second)
+			worst = max(worst, f.maxToleratedShare())
 		}
 	}
 	return worst
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestRefusedWithTheTimeUntilSomethingIsLeft(t *testing.T) {
+func TestRefusalReportsTheTimeUntilRefill(t *testing.T) {
 	b := NewBucket(start, 100, 200, 200, 0)
 	_, ok := b.Take(start, 250)
 	assert.Assert(t, ok)
@@ -26,29 +26,29 @@
 // A workspace asks for twice its limit, in small requests and in some of fifty
 // times their size. Were a request's whole cost asked for, hardly any of the
 // large ones would be let in.
-func TestLargeRequestsAreLetInAsOftenAsSmallOnes(t *testing.T) {
+func TestLargeRequestsAreNotStarved(t *testing.T) {
 	b := NewBucket(start, 1000, 1000, 1000, 0)
-	var asked, let [2]int
+	var requested, admitted [2]int
 	for i := range 4000 {
 		size, cost := 0, 10.0
 		if i%10 == 9 {
 			size, cost = 1, 500
 		}
-		asked[size]++
+		requested[size]++
 		if _, ok := b.Take(start.Add(time.Duration(i)*29500*time.Microsecond), cost); ok {
-			let[size]++
+			admitted[size]++
 		}
 	}
-	small, large := float64(let[0])/float64(asked[0]), float64(let[1])/float64(asked[1])
+	small, large := float64(admitted[0])/float64(requested[0]), float64(admitted[1])/float64(requested[1])
 	assert.Assert(t, large > 0.25*small, "%.2f of the large ones, %.2f of the small ones", large, small)
 }
 
 // Six daemons take one workspace's requests. Each hears of the others'
 // spending 300 ms late. Together they must stay within the limit and a tenth,
 // and must not refuse what is below it.
-func TestSixDaemonsKeepOneLimit(t *testing.T) {
+func TestSixDaemonsShareOneLimit(t *testing.T) {
 	const daemons, rate, burst, cost, late = 6, 1000.0, 1000.0, 10.0, 3
-	for _, asked := range []float64{0.9, 3, 7.5} {
+	for _, demand := range []float64{0.9, 3, 7.5} {
 		qs := make([]*Quota, daemons)
 		w := route.Workspace{Name: "w", Rate: rate, Burst: burst}
 		for i := range qs {
@@ -56,13 +56,13 @@
 			qs[i].Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 		}
 		var history [][]float64
-		let, want := 0.0, 0.0
+		admitted, requested := 0.0, 0.0
 		for step := range 200 { // of 100 ms
 			now := start.Add(time.Duration(step) * 100 * time.Millisecond)
-			for n := 0.0; n < asked*rate/10; n += cost {
-				want += cost
+			for n := 0.0; n < demand*rate/10; n += cost {
+				requested += cost
 				if _, ok := qs[(step+int(n/cost))%daemons].Take(now, &w, cost); ok {
-					let += cost
+					admitted += cost
 				}
 			}
 			sums := make([]float64, daemons)
@@ -84,15 +84,15 @@
 			}
 		}
 		allowed := rate*20 + burst
-		assert.Assert(t, let <= allowed*1.1, "let in %v of %v allowed", let, allowed)
-		assert.Assert(t, let >= min(want, allowed*0.95), "let in %v of %v asked for", let, want)
+		assert.Assert(t, admitted <= allowed*1.1, "let in %v of %v allowed", admitted, allowed)
+		assert.Assert(t, admitted >= min(requested, allowed*0.95), "let in %v of %v asked for", admitted, requested)
 	}
 }
 
 // A workspace's demand jumps to many times its limit at six daemons that hear
 // of each other late. What they let in beyond it must stay within what is
 // tolerated: a tenth and some.
-func TestJumpOfDemand(t *testing.T) {
+func TestDemandJumpStaysWithinTolerance(t *testing.T) {
 	const daemons, rate, late = 6, 1000.0, 3
 	w := route.Workspace{Name: "w", Rate: rate, Burst: rate}
 	qs := make([]*Quota, daemons)
@@ -101,16 +101,16 @@
 		qs[i].Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 	}
 	var history [][]float64
-	let := 0.0
+	admitted := 0.0
 	for step := range 120 { // of 100 ms
 		now := start.Add(time.Duration(step) * 100 * time.Millisecond)
-		asked := 0.5 * rate / 10
+		demand := 0.5 * rate / 10
 		if step >= 40 {
-			asked = 7.5 * rate / 10
+			demand = 7.5 * rate / 10
 		}
-		for n := 0.0; n < asked; n += 10 {
+		for n := 0.0; n < demand; n += 10 {
 			if _, ok := qs[int(n/10)%daemons].Take(now, &w, 10); ok && step >= 40 {
-				let += 10
+				admitted += 10
 			}
 		}
 		sums := make([]float64, daemons)
@@ -129,14 +129,14 @@
 		}
 	}
 	allowed := rate*8 + rate
-	assert.Assert(t, let <= 1.25*allowed, "let in %v of %v allowed", let, allowed)
-	assert.Assert(t, let >= 0.9*allowed, "let in %v of %v allowed", let, allowed)
+	assert.Assert(t, admitted <= 1.25*allowed, "let in %v of %v allowed", admitted, allowed)
+	assert.Assert(t, admitted >= 0.9*allowed, "let in %v of %v allowed", admitted, allowed)
 }
 
 // A workspace asks for several times its limit, and both hubs fall silent for
 // three seconds. Did each daemon take the others' spending to have ended with
 // what it heard last, all six would let in the whole limit.
-func TestSilentHubs(t *testing.T) {
+func TestLimitHoldsWhileHubsAreUnresponsive(t *testing.T) {
 	const daemons, rate = 6, 1000.0
 	w := route.Workspace{Name: "w", Rate: rate, Burst: rate}
 	qs := make([]*Quota, daemons)
@@ -144,12 +144,12 @@
 		qs[i] = New(true, Tolerance{})
 		qs[i].Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 	}
-	let := 0.0
+	admitted := 0.0
 	for step := range 100 { // of 100 ms
 		now := start.Add(time.Duration(step) * 100 * time.Millisecond)
 		for n := range 60 {
 			if _, ok := qs[n%daemons].Take(now, &w, 10); ok && step >= 20 {
-				let += 10
+				admitted += 10
 			}
 		}
 		if step >= 50 && step < 80 {
@@ -165,13 +165,13 @@
 			q.UpdateOthers(now, "hub", map[fleet.WorkspaceID]float64{"w": others}, false)
 		}
 	}
-	assert.Assert(t, let <= 1.25*(8*rate+rate), "let in %v of %v allowed", let, 8*rate+rate)
-	assert.Assert(t, let >= 0.7*8*rate, "let in %v of %v allowed", let, 8*rate)
+	assert.Assert(t, admitted <= 1.25*(8*rate+rate), "let in %v of %v allowed", admitted, 8*rate+rate)
+	assert.Assert(t, admitted >= 0.7*8*rate, "let in %v of %v allowed", admitted, 8*rate)
 }
 
 // A daemon is killed and starts again. Were its bucket full, every restart
 // would be worth a burst.
-func TestRestartDoesNotRefill(t *testing.T) {
+func TestRestartDoesNotRefillTheBucket(t *testing.T) {
 	q := New(false, Tolerance{Amount: 100})
 	w := route.Workspace{Name: "w", Rate: 100, Burst: 1000}
 	q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
@@ -184,7 +184,7 @@
 
 // A window's excess is tolerated by who judges. Refusing to the token would
 // refuse what they count as below the limit.
-func TestExcessIsLetInPartly(t *testing.T) {
+func TestPartOfTheToleratedExcessIsAdmitted(t *testing.T) {
 	b := NewBucket(start, 100, 200, 0, 50)
 	_, ok := b.Take(start, 99)
 	assert.Assert(t, ok)
@@ -193,7 +193,7 @@
 	assert.Equal(t, wait, 500*time.Millisecond)
 }
 
-func TestLoweredLimitBindsAtOnce(t *testing.T) {
+func TestLoweredLimitTakesEffectAtOnce(t *testing.T) {
 	q := New(true, Tolerance{})
 	w := route.Workspace{Name: "w", Rate: 100, Burst: 1000}
 	q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
@@ -207,7 +207,7 @@
 
 // Two hubs tell the same spending from bases of their own. One of them dies
 // just after it told, and another one starts.
-func TestSumsOfSeveralHubsCountOnce(t *testing.T) {
+func TestTotalsOfSeveralHubsCountOnce(t *testing.T) {
 	s := NewHubTotals()
 	of := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
 	assert.Equal(t, s.Add("a", of(100), false)["w"], 0.0)
@@ -222,7 +222,7 @@
 	assert.Equal(t, s.Add("a", of(7), false)["w"], 4.0)
 }
 
-func TestSpentNeverFalls(t *testing.T) {
+func TestSpentNeverDecreases(t *testing.T) {
 	q := New(true, Tolerance{})
 	w := route.Workspace{Name: "w", Rate: 100, Burst: 1000}
 	q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
@@ -235,46 +235,46 @@
 	assert.Equal(t, q.Spent()["w"], 120.0)
 }
 
-// letInAtRestart returns what a fleet lets in of one workspace, whose limit is a
+// admittedAfterRestart returns what a fleet lets in of one workspace, whose limit is a
 // thousand a second, in the second after all of its daemons have started again;
 // none hears of the others.
-func letInAtRestart(cost float64) float64 {
+func admittedAfterRestart(cost float64) float64 {
 	const daemons = 60
 	w := route.Workspace{Name: "w", Rate: 1000, Burst: 1000}
-	let := 0.0
+	admitted := 0.0
 	for range daemons {
 		q := New(false, Tolerance{})
 		q.SetDaemons(start, daemons)
 		q.Configure(start, &route.Table{Workspaces: []route.Workspace{w}})
 		for step := range 100 { // of 10 ms
 			if _, ok := q.Take(start.Add(time.Duration(step)*10*time.Millisecond), &w, cost); ok {
-				let += cost
+				admitted += cost
 			}
 		}
 	}
-	return let
+	return admitted
 }
 
 // All daemons of a fleet lose power at once and start again. Together they must
 // not let in more than the limit.
-func TestFleetThatStartsAgainKeepsTheLimit(t *testing.T) {
-	let := letInAtRestart(1)
-	assert.Assert(t, let <= 1000*1.1, "let in %v", let)
-	assert.Assert(t, let >= 500, "let in %v", let)
+func TestRestartedFleetKeepsTheLimit(t *testing.T) {
+	admitted := admittedAfterRestart(1)
+	assert.Assert(t, admitted <= 1000*1.1, "let in %v", admitted)
+	assert.Assert(t, admitted >= 500, "let in %v", admitted)
 }
 
 // The same fleet, and requests that cost more than a daemon's part of a second.
 // Were half of the cost left as a debt, as it may be where the level is common,
 // the debts of all daemons would add up.
-func TestFleetThatStartsAgainLeavesNoDebts(t *testing.T) {
-	let := letInAtRestart(30)
-	assert.Assert(t, let <= 1000*1.1, "let in %v", let)
+func TestRestartedFleetLeavesNoDebts(t *testing.T) {
+	admitted := admittedAfterRestart(30)
+	assert.Assert(t, admitted <= 1000*1.1, "let in %v", admitted)
 }
 
 // The hubs fall silent for three seconds in which nobody asks. The common level
 // may fill for as long as the others' spending would be counted afterwards, not
 // for the whole silence: what they spent in the rest is never taken off.
-func TestLevelStandsStillInASilence(t *testing.T) {
+func TestLevelStopsFillingWithoutReports(t *testing.T) {
 	b := NewBucket(start, 100, 1000, 0, 0)
 	b.SetFleet(start, Fleet{Daemons: 10, ReachableShare: 1})
 	b.ApplyPrediction(start)
@@ -282,7 +282,7 @@
 }
 
 // A fleet that is killed right after a jump of demand has let in what nobody kept.
-func TestDemandAfterAStartIsPresumedOfBefore(t *testing.T) {
+func TestUnreportedSpendingIsEstimatedFromDemandAfterRestart(t *testing.T) {
 	w := route.Workspace{Name: "w", Rate: 1000, Burst: 1000}
 	for _, c := range []struct {
 		name string
@@ -306,7 +306,7 @@
 }
 
 // A daemon that starts again alone is told what is left.
-func TestNothingIsPresumedOfALevelThatWasTold(t *testing.T) {
+func TestAdoptedLevelCancelsTheRestartDebt(t *testing.T) {
 	w := route.Workspace{Name: "w", Rate: 1000, Burst: 1000}
 	q := New(false, Tolerance{Amount: 1000, Share: 1, Window: 8 * time.Second})
 	q.Restore(start, time.Second, map[fleet.WorkspaceID]Checkpoint{"w": {Left: 1000}})
