--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -74,9 +74,9 @@
 // shrink reduces the level to this side's share of it, where share is the ratio of the
 // new to the old reachable share. Deducted first is what the unreachable daemons may
 // have spent before their loss was detected.
-func (b *Bucket) shrink(left float64) {
+func (b *Bucket) shrink(share float64) {
 	spending := min(b.othersRate+b.ownRate, b.rate)
-	b.level = left * (b.level - (1-left)*spending*detectionSeconds)
+	b.level = share * (b.level - (1-share)*spending*detectionSeconds)
 }
 
 // setReportInterval sets the time until the next update.
@@ -143,12 +143,12 @@
 // level fills as if reports had arrived, and spending in it is deducted. interval is
 // the time between reports. The sides of a gap must agree on it, so hubs use it as
 // well.
-func CountedShare(silence, interval time.Duration) float64 {
+func CountedShare(gap, interval time.Duration) float64 {
 	after := staleAfter(interval)
-	if silence <= after {
+	if gap <= after {
 		return 1
 	}
-	return after.Seconds() / silence.Seconds()
+	return after.Seconds() / gap.Seconds()
 }
 
 // staleAfter returns how long after the last update a daemon relies on its even share
@@ -225,7 +225,7 @@
 func (b *Bucket) requiredLevel(cost float64) float64 { return min(debtShare*cost, b.burst) }
 
 // requiredOwnLevel returns the level that a cost requires of the own bucket. A daemon
-// without updates must not run up a debt: the others don't know of it, and the debts
+// without updates must not incur a debt: the others don't know of it, and the debts
 // of a whole fleet add up.
 func (b *Bucket) requiredOwnLevel(cost float64) float64 {
 	if b.stale() {
@@ -331,7 +331,7 @@
 	return max(minCorrectionSeconds, minCorrectionReports*b.reportInterval.Seconds())
 }
 
-// depth returns the capacity of the own bucket. A daemon that must not run up a debt
+// depth returns the capacity of the own bucket. A daemon that must not incur a debt
 // has to be able to save for the largest request.
 func (b *Bucket) depth() float64 {
 	if b.stale() {
@@ -348,9 +348,9 @@
 	if !now.After(b.levelAt) {
 		return
 	}
-	silent := b.othersAt.Add(staleAfter(b.reportInterval))
-	if b.levelAt.Before(silent) && now.After(silent) {
-		b.advance(silent)
+	staleAt := b.othersAt.Add(staleAfter(b.reportInterval))
+	if b.levelAt.Before(staleAt) && now.After(staleAt) {
+		b.advance(staleAt)
 	}
 	b.advance(now)
 }
--- a/internal/quota/checkpoint.go
+++ b/internal/quota/checkpoint.go
@@ -45,13 +45,13 @@
 // CheckpointOutdated reports whether some limit has much less left than the
 // checkpoints written some time ago predict, so that new ones must be written:
 // otherwise a fleet that is killed before would admit the limit once more.
-func (q *Quota) CheckpointOutdated(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]Checkpoint) bool {
+func (q *Quota) CheckpointOutdated(now time.Time, ago time.Duration, checkpoints map[fleet.WorkspaceID]Checkpoint) bool {
 	for name, b := range q.buckets {
 		if b.rate <= 0 {
 			continue
 		}
-		off := kept[name].leftAfter(b.rate, b.burst, ago) - b.checkpoint(now).Left
-		if off > maxCheckpointDrift*(b.burst+q.tolerance.of(b.rate, b.burst)) {
+		drift := checkpoints[name].leftAfter(b.rate, b.burst, ago) - b.checkpoint(now).Left
+		if drift > maxCheckpointDrift*(b.burst+q.tolerance.of(b.rate, b.burst)) {
 			return true
 		}
 	}
@@ -59,18 +59,18 @@
 }
 
 // leftAfter returns what the limit has left some time after the checkpoint.
-func (k Checkpoint) leftAfter(rate, burst float64, later time.Duration) float64 {
-	return min(k.Left+rate*later.Seconds()-k.SpendRate*min(later, checkpointLag).Seconds(), burst)
+func (c Checkpoint) leftAfter(rate, burst float64, later time.Duration) float64 {
+	return min(c.Left+rate*later.Seconds()-c.SpendRate*min(later, checkpointLag).Seconds(), burst)
 }
 
 // Restore applies checkpoints that were written some time ago, unless this daemon has
 // had an update already. With them a fleet that restarts serves callers below their
 // limits from the first moment.
-func (q *Quota) Restore(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]Checkpoint) {
+func (q *Quota) Restore(now time.Time, ago time.Duration, checkpoints map[fleet.WorkspaceID]Checkpoint) {
 	if q.startFull || ago < 0 || ago > maxCheckpointAge {
 		return
 	}
-	q.checkpoints, q.checkpointAt = kept, now.Add(-ago)
+	q.checkpoints, q.checkpointAt = checkpoints, now.Add(-ago)
 	for name, b := range q.buckets {
 		q.restore(now, name, b)
 	}
@@ -79,8 +79,8 @@
 // restore applies a bucket's checkpoint, if there is one. Buckets that Configure
 // creates later are restored then.
 func (q *Quota) restore(now time.Time, name fleet.WorkspaceID, b *Bucket) {
-	if k, ok := q.checkpoints[name]; ok {
-		b.restore(now, now.Sub(q.checkpointAt), k, restoredExcessShare*q.tolerance.of(b.rate, b.burst))
+	if c, ok := q.checkpoints[name]; ok {
+		b.restore(now, now.Sub(q.checkpointAt), c, restoredExcessShare*q.tolerance.of(b.rate, b.burst))
 	}
 }
 
@@ -92,21 +92,21 @@
 // restore sets the level to the checkpointed one with the refill and the estimated
 // spending since, bounded by what may be spent without a checkpoint (most): the limit
 // may be lower by now. An update from a hub is newer, and leaves nothing to restore.
-func (b *Bucket) restore(now time.Time, ago time.Duration, k Checkpoint, most float64) {
+func (b *Bucket) restore(now time.Time, ago time.Duration, c Checkpoint, maxLevel float64) {
 	b.fill(now)
 	if !b.noReportYet {
 		return
 	}
-	b.restartDebt = newRestartDebt(now, b.unlimitedShare(k))
+	b.restartDebt = newRestartDebt(now, b.unlimitedShare(c))
 	// The restart debt replaces the checkpointed spending rate for the time that it
 	// covers.
-	replaced := b.restartDebt.share * k.SpendRate * min(ago, unreportedTime).Seconds()
-	b.level = min(k.leftAfter(b.rate, b.burst, ago)+replaced, most-b.grace)
+	replaced := b.restartDebt.share * c.SpendRate * min(ago, unreportedTime).Seconds()
+	b.level = min(c.leftAfter(b.rate, b.burst, ago)+replaced, maxLevel-b.grace)
 	if b.level > 0 {
 		b.ownLevel = b.depth()
 	}
-	b.othersRate, b.restored = min(k.SpendRate, b.rate), true
-	if k.Left < b.reserve() || k.SpendRate > enforcedSpendShare*b.rate {
+	b.othersRate, b.restored = min(c.SpendRate, b.rate), true
+	if c.Left < b.reserve() || c.SpendRate > enforcedSpendShare*b.rate {
 		b.refusedAt = now
 	}
 }
@@ -114,10 +114,10 @@
 // unlimitedShare returns how much of its demand the fleet may have admitted after a
 // checkpoint: all of it if the level was above the reserve, from which on requests are
 // not rationed.
-func (b *Bucket) unlimitedShare(k Checkpoint) float64 {
+func (b *Bucket) unlimitedShare(c Checkpoint) float64 {
 	reserve := b.reserve()
 	if reserve <= 0 { // a single daemon, which knows all of the spending
 		return 0
 	}
-	return k.Left / reserve
+	return c.Left / reserve
 }
--- a/internal/quota/fleetkill_test.go
+++ b/internal/quota/fleetkill_test.go
@@ -24,12 +24,12 @@
 // worstAfterKill returns the most that is admitted, as a part of what is tolerated,
 // over jumps at several times before the kill and checkpoints at several phases.
 func worstAfterKill(daemons int, peak float64) float64 {
-	const killed = 10 * time.Second
+	const killAt = 10 * time.Second
 	worst := 0.0
 	for _, jump := range []time.Duration{100, 300, 600, 900, 1400, 3000} {
 		for phase := time.Duration(0); phase < time.Second; phase += 300 * time.Millisecond {
 			f := &sizedFleet{
-				daemons: daemons, jumpAt: killed - jump*time.Millisecond, killAt: killed,
+				daemons: daemons, jumpAt: killAt - jump*time.Millisecond, killAt: killAt,
 				checkpointPhase: phase, rediscovery: 200 * time.Millisecond, peakDemand: peak,
 			}
 			f.run(uint64(jump+phase), 19*time.Second)
--- a/internal/quota/fleetsize_test.go
+++ b/internal/quota/fleetsize_test.go
@@ -101,13 +101,13 @@
 const restartTime = 500 * time.Millisecond
 
 // restart starts all daemons again, with checkpoints that were written some time ago.
-func (f *sizedFleet) restart(t, ago time.Duration, kept map[fleet.WorkspaceID]quota.Checkpoint) {
+func (f *sizedFleet) restart(t, ago time.Duration, checkpoints map[fleet.WorkspaceID]quota.Checkpoint) {
 	now := startTime.Add(t)
 	f.newHubs()
 	for i := range f.limits {
 		q := quota.New(false, tolerated)
 		q.SetRandom(f.quotaRNG)
-		q.Restore(now, ago, kept)
+		q.Restore(now, ago, checkpoints)
 		q.Configure(now, &route.Table{Workspaces: []route.Workspace{largeWorkspace}})
 		q.SetDaemons(now, f.daemons)
 		f.limits[i] = q
@@ -311,7 +311,7 @@
 		return
 	}
 	hubs := f.reportHubs(i, t)
-	young := f.justRestarted(t)
+	justRestarted := f.justRestarted(t)
 	q.KeepHubs(hubs)
 	id := fleet.DaemonID(fmt.Sprint(i))
 	f.seqs[i]++
@@ -321,9 +321,9 @@
 		}
 		spent := map[fleet.WorkspaceID]float64{testWorkspace: q.Spent()[testWorkspace]}
 		f.hubs[name].Take(now, t, exchange.Part{
-			Daemon: id, Soft: relay.Soft{Spent: spent, Recent: young}, Wall: now, Seq: f.seqs[i], Spare: n > 0,
+			Daemon: id, Soft: relay.Soft{Spent: spent, Recent: justRestarted}, Wall: now, Seq: f.seqs[i], Spare: n > 0,
 		})
-		q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), young)
+		q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), justRestarted)
 	}
 }
 
@@ -380,7 +380,7 @@
 	for _, daemons := range largeSizes() {
 		for _, c := range []struct {
 			name   string
-			hot    time.Duration
+			jumpAt time.Duration
 			cut    bool
 			killed time.Duration
 			most   float64
@@ -391,13 +391,13 @@
 			{"a jump, then all killed", 2 * time.Second, false, 8 * time.Second, 1},
 		} {
 			t.Run(fmt.Sprintf("%d daemons, %s", daemons, c.name), func(t *testing.T) {
-				f := &sizedFleet{daemons: daemons, jumpAt: c.hot, killAt: c.killed}
+				f := &sizedFleet{daemons: daemons, jumpAt: c.jumpAt, killAt: c.killed}
 				if c.cut {
 					f.cutOff, f.from, f.to = daemons*35/100, time.Second, 13*time.Second
 				}
 				f.run(1, 16*time.Second)
 				assert.Assert(t, f.maxToleratedShare() <= c.most, "%.3f of what is tolerated", f.maxToleratedShare())
-				from, to := c.hot, 13*time.Second
+				from, to := c.jumpAt, 13*time.Second
 				if c.killed > 0 {
 					to = c.killed
 				}
@@ -414,13 +414,13 @@
 // window finds it kept.
 func TestLimitIsKeptAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range fleetSizes {
-		for _, hot := range []time.Duration{500 * time.Millisecond, 6 * time.Second} {
+		for _, jumpAt := range []time.Duration{500 * time.Millisecond, 6 * time.Second} {
 			for seed := range uint64(3) {
-				f := &sizedFleet{daemons: daemons, jumpAt: hot}
+				f := &sizedFleet{daemons: daemons, jumpAt: jumpAt}
 				f.run(seed, 24*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, jump at %v, seed %d: %.3f of what is tolerated", daemons, hot, seed, f.maxToleratedShare())
+				assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, jump at %v, seed %d: %.3f of what is tolerated", daemons, jumpAt, seed, f.maxToleratedShare())
 				got := f.admittedShare(14*time.Second, 24*time.Second)
-				assert.Assert(t, got >= 0.85, "%d daemons, jump at %v, seed %d: %.2f of the limit", daemons, hot, seed, got)
+				assert.Assert(t, got >= 0.85, "%d daemons, jump at %v, seed %d: %.2f of the limit", daemons, jumpAt, seed, got)
 			}
 		}
 	}
@@ -440,12 +440,12 @@
 
 // Guards against an enforced limit that all daemons admit freely again for a moment.
 func TestEnforcedLimitStaysRationed(t *testing.T) {
-	const paidBack = 9 * time.Second
+	const debtRepaid = 9 * time.Second
 	for _, daemons := range fleetSizes {
 		for seed := range uint64(3) {
 			f := &sizedFleet{daemons: daemons, jumpAt: 3 * time.Second, peakDemand: 6}
 			f.run(seed, 25*time.Second)
-			for at := paidBack; at < 25*time.Second; at += time.Second {
+			for at := debtRepaid; at < 25*time.Second; at += time.Second {
 				got := f.admittedShare(at, at+time.Second)
 				assert.Assert(t, got <= 2, "%d daemons, seed %d, %v: %.2f of the limit in a second", daemons, seed, at, got)
 			}
@@ -458,16 +458,16 @@
 // to its share of the limit.
 func TestLimitIsKeptThroughAPartition(t *testing.T) {
 	for _, daemons := range fleetSizes {
-		for _, alone := range []bool{false, true} {
+		for _, eachAlone := range []bool{false, true} {
 			for seed := range uint64(3) {
 				f := &sizedFleet{
-					daemons: daemons, cutOff: daemons * 35 / 100, eachAlone: alone, jumpAt: 6 * time.Second,
+					daemons: daemons, cutOff: daemons * 35 / 100, eachAlone: eachAlone, jumpAt: 6 * time.Second,
 					from: time.Second, to: 13 * time.Second,
 				}
 				f.run(seed, 28*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, alone, seed, f.maxToleratedShare())
+				assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, eachAlone, seed, f.maxToleratedShare())
 				after := f.admittedShare(18*time.Second, 28*time.Second)
-				assert.Assert(t, after >= 0.85, "%d daemons, alone %v, seed %d: %.2f of the limit after the partition", daemons, alone, seed, after)
+				assert.Assert(t, after >= 0.85, "%d daemons, alone %v, seed %d: %.2f of the limit after the partition", daemons, eachAlone, seed, after)
 			}
 		}
 	}
@@ -478,16 +478,16 @@
 // may get somewhat more than the limit: a tenth more than is tolerated.
 func TestPartitionJustAfterADemandJumpAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range fleetSizes {
-		for _, alone := range []bool{false, true} {
+		for _, eachAlone := range []bool{false, true} {
 			for seed := range uint64(3) {
 				f := &sizedFleet{
-					daemons: daemons, cutOff: daemons * 35 / 100, eachAlone: alone, jumpAt: 500 * time.Millisecond,
+					daemons: daemons, cutOff: daemons * 35 / 100, eachAlone: eachAlone, jumpAt: 500 * time.Millisecond,
 					from: time.Second, to: 13 * time.Second,
 				}
 				f.run(seed, 24*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= 1.1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, alone, seed, f.maxToleratedShare())
+				assert.Assert(t, f.maxToleratedShare() <= 1.1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, eachAlone, seed, f.maxToleratedShare())
 				during := f.admittedShare(5*time.Second, 13*time.Second)
-				assert.Assert(t, during >= 0.85, "%d daemons, alone %v, seed %d: %.2f of the limit during the partition", daemons, alone, seed, during)
+				assert.Assert(t, during >= 0.85, "%d daemons, alone %v, seed %d: %.2f of the limit during the partition", daemons, eachAlone, seed, during)
 			}
 		}
 	}
@@ -497,18 +497,18 @@
 // must be served from the first moment, by the checkpointed level of a second before.
 // A workspace that asks for three times its limit must not get more than is tolerated.
 func TestRestartedFleetRestoresCheckpoints(t *testing.T) {
-	const killed = 10 * time.Second
+	const killAt = 10 * time.Second
 	for _, daemons := range fleetSizes {
 		for seed := range uint64(3) {
-			calm := &sizedFleet{daemons: daemons, jumpAt: time.Hour, killAt: killed}
-			calm.run(seed, 14*time.Second)
-			up := killed + restartTime
-			got := calm.servedShare(up, up+time.Second)
+			belowLimit := &sizedFleet{daemons: daemons, jumpAt: time.Hour, killAt: killAt}
+			belowLimit.run(seed, 14*time.Second)
+			restarted := killAt + restartTime
+			got := belowLimit.servedShare(restarted, restarted+time.Second)
 			assert.Assert(t, got >= 0.95, "%d daemons, seed %d: %.2f of the demand", daemons, seed, got)
 
-			hot := &sizedFleet{daemons: daemons, jumpAt: 2 * time.Second, killAt: killed}
-			hot.run(seed, 24*time.Second)
-			assert.Assert(t, hot.maxToleratedShare() <= 1, "%d daemons, seed %d: %.3f of what is tolerated", daemons, seed, hot.maxToleratedShare())
+			aboveLimit := &sizedFleet{daemons: daemons, jumpAt: 2 * time.Second, killAt: killAt}
+			aboveLimit.run(seed, 24*time.Second)
+			assert.Assert(t, aboveLimit.maxToleratedShare() <= 1, "%d daemons, seed %d: %.3f of what is tolerated", daemons, seed, aboveLimit.maxToleratedShare())
 		}
 	}
 }
@@ -516,11 +516,11 @@
 // A checkpoint is too old to tell what was spent since, or is from the future, as the
 // clock is off: it must not admit anything.
 func TestExpiredCheckpointsAreIgnored(t *testing.T) {
-	kept := map[fleet.WorkspaceID]quota.Checkpoint{testWorkspace: {Left: largeRate}}
+	checkpoints := map[fleet.WorkspaceID]quota.Checkpoint{testWorkspace: {Left: largeRate}}
 	for _, ago := range []time.Duration{-time.Millisecond, 4 * time.Second} {
 		q := quota.New(false, quota.Tolerance{})
 		q.Configure(startTime, &route.Table{Workspaces: []route.Workspace{largeWorkspace}})
-		q.Restore(startTime, ago, kept)
+		q.Restore(startTime, ago, checkpoints)
 		_, ok := q.Take(startTime, &largeWorkspace, meanCost)
 		assert.Assert(t, !ok, "%v ago", ago)
 	}
--- a/internal/quota/hubtotals.go
+++ b/internal/quota/hubtotals.go
@@ -21,40 +21,40 @@
 // Add takes a hub's totals and returns by how much they exceed what was applied so
 // far. A total that decreased means that the hub restarted, and sets a new base. If
 // whole is true, a new hub's first totals count in full.
-func (s *HubTotals) Add(hub string, totals map[fleet.WorkspaceID]float64, whole bool) map[fleet.WorkspaceID]float64 {
-	known := s.hubs[hub]
+func (h *HubTotals) Add(hub string, totals map[fleet.WorkspaceID]float64, whole bool) map[fleet.WorkspaceID]float64 {
+	known := h.hubs[hub]
 	if known == nil {
 		known = map[fleet.WorkspaceID]rebasedTotal{}
-		s.hubs[hub] = known
+		h.hubs[hub] = known
 	}
 	added := map[fleet.WorkspaceID]float64{}
 	for w, total := range totals {
 		t, ok := known[w]
 		if total < t.last || !ok && !whole {
-			t.base = total - s.applied[w]
+			t.base = total - h.applied[w]
 		}
 		t.last = total
 		known[w] = t
-		if now := total - t.base; now > s.applied[w] {
-			added[w] = now - s.applied[w]
-			s.applied[w] = now
+		if now := total - t.base; now > h.applied[w] {
+			added[w] = now - h.applied[w]
+			h.applied[w] = now
 		}
 	}
 	return added
 }
 
 // Empty reports whether no hub is known.
-func (s *HubTotals) Empty() bool { return len(s.hubs) == 0 }
+func (h *HubTotals) Empty() bool { return len(h.hubs) == 0 }
 
 // Keep forgets all hubs that are not listed.
-func (s *HubTotals) Keep(hubs []string) {
-	for name := range s.hubs {
+func (h *HubTotals) Keep(hubs []string) {
+	for name := range h.hubs {
 		keep := false
 		for _, h := range hubs {
 			keep = keep || h == name
 		}
 		if !keep {
-			delete(s.hubs, name)
+			delete(h.hubs, name)
 		}
 	}
 }
--- a/internal/quota/partition_test.go
+++ b/internal/quota/partition_test.go
@@ -159,16 +159,16 @@
 // spending. If each part admitted the whole limit, callers would get nearly twice the
 // limit.
 func TestPartitionedFleetKeepsOneLimit(t *testing.T) {
-	for _, away := range []int{6, 22, 40} {
+	for _, cutOff := range []int{6, 22, 40} {
 		f := &partitionedFleet{
-			daemons: 60, cutOff: away, from: 8 * time.Second, to: 20 * time.Second, jumpAt: 500 * time.Millisecond,
+			daemons: 60, cutOff: cutOff, from: 8 * time.Second, to: 20 * time.Second, jumpAt: 500 * time.Millisecond,
 			demandBefore: 0.5, demandAfter: 3, reportInterval: 400 * time.Millisecond, detection: 2 * time.Second,
 		}
 		admitted := f.run(40 * time.Second)
-		assert.Assert(t, maxWindowShare(admitted, 8*time.Second) <= 1.1, "%d cut off: admitted %.2f of what is allowed", away, maxWindowShare(admitted, 8*time.Second))
+		assert.Assert(t, maxWindowShare(admitted, 8*time.Second) <= 1.1, "%d cut off: admitted %.2f of what is allowed", cutOff, maxWindowShare(admitted, 8*time.Second))
 		during, after := admittedShare(admitted, 10*time.Second, 20*time.Second), admittedShare(admitted, 23*time.Second, 31*time.Second)
-		assert.Assert(t, during >= 0.85, "%d cut off: %.2f of the limit during the partition", away, during)
-		assert.Assert(t, after >= 0.85, "%d cut off: %.2f of the limit after the partition", away, after)
+		assert.Assert(t, during >= 0.85, "%d cut off: %.2f of the limit during the partition", cutOff, during)
+		assert.Assert(t, after >= 0.85, "%d cut off: %.2f of the limit after the partition", cutOff, after)
 	}
 }
 
@@ -176,15 +176,15 @@
 // received reports of the others' spending yet. Callers may then get somewhat more
 // than the limit until the parts detect the partition.
 func TestPartitionJustAfterADemandJump(t *testing.T) {
-	for _, away := range []int{6, 22} {
+	for _, cutOff := range []int{6, 22} {
 		f := &partitionedFleet{
-			daemons: 60, cutOff: away, from: time.Second, to: 13 * time.Second, jumpAt: 500 * time.Millisecond,
+			daemons: 60, cutOff: cutOff, from: time.Second, to: 13 * time.Second, jumpAt: 500 * time.Millisecond,
 			demandBefore: 0.5, demandAfter: 3, reportInterval: 400 * time.Millisecond, detection: 2 * time.Second,
 		}
 		admitted := f.run(40 * time.Second)
-		assert.Assert(t, maxWindowShare(admitted, 8*time.Second) <= 1.2, "%d cut off: admitted %.2f of what is allowed", away, maxWindowShare(admitted, 8*time.Second))
+		assert.Assert(t, maxWindowShare(admitted, 8*time.Second) <= 1.2, "%d cut off: admitted %.2f of what is allowed", cutOff, maxWindowShare(admitted, 8*time.Second))
 		during := admittedShare(admitted, 3*time.Second, 13*time.Second)
-		assert.Assert(t, during >= 0.85, "%d cut off: %.2f of the limit during the partition", away, during)
+		assert.Assert(t, during >= 0.85, "%d cut off: %.2f of the limit during the partition", cutOff, during)
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -38,18 +38,18 @@
 // other's reports.
 const graceShare = 0.25
 
-// New returns a Quota. full means that the whole system starts for the first time and
+// New returns a Quota. startFull means that the whole system starts for the first time and
 // buckets start full. Otherwise the spending before this process started is not known,
 // and buckets start so far below zero that nothing beyond the limit is admitted until
 // a level has been adopted or has refilled.
-func New(full bool, excess Tolerance) *Quota {
+func New(startFull bool, tolerance Tolerance) *Quota {
 	return &Quota{
 		buckets:        map[fleet.WorkspaceID]*Bucket{},
 		spent:          map[fleet.WorkspaceID]float64{},
 		pendingRefunds: map[fleet.WorkspaceID]float64{},
-		startFull:      full,
-		tolerance:      excess,
-		grace:          graceShare * excess.Amount,
+		startFull:      startFull,
+		tolerance:      tolerance,
+		grace:          graceShare * tolerance.Amount,
 		hubTotals:      NewHubTotals(),
 		daemons:        DefaultDaemons,
 
@@ -134,11 +134,11 @@
 // fleet returns the view of the fleet that buckets work with.
 func (q *Quota) fleet(now time.Time) Fleet {
 	all := max(q.recentDaemons.value(now), q.daemons)
-	part := float64(q.daemons) / float64(all)
-	if part > 0.5 {
-		part = min(part+takeoverShare, 1)
+	reachable := float64(q.daemons) / float64(all)
+	if reachable > 0.5 {
+		reachable = min(reachable+takeoverShare, 1)
 	}
-	return Fleet{Daemons: all, ReachableShare: part}
+	return Fleet{Daemons: all, ReachableShare: reachable}
 }
 
 // SetReportInterval sets the time from now until this daemon's next update of the
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -47,7 +47,7 @@
 // Together they must stay within the limit and a tenth, and must not refuse demand
 // below it.
 func TestSixDaemonsShareOneLimit(t *testing.T) {
-	const daemons, rate, burst, cost, late = 6, 1000.0, 1000.0, 10.0, 3
+	const daemons, rate, burst, cost, lagSteps = 6, 1000.0, 1000.0, 10.0, 3
 	for _, demand := range []float64{0.9, 3, 7.5} {
 		qs := make([]*Quota, daemons)
 		w := route.Workspace{Name: "w", Rate: rate, Burst: burst}
@@ -70,12 +70,12 @@
 				sums[i] = q.Spent()["w"]
 			}
 			history = append(history, sums)
-			if step < late {
+			if step < lagSteps {
 				continue
 			}
 			for i, q := range qs {
 				others := 0.0
-				for j, v := range history[step-late] {
+				for j, v := range history[step-lagSteps] {
 					if j != i {
 						others += v
 					}
@@ -93,7 +93,7 @@
 // others' spending late. What they admit beyond the limit must stay within the
 // tolerance: a tenth and some.
 func TestDemandJumpStaysWithinTolerance(t *testing.T) {
-	const daemons, rate, late = 6, 1000.0, 3
+	const daemons, rate, lagSteps = 6, 1000.0, 3
 	w := route.Workspace{Name: "w", Rate: rate, Burst: rate}
 	qs := make([]*Quota, daemons)
 	for i := range qs {
@@ -120,7 +120,7 @@
 		history = append(history, sums)
 		for i, q := range qs {
 			others := 0.0
-			for j, v := range history[max(step-late, 0)] {
+			for j, v := range history[max(step-lagSteps, 0)] {
 				if j != i {
 					others += v
 				}
@@ -209,17 +209,17 @@
 // a report, and another one starts.
 func TestTotalsOfSeveralHubsCountOnce(t *testing.T) {
 	s := NewHubTotals()
-	of := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
-	assert.Equal(t, s.Add("a", of(100), false)["w"], 0.0)
-	assert.Equal(t, s.Add("b", of(5000), false)["w"], 0.0)
-	assert.Equal(t, s.Add("a", of(110), false)["w"], 10.0)
-	assert.Equal(t, s.Add("b", of(5010), false)["w"], 0.0)
-	assert.Equal(t, s.Add("b", of(5030), false)["w"], 20.0) // a is dead
-	assert.Equal(t, s.Add("c", of(7), false)["w"], 0.0)
-	assert.Equal(t, s.Add("b", of(5035), false)["w"], 5.0)
-	assert.Equal(t, s.Add("c", of(13), false)["w"], 1.0) // 5 of it were reported by b
-	assert.Equal(t, s.Add("a", of(3), false)["w"], 0.0)  // restarted
-	assert.Equal(t, s.Add("a", of(7), false)["w"], 4.0)
+	totals := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
+	assert.Equal(t, s.Add("a", totals(100), false)["w"], 0.0)
+	assert.Equal(t, s.Add("b", totals(5000), false)["w"], 0.0)
+	assert.Equal(t, s.Add("a", totals(110), false)["w"], 10.0)
+	assert.Equal(t, s.Add("b", totals(5010), false)["w"], 0.0)
+	assert.Equal(t, s.Add("b", totals(5030), false)["w"], 20.0) // a is dead
+	assert.Equal(t, s.Add("c", totals(7), false)["w"], 0.0)
+	assert.Equal(t, s.Add("b", totals(5035), false)["w"], 5.0)
+	assert.Equal(t, s.Add("c", totals(13), false)["w"], 1.0) // 5 of it were reported by b
+	assert.Equal(t, s.Add("a", totals(3), false)["w"], 0.0)  // restarted
+	assert.Equal(t, s.Add("a", totals(7), false)["w"], 4.0)
 }
 
 func TestSpentNeverDecreases(t *testing.T) {
--- a/internal/quota/recentmax.go
+++ b/internal/quota/recentmax.go
@@ -17,29 +17,29 @@
 }
 
 // add takes the number that is current from now on.
-func (l *recentMax) add(now time.Time, n int) {
-	l.forget(now)
-	if k := len(l.counts); k > 0 {
-		l.counts[k-1].at = now // the previous number was current until now
+func (m *recentMax) add(now time.Time, n int) {
+	m.forget(now)
+	if k := len(m.counts); k > 0 {
+		m.counts[k-1].at = now // the previous number was current until now
 	}
-	for len(l.counts) > 0 && l.counts[len(l.counts)-1].n <= n {
-		l.counts = l.counts[:len(l.counts)-1]
+	for len(m.counts) > 0 && m.counts[len(m.counts)-1].n <= n {
+		m.counts = m.counts[:len(m.counts)-1]
 	}
-	l.counts = append(l.counts, daemonCount{n: n, at: now})
+	m.counts = append(m.counts, daemonCount{n: n, at: now})
 }
 
 // value returns the largest number; zero if none was ever added.
-func (l *recentMax) value(now time.Time) int {
-	l.forget(now)
-	if len(l.counts) == 0 {
+func (m *recentMax) value(now time.Time) int {
+	m.forget(now)
+	if len(m.counts) == 0 {
 		return 0
 	}
-	return l.counts[0].n
+	return m.counts[0].n
 }
 
 // forget drops expired numbers, but never the newest.
-func (l *recentMax) forget(now time.Time) {
-	for len(l.counts) > 1 && now.Sub(l.counts[0].at) > recentTime {
-		l.counts = l.counts[1:]
+func (m *recentMax) forget(now time.Time) {
+	for len(m.counts) > 1 && now.Sub(m.counts[0].at) > recentTime {
+		m.counts = m.counts[1:]
 	}
 }
--- a/internal/quota/restartdebt.go
+++ b/internal/quota/restartdebt.go
@@ -27,12 +27,12 @@
 
 // add counts a request's cost, and returns the debt once, on the first request after
 // the estimate's time.
-func (p *restartDebt) add(now time.Time, cost float64) float64 {
-	if now.Before(p.until) {
-		p.demand += cost
+func (d *restartDebt) add(now time.Time, cost float64) float64 {
+	if now.Before(d.until) {
+		d.demand += cost
 		return 0
 	}
-	debt := p.share * p.demand
-	*p = restartDebt{}
+	debt := d.share * d.demand
+	*d = restartDebt{}
 	return debt
 }
