--- a/internal/quota/hubtotals.go
+++ b/internal/quota/hubtotals.go
@@ -50,8 +50,8 @@
 func (h *HubTotals) Keep(hubs []string) {
 	for name := range h.hubs {
 		keep := false
-		for _, h := range hubs {
-			keep = keep || h == name
+		for _, hub := range hubs {
+			keep = keep || hub == name
 		}
 		if !keep {
 			delete(h.hubs, name)
--- a/internal/quota/partition_test.go
+++ b/internal/quota/partition_test.go
@@ -58,12 +58,12 @@
 	if !f.isCutOff(i) {
 		return "main", true
 	}
-	noticed := t >= f.from+f.detection && t < f.to+f.detection
-	cut := t >= f.from && t < f.to
-	if noticed {
+	detected := t >= f.from+f.detection && t < f.to+f.detection
+	partitioned := t >= f.from && t < f.to
+	if detected {
 		return "away", true
 	}
-	return "main", !cut
+	return "main", !partitioned
 }
 
 // updateDaemonCounts sets the number of reachable daemons once a second.
@@ -71,13 +71,13 @@
 	if t%time.Second != 0 {
 		return
 	}
-	apart := t >= f.from+f.detection && t < f.to+f.detection
+	detected := t >= f.from+f.detection && t < f.to+f.detection
 	for i, q := range f.limits {
 		n := f.daemons
 		switch {
-		case apart && f.isCutOff(i):
+		case detected && f.isCutOff(i):
 			n = f.cutOff
-		case apart:
+		case detected:
 			n = f.daemons - f.cutOff
 		}
 		q.SetDaemons(startTime.Add(t), n)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -112,9 +112,9 @@
 // count adds to the spent total, less pending refunds. The total never decreases:
 // others read a decrease as a restart of this daemon.
 func (q *Quota) count(w fleet.WorkspaceID, cost float64) {
-	back := min(q.pendingRefunds[w], cost)
-	q.pendingRefunds[w] -= back
-	q.spent[w] += cost - back
+	refund := min(q.pendingRefunds[w], cost)
+	q.pendingRefunds[w] -= refund
+	q.spent[w] += cost - refund
 }
 
 // Spent returns what this daemon has admitted since its start, by workspace. The map
@@ -211,13 +211,13 @@
 // well then counts them in full.
 func (q *Quota) UpdateOthers(now time.Time, hub string, totals map[fleet.WorkspaceID]float64, recent bool) {
 	whole := recent && !q.LevelsKnown()
-	first := q.hubTotals.Empty()
+	firstHub := q.hubTotals.Empty()
 	added := q.hubTotals.Add(hub, totals, whole)
 	for name := range totals {
 		b := q.buckets[name]
 		switch {
 		case b == nil:
-		case first && !whole:
+		case firstHub && !whole:
 			b.ApplyPrediction(now)
 		default:
 			b.AddOthers(now, added[name])
