--- a/internal/quota/fleetkill_test.go
+++ b/internal/quota/fleetkill_test.go
@@ -33,7 +33,7 @@
 				checkpointPhase: phase, rediscovery: 200 * time.Millisecond, peakDemand: peak,
 			}
 			f.run(uint64(jump+phase), 19*time.Second)
-			worst = max(worst, f.maxToleratedShare())
+			worst = max(worst, f.toleranceUsed())
 		}
 	}
 	return worst
--- a/internal/quota/fleetsize_test.go
+++ b/internal/quota/fleetsize_test.go
@@ -327,9 +327,9 @@
 	}
 }
 
-// maxToleratedShare returns the largest sum over the judged window, as a part of what
+// toleranceUsed returns the largest sum over the judged window, as a part of what
 // may be admitted in it, including the tolerated tenth and the excess.
-func (f *sizedFleet) maxToleratedShare() float64 {
+func (f *sizedFleet) toleranceUsed() float64 {
 	n, sum, best := int(judgedWindow/simStep), 0.0, 0.0
 	for i, v := range f.admitted {
 		sum += v
@@ -396,7 +396,7 @@
 					f.cutOff, f.from, f.to = daemons*35/100, time.Second, 13*time.Second
 				}
 				f.run(1, 16*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= c.most, "%.3f of what is tolerated", f.maxToleratedShare())
+				assert.Assert(t, f.toleranceUsed() <= c.most, "%.3f of what is tolerated", f.toleranceUsed())
 				from, to := c.jumpAt, 13*time.Second
 				if c.killed > 0 {
 					to = c.killed
@@ -418,7 +418,7 @@
 			for seed := range uint64(3) {
 				f := &sizedFleet{daemons: daemons, jumpAt: jumpAt}
 				f.run(seed, 24*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, jump at %v, seed %d: %.3f of what is tolerated", daemons, jumpAt, seed, f.maxToleratedShare())
+				assert.Assert(t, f.toleranceUsed() <= 1, "%d daemons, jump at %v, seed %d: %.3f of what is tolerated", daemons, jumpAt, seed, f.toleranceUsed())
 				got := f.admittedShare(14*time.Second, 24*time.Second)
 				assert.Assert(t, got >= 0.85, "%d daemons, jump at %v, seed %d: %.2f of the limit", daemons, jumpAt, seed, got)
 			}
@@ -433,7 +433,7 @@
 		for seed := range uint64(3) {
 			f := &sizedFleet{daemons: daemons, discoveredAt: time.Second, jumpAt: 6 * time.Second, peakDemand: 6}
 			f.run(seed, 16*time.Second)
-			assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, seed %d: %.3f of what is tolerated", daemons, seed, f.maxToleratedShare())
+			assert.Assert(t, f.toleranceUsed() <= 1, "%d daemons, seed %d: %.3f of what is tolerated", daemons, seed, f.toleranceUsed())
 		}
 	}
 }
@@ -465,7 +465,7 @@
 					from: time.Second, to: 13 * time.Second,
 				}
 				f.run(seed, 28*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= 1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, eachAlone, seed, f.maxToleratedShare())
+				assert.Assert(t, f.toleranceUsed() <= 1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, eachAlone, seed, f.toleranceUsed())
 				after := f.admittedShare(18*time.Second, 28*time.Second)
 				assert.Assert(t, after >= 0.85, "%d daemons, alone %v, seed %d: %.2f of the limit after the partition", daemons, eachAlone, seed, after)
 			}
@@ -485,7 +485,7 @@
 					from: time.Second, to: 13 * time.Second,
 				}
 				f.run(seed, 24*time.Second)
-				assert.Assert(t, f.maxToleratedShare() <= 1.1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, eachAlone, seed, f.maxToleratedShare())
+				assert.Assert(t, f.toleranceUsed() <= 1.1, "%d daemons, alone %v, seed %d: %.3f of what is tolerated", daemons, eachAlone, seed, f.toleranceUsed())
 				during := f.admittedShare(5*time.Second, 13*time.Second)
 				assert.Assert(t, during >= 0.85, "%d daemons, alone %v, seed %d: %.2f of the limit during the partition", daemons, eachAlone, seed, during)
 			}
@@ -508,7 +508,7 @@
 
 			aboveLimit := &sizedFleet{daemons: daemons, jumpAt: 2 * time.Second, killAt: killAt}
 			aboveLimit.run(seed, 24*time.Second)
-			assert.Assert(t, aboveLimit.maxToleratedShare() <= 1, "%d daemons, seed %d: %.3f of what is tolerated", daemons, seed, aboveLimit.maxToleratedShare())
+			assert.Assert(t, aboveLimit.toleranceUsed() <= 1, "%d daemons, seed %d: %.3f of what is tolerated", daemons, seed, aboveLimit.toleranceUsed())
 		}
 	}
 }
