--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -13,19 +13,19 @@
 
 // Balancer chooses endpoints for one daemon. It is not safe for concurrent use.
 type Balancer struct {
-	self    fleet.DataCentre
-	rng     *rand.Rand
-	members map[fleet.EndpointID]*member
-	sets    map[string][]*member // by service, without those that leave
-	listed  map[string][]*member // by service, with those that leave
-	splits  map[string]*split    // by service, while it moves to another version
-	settled map[string][]*member // by service of several versions, those of the one that has served longest
-	// versions are those that have served longest, by service.
-	versions map[string]string
-	table    *route.Table
-	rate     rate
-	scratch  []*member
-	homes    []*member
+	self        fleet.DataCentre
+	rng         *rand.Rand
+	members     map[fleet.EndpointID]*member
+	active      map[string][]*member // by service, without those that leave
+	listed      map[string][]*member // by service, with those that leave
+	splits      map[string]*split    // by service, while it moves to another version
+	established map[string][]*member // by service of several versions, those of the one that has served longest
+	// establishedVersions are those that have served longest, by service.
+	establishedVersions map[string]string
+	table               *route.Table
+	prefillRate         prefillRate
+	scratch             []*member
+	homeScratch         []*member
 }
 
 // New returns a balancer for a daemon in a data centre. The random source
@@ -35,12 +35,12 @@
 		self:    self,
 		rng:     rng,
 		members: map[fleet.EndpointID]*member{},
-		sets:    map[string][]*member{},
+		active:  map[string][]*member{},
 		splits:  map[string]*split{},
 
-		versions: map[string]string{},
-		table:    route.New(route.Table{}),
-		rate:     newRate(),
+		establishedVersions: map[string]string{},
+		table:               route.New(route.Table{}),
+		prefillRate:         newPrefillRate(),
 	}
 }
 
@@ -48,7 +48,7 @@
 func (b *Balancer) Configure(t *route.Table) {
 	b.table = t
 	for _, m := range b.members {
-		b.describe(m)
+		b.applySettings(m)
 	}
 }
 
@@ -65,30 +65,30 @@
 			b.members[e.ID] = m
 		}
 		m.Endpoint = e
-		b.describe(m)
+		b.applySettings(m)
 	}
 	for id := range b.members {
 		if !listed[id] {
 			delete(b.members, id)
 		}
 	}
-	b.sets, b.listed = map[string][]*member{}, map[string][]*member{}
+	b.active, b.listed = map[string][]*member{}, map[string][]*member{}
 	for _, e := range all {
 		b.listed[e.Service] = append(b.listed[e.Service], b.members[e.ID])
 		if !e.Draining {
-			b.sets[e.Service] = append(b.sets[e.Service], b.members[e.ID])
+			b.active[e.Service] = append(b.active[e.Service], b.members[e.ID])
 		}
 	}
-	b.divideAll()
-	b.settle()
+	b.rebuildSplits()
+	b.findEstablished()
 }
 
-// describe takes the service's description of its engines into a member.
-func (b *Balancer) describe(m *member) {
+// applySettings takes the service's description of its engines into a member.
+func (b *Balancer) applySettings(m *member) {
 	s := b.table.Service(m.Service)
-	m.engine = s != nil && s.Engine != nil
-	if m.engine {
-		m.parts.room = s.Engine.CacheTokens
+	m.isEngine = s != nil && s.Engine != nil
+	if m.isEngine {
+		m.parts.capacity = s.Engine.CacheTokens
 		m.fetchSeconds = s.Engine.FetchSeconds
 		if m.Slots == 0 {
 			m.Slots = s.Engine.Slots
@@ -96,16 +96,16 @@
 	}
 }
 
-// Others takes the load of all other daemons, by endpoint; endpoints that are
+// SetOthers takes the load of all other daemons, by endpoint; endpoints that are
 // missing have none.
-func (b *Balancer) Others(load Loads) {
+func (b *Balancer) SetOthers(load Loads) {
 	for _, m := range b.members {
 		m.others = load[rendezvous.Short(m.hash)]
 	}
 }
 
-// Own returns this daemon's load.
-func (b *Balancer) Own() Loads {
+// OwnLoads returns this daemon's load.
+func (b *Balancer) OwnLoads() Loads {
 	out := Loads{}
 	for _, m := range b.members {
 		if m.own.Requests > 0 {
@@ -116,9 +116,9 @@
 }
 
 // Pick chooses an endpoint; ok is false where the service has none left.
-func (b *Balancer) Pick(now time.Time, a *Ask) (c Choice, ok bool) {
+func (b *Balancer) Pick(now time.Time, a *Request) (c Choice, ok bool) {
 	set := b.candidates(a)
-	home := b.home(a.subject(), set)
+	home := b.homeOf(a.affinityKey(), set)
 	held := b.findSources(a, set)
 	for _, avoided := range [...]bool{false, true} {
 		best := b.cheapest(now, a, set, home, &held, avoided)
@@ -131,7 +131,7 @@
 
 // cheapest returns a member of the least cost, drawn from those that are about
 // equal; nil where none may be chosen.
-func (b *Balancer) cheapest(now time.Time, a *Ask, set []*member, home *member, held *sources, avoided bool) *member {
+func (b *Balancer) cheapest(now time.Time, a *Request, set []*member, home *member, held *sources, avoided bool) *member {
 	var best *member
 	least, equal := 0.0, 0
 	for _, m := range set {
@@ -140,9 +140,9 @@
 		}
 		cost := b.cost(now, a, m, m == home, held)
 		switch {
-		case best == nil || cost < least-equalSeconds:
+		case best == nil || cost < least-tieSeconds:
 			best, least, equal = m, cost, 1
-		case cost < least+equalSeconds:
+		case cost < least+tieSeconds:
 			equal++
 			if b.rng.IntN(equal) == 0 {
 				best = m
@@ -163,40 +163,40 @@
 }
 
 // Sent notes an attempt at an endpoint.
-func (b *Balancer) Sent(a *Ask, c Choice) {
+func (b *Balancer) Sent(a *Request, c Choice) {
 	m := b.member(c)
 	if m == nil {
 		return
 	}
 	m.own.Requests++
-	m.own.Unread += a.Prompt - c.Cached
+	m.own.PendingPrefill += a.Prompt - c.Cached
 	m.parts.add(a.Parts)
 }
 
-// ReadRate returns the prompt tokens that an engine reads a second.
-func (b *Balancer) ReadRate() float64 { return b.rate.perSecond }
+// PrefillRate returns the prompt tokens that an engine reads a second.
+func (b *Balancer) PrefillRate() float64 { return b.prefillRate.perSecond }
 
-// First notes an attempt's first token, some seconds after it was sent.
-func (b *Balancer) First(a *Ask, c Choice, seconds float64) {
-	b.rate.observe(a.Prompt-c.Cached, seconds)
-	b.read(a, c)
+// FirstToken notes an attempt's first token, some seconds after it was sent.
+func (b *Balancer) FirstToken(a *Request, c Choice, seconds float64) {
+	b.prefillRate.observe(a.Prompt-c.Cached, seconds)
+	b.prefilled(a, c)
 }
 
-// read takes an attempt's prompt off what its endpoint has to read.
-func (b *Balancer) read(a *Ask, c Choice) {
+// prefilled takes an attempt's prompt off what its endpoint has to prefilled.
+func (b *Balancer) prefilled(a *Request, c Choice) {
 	if m := b.member(c); m != nil {
-		m.own.Unread = max(m.own.Unread-(a.Prompt-c.Cached), 0)
+		m.own.PendingPrefill = max(m.own.PendingPrefill-(a.Prompt-c.Cached), 0)
 	}
 }
 
 // Done notes an attempt's end. first says whether First was called.
-func (b *Balancer) Done(now time.Time, a *Ask, c Choice, first bool, o Outcome) {
+func (b *Balancer) Done(now time.Time, a *Request, c Choice, first bool, o Outcome) {
 	m := b.member(c)
 	if m == nil {
 		return
 	}
 	if !first {
-		b.read(a, c)
+		b.prefilled(a, c)
 	}
 	m.own.Requests = max(m.own.Requests-1, 0)
 	m.observe(now, o)
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -16,16 +16,16 @@
 
 var start = time.Unix(1000, 0)
 
-func balancer(seed uint64, endpoints int) *Balancer {
+func newTestBalancer(seed uint64, endpoints int) *Balancer {
 	b := New("a", rand.New(rand.NewPCG(seed, 1)))
 	b.Configure(route.New(route.Table{Services: []route.Service{
 		{Name: "llm", Engine: &route.Engine{Slots: 48, CacheTokens: 700_000}}, {Name: "app"},
 	}}))
-	b.SetEndpoints(fleetOf(endpoints))
+	b.SetEndpoints(testEndpoints(endpoints))
 	return b
 }
 
-func fleetOf(n int) []roster.Endpoint {
+func testEndpoints(n int) []roster.Endpoint {
 	all := make([]roster.Endpoint, n)
 	for i := range all {
 		all[i] = roster.Endpoint{
@@ -36,16 +36,16 @@
 	return all
 }
 
-func diagnosis(subject uint64) *Ask {
-	return &Ask{Service: "llm", Prompt: 12000, Output: 380, Parts: []Part{{1, 500}, {subject, 4900}, {subject << 32, 6600}}}
+func requestWithPrefix(subject uint64) *Request {
+	return &Request{Service: "llm", Prompt: 12000, Output: 380, Parts: []Part{{1, 500}, {subject, 4900}, {subject << 32, 6600}}}
 }
 
 // Two daemons that share nothing but the list get requests on one subject. Did
 // they disagree, each engine would read the subject's history anew.
-func TestDaemonsAgreeOnASubjectsHome(t *testing.T) {
+func TestDaemonsAgreeOnTheHomeOfAPrefix(t *testing.T) {
 	for subject := uint64(2); subject < 50; subject++ {
-		a, _ := balancer(subject, 18).Pick(start, diagnosis(subject))
-		b, _ := balancer(subject+1000, 18).Pick(start, diagnosis(subject))
+		a, _ := newTestBalancer(subject, 18).Pick(start, requestWithPrefix(subject))
+		b, _ := newTestBalancer(subject+1000, 18).Pick(start, requestWithPrefix(subject))
 		assert.Equal(t, a.Endpoint.ID, b.Endpoint.ID)
 		assert.Assert(t, a.Home)
 	}
@@ -53,11 +53,11 @@
 
 // A burst on one subject: its home has prompts of many seconds to read. Sent
 // there all the same, all would be late while other engines idle.
-func TestBusyHomeSpills(t *testing.T) {
-	b := balancer(1, 18)
+func TestRequestsSpillFromABusyHome(t *testing.T) {
+	b := newTestBalancer(1, 18)
 	seen := map[fleet.EndpointID]bool{}
 	for i := range uint64(200) {
-		q := diagnosis(7)
+		q := requestWithPrefix(7)
 		q.Parts[2].ID += i
 		c, ok := b.Pick(start, q)
 		assert.Assert(t, ok)
@@ -69,18 +69,18 @@
 
 // All daemons hear at once that one engine is empty. Each counts what it sends
 // there itself, so that they don't all send everything to it.
-func TestOldLoadCausesNoHerd(t *testing.T) {
+func TestStaleLoadCausesNoHerd(t *testing.T) {
 	const daemons = 8
 	sent := map[fleet.EndpointID]int{}
 	for d := range uint64(daemons) {
-		b := balancer(d, 18)
+		b := newTestBalancer(d, 18)
 		load := Loads{}
-		for _, e := range fleetOf(18)[1:] {
+		for _, e := range testEndpoints(18)[1:] {
 			load[rendezvous.ShortOf(string(e.ID))] = Load{Requests: 12}
 		}
-		b.Others(load)
+		b.SetOthers(load)
 		for i := range uint64(40) {
-			q := &Ask{Service: "llm", Prompt: 600, Output: 290, Parts: []Part{{d<<32 + i, 600}}}
+			q := &Request{Service: "llm", Prompt: 600, Output: 290, Parts: []Part{{d<<32 + i, 600}}}
 			c, _ := b.Pick(start, q)
 			b.Sent(q, c)
 			sent[c.Endpoint.ID]++
@@ -90,8 +90,8 @@
 }
 
 func TestTriedEndpointsAreNotChosenAgain(t *testing.T) {
-	b := balancer(1, 3)
-	q := diagnosis(7)
+	b := newTestBalancer(1, 3)
+	q := requestWithPrefix(7)
 	for range 3 {
 		c, ok := b.Pick(start, q)
 		assert.Assert(t, ok)
@@ -101,27 +101,27 @@
 	assert.Assert(t, !ok)
 }
 
-func TestLeavingEndpointsGetNothing(t *testing.T) {
-	b := balancer(1, 2)
-	all := fleetOf(2)
+func TestDrainingEndpointsGetNoRequests(t *testing.T) {
+	b := newTestBalancer(1, 2)
+	all := testEndpoints(2)
 	all[0].Draining = true
 	b.SetEndpoints(all)
 	for subject := range uint64(20) {
-		c, ok := b.Pick(start, diagnosis(subject+2))
+		c, ok := b.Pick(start, requestWithPrefix(subject+2))
 		assert.Assert(t, ok)
 		assert.Equal(t, c.Endpoint.ID, all[1].ID)
 	}
 	all[1].Draining = true
 	b.SetEndpoints(all)
-	_, ok := b.Pick(start, diagnosis(2))
+	_, ok := b.Pick(start, requestWithPrefix(2))
 	assert.Assert(t, !ok)
 }
 
 // An engine fails half of what it gets while its health checks pass. It must
 // get little after the first failures, and get requests again after a while.
 func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
-	b := balancer(1, 6)
-	q := func(i int) *Ask { return &Ask{Service: "llm", Prompt: 600, Parts: []Part{{uint64(i), 600}}} }
+	b := newTestBalancer(1, 6)
+	q := func(i int) *Request { return &Request{Service: "llm", Prompt: 600, Parts: []Part{{uint64(i), 600}}} }
 	failed := 0
 	now := start
 	for i := range 200 {
@@ -153,33 +153,33 @@
 // All endpoints of a service fail. Refusing everything would be worse than
 // trying them.
 func TestAvoidedEndpointsAreUsedWhenThereIsNoOther(t *testing.T) {
-	b := balancer(1, 2)
+	b := newTestBalancer(1, 2)
 	for range 6 {
-		q := diagnosis(3)
+		q := requestWithPrefix(3)
 		c, ok := b.Pick(start, q)
 		assert.Assert(t, ok)
 		b.Sent(q, c)
-		b.Done(start, q, c, false, Unreached)
+		b.Done(start, q, c, false, Unreachable)
 	}
-	_, ok := b.Pick(start, diagnosis(3))
+	_, ok := b.Pick(start, requestWithPrefix(3))
 	assert.Assert(t, ok)
 }
 
-func TestLoadGoesWithItsRequests(t *testing.T) {
-	b := balancer(1, 1)
-	q := diagnosis(3)
+func TestLoadEndsWithItsRequests(t *testing.T) {
+	b := newTestBalancer(1, 1)
+	q := requestWithPrefix(3)
 	c, _ := b.Pick(start, q)
 	b.Sent(q, c)
-	assert.Equal(t, b.Own()[rendezvous.ShortOf("e0")].Requests, 1)
-	assert.Assert(t, b.Own()[rendezvous.ShortOf("e0")].Unread > 0)
-	b.First(q, c, 0.2)
-	assert.Equal(t, b.Own()[rendezvous.ShortOf("e0")].Unread, 0)
+	assert.Equal(t, b.OwnLoads()[rendezvous.ShortOf("e0")].Requests, 1)
+	assert.Assert(t, b.OwnLoads()[rendezvous.ShortOf("e0")].PendingPrefill > 0)
+	b.FirstToken(q, c, 0.2)
+	assert.Equal(t, b.OwnLoads()[rendezvous.ShortOf("e0")].PendingPrefill, 0)
 	b.Done(start, q, c, true, Answered)
-	assert.Equal(t, len(b.Own()), 0)
+	assert.Equal(t, len(b.OwnLoads()), 0)
 }
 
-func TestRateIsLearnedFromLongPrompts(t *testing.T) {
-	r := newRate()
+func TestPrefillRateIsLearnedFromLongPrompts(t *testing.T) {
+	r := newPrefillRate()
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		queued := max(rng.NormFloat64(), 0) * 0.05
@@ -191,10 +191,10 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 140, 690} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := balancer(1, n)
-			asks := make([]*Ask, 320)
+			l := newTestBalancer(1, n)
+			asks := make([]*Request, 320)
 			for i := range asks {
-				asks[i] = diagnosis(uint64(i + 2))
+				asks[i] = requestWithPrefix(uint64(i + 2))
 			}
 			b.ReportAllocs()
 			i := 0
@@ -213,12 +213,12 @@
 // prompts there for memory that isn't there, and believe in a load of the past.
 // The ends of its earlier requests come later and must not be taken off the new
 // one's.
-func TestEngineThatStartsAgainIsANewOne(t *testing.T) {
-	b := balancer(1, 1)
-	before := fleetOf(1)
+func TestRestartedEngineIsANewOne(t *testing.T) {
+	b := newTestBalancer(1, 1)
+	before := testEndpoints(1)
 	before[0].Born = start
 	b.SetEndpoints(before)
-	q := diagnosis(7)
+	q := requestWithPrefix(7)
 	old, ok := b.Pick(start, q)
 	assert.Assert(t, ok)
 	b.Sent(q, old)
@@ -226,15 +226,15 @@
 	held, _ := b.Pick(start, q)
 	assert.Equal(t, held.Cached, q.Prompt)
 
-	after := fleetOf(1)
+	after := testEndpoints(1)
 	after[0].Born = start.Add(time.Second)
 	b.SetEndpoints(after)
-	assert.Equal(t, len(b.Own()), 0)
+	assert.Equal(t, len(b.OwnLoads()), 0)
 	fresh, _ := b.Pick(start, q)
 	assert.Assert(t, fresh.Cached < q.Prompt, "%d", fresh.Cached)
 	b.Sent(q, fresh)
 	b.Done(start, q, old, false, Failed)
 	b.Done(start, q, old, false, Failed)
-	assert.Equal(t, b.Own()[rendezvous.ShortOf("e0")].Requests, 1)
+	assert.Equal(t, b.OwnLoads()[rendezvous.ShortOf("e0")].Requests, 1)
 	assert.Assert(t, !b.members["e0"].avoided(start))
 }
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -8,16 +8,16 @@
 
 // candidates returns the members to weigh: all of a small set, the subject's
 // first homes and a few drawn ones of a large set. The slice is reused.
-func (b *Balancer) candidates(a *Ask) []*member {
-	set := b.set(a)
+func (b *Balancer) candidates(a *Request) []*member {
+	set := b.eligible(a)
 	if len(set) <= scanLimit {
 		return set
 	}
 	b.scratch = b.scratch[:0]
-	if key := a.subject(); key != 0 {
-		b.scratch = rank(key, set, b.scratch)
+	if key := a.affinityKey(); key != 0 {
+		b.scratch = appendHomes(key, set, b.scratch)
 	}
-	for range drawn {
+	for range sampleSize {
 		m := set[b.rng.IntN(len(set))]
 		if !slices.Contains(b.scratch, m) {
 			b.scratch = append(b.scratch, m)
@@ -26,8 +26,8 @@
 	return b.scratch
 }
 
-// home returns the subject's first home, nil without a subject.
-func (b *Balancer) home(key uint64, set []*member) *member {
+// homeOf returns the subject's first homeOf, nil without a subject.
+func (b *Balancer) homeOf(key uint64, set []*member) *member {
 	var best *member
 	var most uint64
 	if key == 0 {
@@ -41,16 +41,16 @@
 	return best
 }
 
-// rank appends the subject's first homes in a set.
-func rank(key uint64, set []*member, out []*member) []*member {
-	var scores [homes]uint64
-	var top [homes]*member
+// appendHomes appends the subject's first homes in a set.
+func appendHomes(key uint64, set []*member, out []*member) []*member {
+	var scores [homeCount]uint64
+	var top [homeCount]*member
 	for _, m := range set {
 		s := rendezvous.Mix(key, m.hash)
 		for i := range top {
 			if top[i] == nil || s > scores[i] {
-				copy(top[i+1:], top[i:homes-1])
-				copy(scores[i+1:], scores[i:homes-1])
+				copy(top[i+1:], top[i:homeCount-1])
+				copy(scores[i+1:], scores[i:homeCount-1])
 				top[i], scores[i] = m, s
 				break
 			}
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// cached returns the prompt's tokens that a member is believed to hold: what
+// cachedTokens returns the prompt's tokens that a member is believed to hold: what
 // this daemon has sent there and, at the subject's home, a part of what others
 // will have sent.
-func cached(a *Ask, m *member, home bool) int {
-	known := m.parts.holds(a.Parts)
+func cachedTokens(a *Request, m *member, home bool) int {
+	known := m.parts.prefixTokens(a.Parts)
 	if !home {
 		return known
 	}
-	return max(known, int(homeBelief*float64(a.shared())))
+	return max(known, int(homeCachedShare*float64(a.sharedTokens())))
 }
 
-// wait predicts the seconds to the first token, or of queueing at a plain service.
-func (b *Balancer) wait(a *Ask, m *member, held int) float64 {
+// predictWait predicts the seconds to the first token, or of queueing at a plain service.
+func (b *Balancer) predictWait(a *Request, m *member, held int) float64 {
 	slots := max(m.Slots, 1)
 	running := m.running()
-	turn := plainSeconds
+	turn := plainCallSeconds
 	sum := 0.0
-	if m.engine {
-		turn = turnSeconds
-		unread := m.own.Unread + m.others.Unread + max(a.Prompt-held, 0)
-		sum = float64(unread)/b.rate.perSecond + slotSeconds*float64(running)/float64(slots)
+	if m.isEngine {
+		turn = slotHoldSeconds
+		unread := m.own.PendingPrefill + m.others.PendingPrefill + max(a.Prompt-held, 0)
+		sum = float64(unread)/b.prefillRate.perSecond + fullBatchSeconds*float64(running)/float64(slots)
 	} else {
-		sum = plainSeconds * float64(running) / float64(slots)
+		sum = plainCallSeconds * float64(running) / float64(slots)
 	}
 	if over := running - slots + 1; over > 0 {
 		sum += turn * float64(over) / float64(slots)
@@ -33,27 +33,27 @@
 }
 
 // cost prices a member for a request, in seconds.
-func (b *Balancer) cost(now time.Time, a *Ask, m *member, home bool, s *sources) float64 {
-	f := b.fetchable(m, cached(a, m, home), s)
-	sum := b.wait(a, m, f.held) + f.weight
-	sum += (rereadWeight - 1) * float64(max(a.Prompt-f.held, 0)) / b.rate.perSecond
-	sum += failureSeconds * m.failing(now)
+func (b *Balancer) cost(now time.Time, a *Request, m *member, home bool, s *sources) float64 {
+	f := b.planFetch(m, cachedTokens(a, m, home), s)
+	sum := b.predictWait(a, m, f.cached) + f.costSeconds
+	sum += (recomputeWeight - 1) * float64(max(a.Prompt-f.cached, 0)) / b.prefillRate.perSecond
+	sum += failureCostSeconds * m.currentFailureShare(now)
 	if m.DataCentre != b.self {
-		sum += distance
+		sum += remoteSeconds
 	}
 	if now.Before(m.SlowUntil) {
-		sum += slowSeconds
+		sum += warmUpSeconds
 	}
 	return sum
 }
 
 // choice describes the chosen member.
-func (b *Balancer) choice(a *Ask, m, home *member, s *sources) Choice {
-	f := b.fetchable(m, cached(a, m, m == home), s)
+func (b *Balancer) choice(a *Request, m, home *member, s *sources) Choice {
+	f := b.planFetch(m, cachedTokens(a, m, m == home), s)
 	out := Choice{
 		Endpoint: m.Endpoint,
-		Cached:   f.held,
-		Wait:     b.wait(a, m, f.held),
+		Cached:   f.cached,
+		Wait:     b.predictWait(a, m, f.cached),
 		Home:     m == home,
 	}
 	if f.from != nil {
--- a/internal/balance/ask.go
+++ b/internal/balance/request.go
@@ -12,8 +12,8 @@
 	Tokens int
 }
 
-// Ask is what a choice depends on.
-type Ask struct {
+// Request is what a choice depends on.
+type Request struct {
 	Service string
 	// Parts of the prompt in order; the last belongs to this request or its
 	// session. Empty for requests without a prompt.
@@ -26,8 +26,8 @@
 	Tried []fleet.EndpointID
 }
 
-// subject returns the id of the deepest part that is shared, 0 without one.
-func (a *Ask) subject() uint64 {
+// affinityKey returns the id of the deepest part that is shared, 0 without one.
+func (a *Request) affinityKey() uint64 {
 	if len(a.Parts) < 2 {
 		return 0
 	}
@@ -53,9 +53,9 @@
 
 // The outcomes.
 const (
-	Answered  Outcome = iota // whole, by the endpoint
-	Refused                  // not run, by the endpoint's word
-	Failed                   // an error of the endpoint's, or a broken answer
-	Unreached                // no connection could be had
-	Left                     // the caller went, or its time was over
+	Answered    Outcome = iota // whole, by the endpoint
+	Refused                    // not run, by the endpoint's word
+	Failed                     // an error of the endpoint's, or a broken answer
+	Unreachable                // no connection could be had
+	Abandoned                  // the caller went, or its time was over
 )
--- a/internal/balance/source_test.go
+++ b/internal/balance/source_test.go
@@ -12,45 +12,45 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
 )
 
-// fetching is a balancer before engines that fetch a token in some seconds.
-func fetching(perToken float64, endpoints int) *Balancer {
+// fetchingBalancer is a balancer before engines that fetch a token in some seconds.
+func fetchingBalancer(perToken float64, endpoints int) *Balancer {
 	b := New("a", rand.New(rand.NewPCG(1, 1)))
 	b.Configure(route.New(route.Table{Services: []route.Service{
 		{Name: "llm", Engine: &route.Engine{Slots: 48, CacheTokens: 700_000, FetchSeconds: perToken}},
 	}}))
-	b.SetEndpoints(addressed(endpoints))
+	b.SetEndpoints(addressedEndpoints(endpoints))
 	return b
 }
 
-// addressed returns endpoints whose address is their name.
-func addressed(n int) []roster.Endpoint {
-	all := fleetOf(n)
+// addressedEndpoints returns endpoints whose address is their name.
+func addressedEndpoints(n int) []roster.Endpoint {
+	all := testEndpoints(n)
 	for i := range all {
 		all[i].Address = string(all[i].ID)
 	}
 	return all
 }
 
-// fill sends prompts to an engine until it has a second of reading before it.
-func fill(b *Balancer, c Choice) {
+// overload sends prompts to an engine until it has a second of reading before it.
+func overload(b *Balancer, c Choice) {
 	for i := range uint64(12) {
-		q := diagnosis(1000 + i)
+		q := requestWithPrefix(1000 + i)
 		b.Sent(q, Choice{Endpoint: c.Endpoint})
 	}
 }
 
 // The engine that holds a subject's history is busy. The request goes to another
 // one, which would read the whole history again: it fetches it instead.
-func TestSpilledPromptIsFetched(t *testing.T) {
-	b := fetching(2e-6, 18)
-	q := diagnosis(7)
+func TestSpilledRequestFetchesTheCachedPrefix(t *testing.T) {
+	b := fetchingBalancer(2e-6, 18)
+	q := requestWithPrefix(7)
 	home, _ := b.Pick(start, q)
 	assert.Equal(t, home.FetchFrom, "")
 	b.Sent(q, home)
-	b.First(q, home, 0.2)
-	fill(b, home)
+	b.FirstToken(q, home, 0.2)
+	overload(b, home)
 
-	other := diagnosis(7)
+	other := requestWithPrefix(7)
 	other.Parts[2].ID++ // another request on the subject
 	got, _ := b.Pick(start, other)
 	assert.Assert(t, got.Endpoint.ID != home.Endpoint.ID)
@@ -60,33 +60,33 @@
 
 // Nothing is fetched where engines can't, where the part is small, and from an
 // engine that started again. The request goes to the other engine each time.
-func TestNothingIsFetchedInVain(t *testing.T) {
-	b := fetching(0, 2)
-	q := diagnosis(7)
+func TestNoUselessFetch(t *testing.T) {
+	b := fetchingBalancer(0, 2)
+	q := requestWithPrefix(7)
 	first, _ := b.Pick(start, q)
 	b.Sent(q, first)
-	fill(b, first)
+	overload(b, first)
 	got, _ := b.Pick(start, q)
 	assert.Assert(t, got.Endpoint.ID != first.Endpoint.ID)
 	assert.Equal(t, got.FetchFrom, "")
 
-	b = fetching(2e-6, 2)
-	small := &Ask{Service: "llm", Prompt: 1600, Parts: []Part{{1, 1000}, {2, 600}}}
+	b = fetchingBalancer(2e-6, 2)
+	small := &Request{Service: "llm", Prompt: 1600, Parts: []Part{{1, 1000}, {2, 600}}}
 	b.Sent(small, first)
-	fill(b, first)
-	got, _ = b.Pick(start, &Ask{Service: "llm", Prompt: 1600, Parts: []Part{{1, 1000}, {3, 600}}})
+	overload(b, first)
+	got, _ = b.Pick(start, &Request{Service: "llm", Prompt: 1600, Parts: []Part{{1, 1000}, {3, 600}}})
 	assert.Assert(t, got.Endpoint.ID != first.Endpoint.ID)
 	assert.Equal(t, got.FetchFrom, "")
 
-	b = fetching(2e-6, 2)
-	all := addressed(2)
+	b = fetchingBalancer(2e-6, 2)
+	all := addressedEndpoints(2)
 	all[0].Born, all[1].Born = start, start
 	b.SetEndpoints(all)
 	first, _ = b.Pick(start, q)
 	b.Sent(q, first)
-	again := addressed(2)
+	again := addressedEndpoints(2)
 	again[0].Born, again[1].Born = start.Add(time.Second), start.Add(time.Second)
-	leave(again, first.Endpoint.ID)
+	drain(again, first.Endpoint.ID)
 	b.SetEndpoints(again)
 	got, _ = b.Pick(start, q)
 	assert.Assert(t, got.Endpoint.ID != first.Endpoint.ID)
@@ -94,20 +94,20 @@
 }
 
 // An engine that leaves is sent nothing any more, and has the most to give away.
-func TestLeavingEngineIsASource(t *testing.T) {
-	b := fetching(2e-6, 2)
-	q := diagnosis(7)
+func TestDrainingEngineIsAFetchSource(t *testing.T) {
+	b := fetchingBalancer(2e-6, 2)
+	q := requestWithPrefix(7)
 	first, _ := b.Pick(start, q)
 	b.Sent(q, first)
-	all := addressed(2)
-	leave(all, first.Endpoint.ID)
+	all := addressedEndpoints(2)
+	drain(all, first.Endpoint.ID)
 	b.SetEndpoints(all)
 	got, _ := b.Pick(start, q)
 	assert.Assert(t, got.Endpoint.ID != first.Endpoint.ID)
 	assert.Equal(t, got.FetchFrom, string(first.Endpoint.ID))
 }
 
-func leave(all []roster.Endpoint, id fleet.EndpointID) {
+func drain(all []roster.Endpoint, id fleet.EndpointID) {
 	for i := range all {
 		all[i].Draining = all[i].Draining || all[i].ID == id
 	}
--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -9,24 +9,24 @@
 
 // split is a service's endpoints by version, while it moves to another one.
 type split struct {
-	target string
-	spread int // endpoints of the target that are used
-	turn   uint64
-	old    []*member
-	new    []*member // those that are used now
-	all    int       // of the target
+	target      string
+	limit       int // endpoints of the target that are used
+	rotation    uint64
+	old         []*member
+	new         []*member // those that are used now
+	targetTotal int       // of the target
 }
 
 // SetSplit takes a word on a service that moves to another version of its endpoints,
 // or that has moved.
 func (b *Balancer) SetSplit(w *rollout.Word) {
 	s := b.splits[w.Service]
-	if s != nil && s.target == w.Target() && s.spread == w.Spread && s.turn == w.Turn {
+	if s != nil && s.target == w.Target() && s.limit == w.Spread && s.rotation == w.Turn {
 		return
 	}
-	s = &split{target: w.Target(), spread: w.Spread, turn: w.Turn}
+	s = &split{target: w.Target(), limit: w.Spread, rotation: w.Turn}
 	b.splits[w.Service] = s
-	b.divide(w.Service, s)
+	b.rebuildSplit(w.Service, s)
 }
 
 // DropSplit forgets a service's versions.
@@ -37,49 +37,49 @@
 func (b *Balancer) Versions(service string) (old, target int) {
 	s := b.splits[service]
 	if s == nil {
-		return len(b.sets[service]), 0
+		return len(b.active[service]), 0
 	}
-	return len(s.old), s.all
+	return len(s.old), s.targetTotal
 }
 
-func (b *Balancer) divideAll() {
+func (b *Balancer) rebuildSplits() {
 	for service, s := range b.splits {
-		b.divide(service, s)
+		b.rebuildSplit(service, s)
 	}
 }
 
-// divide sorts a service's endpoints by version, and draws those of the target that
+// rebuildSplit sorts a service's endpoints by version, and draws those of the target that
 // are used: all daemons the same, so that few have the load of many.
-func (b *Balancer) divide(service string, s *split) {
+func (b *Balancer) rebuildSplit(service string, s *split) {
 	s.old, s.new = nil, nil
-	for _, m := range b.sets[service] {
+	for _, m := range b.active[service] {
 		if m.Version == s.target {
 			s.new = append(s.new, m)
 		} else {
 			s.old = append(s.old, m)
 		}
 	}
-	s.all = len(s.new)
-	if s.spread >= s.all {
+	s.targetTotal = len(s.new)
+	if s.limit >= s.targetTotal {
 		return
 	}
 	slices.SortFunc(s.new, func(x, y *member) int {
-		if rendezvous.Mix(s.turn, x.hash) < rendezvous.Mix(s.turn, y.hash) {
+		if rendezvous.Mix(s.rotation, x.hash) < rendezvous.Mix(s.rotation, y.hash) {
 			return -1
 		}
 		return 1
 	})
-	s.new = s.new[:s.spread]
+	s.new = s.new[:s.limit]
 }
 
-// set returns the members of a service that may be chosen.
-func (b *Balancer) set(a *Ask) []*member {
+// eligible returns the members of a service that may be chosen.
+func (b *Balancer) eligible(a *Request) []*member {
 	s := b.splits[a.Service]
 	switch {
-	case s == nil && a.Side == rollout.Old && b.Mixed(a.Service):
-		return b.settled[a.Service]
+	case s == nil && a.Side == rollout.Old && b.MixedVersions(a.Service):
+		return b.established[a.Service]
 	case s == nil || a.Side == rollout.Any:
-		return b.sets[a.Service]
+		return b.active[a.Service]
 	case a.Side == rollout.New:
 		return s.new
 	default:
@@ -87,56 +87,56 @@
 	}
 }
 
-// Mixed reports whether a service has endpoints of several versions.
-func (b *Balancer) Mixed(service string) bool {
-	_, mixed := b.settled[service]
+// MixedVersions reports whether a service has endpoints of several versions.
+func (b *Balancer) MixedVersions(service string) bool {
+	_, mixed := b.established[service]
 	return mixed
 }
 
-// settle finds the version that has served longest, of services that have several.
-func (b *Balancer) settle() {
-	b.settled = map[string][]*member{}
+// findEstablished finds the version that has served longest, of services that have several.
+func (b *Balancer) findEstablished() {
+	b.established = map[string][]*member{}
 	for service, all := range b.listed {
-		version, mixed := b.settledVersion(service, all)
-		b.versions[service] = version
+		version, mixed := b.establishedVersion(service, all)
+		b.establishedVersions[service] = version
 		if !mixed {
 			continue
 		}
 		var of []*member
-		for _, m := range b.sets[service] {
+		for _, m := range b.active[service] {
 			if m.Version == version {
 				of = append(of, m)
 			}
 		}
 		if len(of) == 0 { // all of it leave
-			of = b.sets[service]
+			of = b.active[service]
 		}
-		b.settled[service] = of
+		b.established[service] = of
 	}
 }
 
-// settledVersion returns the version that has served longest, and whether there are
+// establishedVersion returns the version that has served longest, and whether there are
 // others: the one that this daemon knew alone, where it is still there, or else that
 // of the endpoint that started first. Failure: all endpoints of the old version have
 // crashed and started again, later than those of the new one. Symptom: the new
 // version is taken for the old one.
-func (b *Balancer) settledVersion(service string, all []*member) (version string, mixed bool) {
+func (b *Balancer) establishedVersion(service string, all []*member) (version string, mixed bool) {
 	first, known := all[0], false
 	for _, m := range all {
 		mixed = mixed || m.Version != all[0].Version
-		known = known || m.Version == b.versions[service]
+		known = known || m.Version == b.establishedVersions[service]
 		if m.Born.Before(first.Born) {
 			first = m
 		}
 	}
 	if known {
-		return b.versions[service], mixed
+		return b.establishedVersions[service], mixed
 	}
 	return first.Version, mixed
 }
 
-// onSide reports whether a member is of the versions that may be chosen.
-func (b *Balancer) onSide(a *Ask, m *member) bool {
+// versionAllowed reports whether a member is of the versions that may be chosen.
+func (b *Balancer) versionAllowed(a *Request, m *member) bool {
 	s := b.splits[a.Service]
 	return s == nil || a.Side == rollout.Any || (m.Version == s.target) == (a.Side == rollout.New)
 }
--- a/internal/balance/split_test.go
+++ b/internal/balance/split_test.go
@@ -28,7 +28,7 @@
 func pickedVersions(b *Balancer, side rollout.Side) (versions map[string]bool, endpoints map[fleet.EndpointID]bool) {
 	versions, endpoints = map[string]bool{}, map[fleet.EndpointID]bool{}
 	for range 200 {
-		c, ok := b.Pick(splitNow, &Ask{Service: "s", Side: side})
+		c, ok := b.Pick(splitNow, &Request{Service: "s", Side: side})
 		if ok {
 			versions[c.Endpoint.Version] = true
 			endpoints[c.Endpoint.ID] = true
@@ -60,7 +60,7 @@
 	t.Fatal("the next turn has the same endpoints")
 }
 
-func TestVersionThatHasServedLongestCountsWithoutAnOrder(t *testing.T) {
+func TestEstablishedVersionIsChosenWithoutARollout(t *testing.T) {
 	b := New("z", rand.New(rand.NewPCG(1, 2)))
 	old := versioned("v1", 3, splitNow)
 	b.SetEndpoints(append(versioned("v2", 3, splitNow.Add(time.Minute)), old...))
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -204,7 +204,7 @@
 		p.Soft.Spent[fleet.WorkspaceID(fmt.Sprint("workspace", w))] = 1e6
 	}
 	for e := range 24 {
-		p.Soft.Load[rendezvous.ShortOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, Unread: 800}
+		p.Soft.Load[rendezvous.ShortOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, PendingPrefill: 800}
 	}
 	for w := range uint64(toldInBench) {
 		p.Windows[w] = Begun{"workspace1": 3, "workspace2": 5}
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -290,7 +290,7 @@
 		t.own[id] = p.part.Soft.Load
 		for e, l := range p.part.Soft.Load {
 			sum := t.load[e]
-			t.load[e] = balance.Load{Requests: sum.Requests + l.Requests, Unread: sum.Unread + l.Unread}
+			t.load[e] = balance.Load{Requests: sum.Requests + l.Requests, PendingPrefill: sum.PendingPrefill + l.PendingPrefill}
 		}
 	}
 	return t
--- a/internal/exchange/loads.go
+++ b/internal/exchange/loads.go
@@ -24,7 +24,7 @@
 	for key, own := range l.Own {
 		left := out[key]
 		left.Requests -= own.Requests
-		left.Unread = max(left.Unread-own.Unread, 0)
+		left.PendingPrefill = max(left.PendingPrefill-own.PendingPrefill, 0)
 		if left.Requests <= 0 {
 			delete(out, key)
 			continue
@@ -45,7 +45,7 @@
 	for key, l := range m {
 		out.Endpoints = append(out.Endpoints, uint32(key))
 		out.Requests = append(out.Requests, uint32(l.Requests))
-		out.Unread = append(out.Unread, uint32((max(l.Unread, 0)+unreadUnit/2)/unreadUnit))
+		out.Unread = append(out.Unread, uint32((max(l.PendingPrefill, 0)+unreadUnit/2)/unreadUnit))
 	}
 	return out
 }
@@ -55,7 +55,7 @@
 	n := min(len(p.GetEndpoints()), len(p.GetRequests()), len(p.GetUnread()))
 	out := make(balance.Loads, n)
 	for i := range n {
-		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), Unread: int(p.Unread[i]) * unreadUnit}
+		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * unreadUnit}
 	}
 	return out
 }
--- a/internal/exchange/loads_test.go
+++ b/internal/exchange/loads_test.go
@@ -16,12 +16,12 @@
 func TestLoadsOfTheOthers(t *testing.T) {
 	h := NewHub(reports)
 	a, b := part("a", 0, 2, 0), part("b", 0, 5, 0)
-	a.Soft.Load[rendezvous.ShortOf("only a's")] = balance.Load{Requests: 1, Unread: 640}
+	a.Soft.Load[rendezvous.ShortOf("only a's")] = balance.Load{Requests: 1, PendingPrefill: 640}
 	h.Take(start, 0, a)
 	h.Take(start, 0, b)
 	assert.DeepEqual(t, h.Loads(start, "a").Others(), balance.Loads{anEndpoint: {Requests: 5}})
 	assert.DeepEqual(t, h.Loads(start, "b").Others(), balance.Loads{
-		anEndpoint: {Requests: 2}, rendezvous.ShortOf("only a's"): {Requests: 1, Unread: 640},
+		anEndpoint: {Requests: 2}, rendezvous.ShortOf("only a's"): {Requests: 1, PendingPrefill: 640},
 	})
 	assert.Equal(t, len(h.Loads(start, "new").Others()), 2)
 }
@@ -38,7 +38,7 @@
 
 // Lists that don't belong together must not end a daemon.
 func FuzzUnpackLoads(f *testing.F) {
-	seed, err := proto.Marshal(packLoads(balance.Loads{anEndpoint: {Requests: 3, Unread: 128}}))
+	seed, err := proto.Marshal(packLoads(balance.Loads{anEndpoint: {Requests: 3, PendingPrefill: 128}}))
 	assert.NilError(f, err)
 	f.Add(seed)
 	f.Add([]byte{0x0d, 1, 2, 3, 4, 0x10, 7})
--- a/internal/relay/flight.go
+++ b/internal/relay/flight.go
@@ -27,7 +27,7 @@
 	request *Request
 	admitted
 	sink  Sink
-	ask   *balance.Ask
+	ask   *balance.Request
 	tally tally
 	// begun says that the caller has the head of an answer.
 	begun bool
@@ -154,9 +154,9 @@
 	case e.class == Success && e.whole, e.class == Rejected:
 		return balance.Answered
 	case !e.reached && ctx.Err() == nil, e.class == Stranger:
-		return balance.Unreached
+		return balance.Unreachable
 	case ctx.Err() == context.Canceled:
-		return balance.Left
+		return balance.Abandoned
 	case e.verdict == verdict.NotRun:
 		return balance.Refused
 	default:
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -36,10 +36,10 @@
 func (r *Request) tokens() int { return r.Prompt + r.Output }
 
 // ask returns what the choice of an endpoint depends on.
-func (r *Request) ask(service string) *balance.Ask {
+func (r *Request) ask(service string) *balance.Request {
 	output := r.Output
 	if r.Expected > 0 {
 		output = r.Expected
 	}
-	return &balance.Ask{Service: service, Parts: r.Parts, Prompt: r.Prompt, Output: output}
+	return &balance.Request{Service: service, Parts: r.Parts, Prompt: r.Prompt, Output: output}
 }
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -140,7 +140,7 @@
 func (s *State) Own() Soft {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Soft{Spent: maps.Clone(s.quota.Spent()), Load: s.balancer.Own(), Work: s.loads.snapshot()}
+	return Soft{Spent: maps.Clone(s.quota.Spent()), Load: s.balancer.OwnLoads(), Work: s.loads.snapshot()}
 }
 
 // Others takes the sum of all other daemons' parts that a hub tells. A sum
@@ -151,7 +151,7 @@
 	s.quota.Adopt(now, others.Levels)
 	s.quota.UpdateOthers(now, hub, others.Spent, others.Recent)
 	if others.Load != nil {
-		s.balancer.Others(others.Load)
+		s.balancer.SetOthers(others.Load)
 	}
 }
 
@@ -210,7 +210,7 @@
 func (s *State) ReadRate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.balancer.ReadRate()
+	return s.balancer.PrefillRate()
 }
 
 // RetriesLeft returns what is left of the retry budgets, by service.
--- a/internal/relay/track.go
+++ b/internal/relay/track.go
@@ -99,7 +99,7 @@
 func (s *State) first(t *track) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.balancer.First(t.flight.ask, t.choice, time.Since(t.sent).Seconds())
+	s.balancer.FirstToken(t.flight.ask, t.choice, time.Since(t.sent).Seconds())
 }
 
 func (s *State) done(now time.Time, t *track, o balance.Outcome) {
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -103,7 +103,7 @@
 	v := &s.versions
 	for service := range services {
 		_, known := v.mixed[service]
-		switch mixed := s.balancer.Mixed(service); {
+		switch mixed := s.balancer.MixedVersions(service); {
 		case mixed && !known:
 			v.mixed[service] = now
 		case !mixed:
