--- a/internal/node/fetching.go
+++ b/internal/node/fetching.go
@@ -24,11 +24,11 @@
 type fetching struct {
 	node   *Node
 	offers *ring.Ring[offer]
-	fetch  *spread.Fetch
+	fetch  *spread.Fetcher
 }
 
 func newFetching(n *Node) *fetching {
-	return &fetching{node: n, offers: ring.New[offer]("offers", offerRing), fetch: spread.NewFetch()}
+	return &fetching{node: n, offers: ring.New[offer]("offers", offerRing), fetch: spread.NewFetcher()}
 }
 
 // heard notes which version another daemon has.
@@ -57,7 +57,7 @@
 		case <-ctx.Done():
 			return
 		case o := <-f.offers.C():
-			f.fetch.Heard(o.address, o.version)
+			f.fetch.Offered(o.address, o.version)
 			f.round(ctx)
 		}
 	}
@@ -66,7 +66,7 @@
 // round fetches until nothing newer is known of.
 func (f *fetching) round(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.fetch.Has(f.node.config.current().Version)
+		f.fetch.Applied(f.node.config.current().Version)
 		address, want, ok := f.fetch.Next()
 		if !ok {
 			break
@@ -87,7 +87,7 @@
 		}).Warn("piece not fetched")
 		return
 	}
-	if done, complete := f.fetch.Took(address, piece); complete {
+	if done, complete := f.fetch.Received(address, piece); complete {
 		f.use(done)
 	}
 }
--- a/internal/spread/patch.go
+++ b/internal/spread/patch.go
@@ -11,15 +11,15 @@
 var Error = errs.Class("spread")
 
 const (
-	// textBytes bounds a text that a patch leads to: eight times what the
+	// maxTextBytes bounds a text that a patch leads to: eight times what the
 	// platform's store holds.
-	textBytes = 8 << 20
-	// baseBytes is the least base that is worth a reference.
-	baseBytes = 64
+	maxTextBytes = 8 << 20
+	// minBaseBytes is the least base that is worth a reference.
+	minBaseBytes = 64
 )
 
-// dictionary is the number of the base within a patch.
-const dictionary = 1
+// dictionaryID is the number of the base within a patch.
+const dictionaryID = 1
 
 // makePatch returns what leads from a base to a text. For 4,250 routes of some
 // 200 bytes it has 320 bytes where one is new, 22 kB where a third is, and 64 kB
@@ -29,8 +29,8 @@
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(window(len(base) + len(text))), zstd.WithLowerEncoderMem(true),
 	}
-	if len(base) >= baseBytes {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, base))
+	if len(base) >= minBaseBytes {
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	e, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -45,15 +45,15 @@
 // window returns how far back a patch may refer, so that all of its base and its
 // text is within reach: a power of two.
 func window(bytes int) int {
-	return min(max(1<<bits.Len(uint(bytes)), zstd.MinWindowSize), textBytes)
+	return min(max(1<<bits.Len(uint(bytes)), zstd.MinWindowSize), maxTextBytes)
 }
 
 // Apply returns the text that a patch leads to from a base. A patch of another
 // base is an error: it carries a checksum of its text.
 func Apply(base, patch []byte) ([]byte, error) {
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(textBytes)}
-	if len(base) >= baseBytes {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, base))
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxTextBytes)}
+	if len(base) >= minBaseBytes {
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	d, err := zstd.NewReader(nil, options...)
 	if err != nil {
--- a/internal/spread/source.go
+++ b/internal/spread/source.go
@@ -3,18 +3,18 @@
 import "slices"
 
 const (
-	// keptTexts and keptBytes bound the versions that are kept: whoever has an
+	// maxTexts and keptBytes bound the versions that are kept: whoever has an
 	// older one is given the whole text. Daemons learn of a version within two
 	// rounds of reports, in which few are published; of texts of a megabyte, the
 	// newest and the one before are kept.
-	keptTexts = 8
-	keptBytes = 2 << 20
-	// keptPatches bounds the patches: to the newest text from each other and
+	maxTexts      = 8
+	maxTotalBytes = 2 << 20
+	// maxPatches bounds the patches: to the newest text from each other and
 	// from none.
-	keptPatches = keptTexts
-	// pieceBytes bounds a piece, and so what is lost with a call: it takes a link
+	maxPatches = maxTexts
+	// maxPieceBytes bounds a piece, and so what is lost with a call: it takes a link
 	// of 10 Mbit/s 50 ms.
-	pieceBytes = 64 << 10
+	maxPieceBytes = 64 << 10
 )
 
 // Source answers those that lack the newest versions.
@@ -38,7 +38,7 @@
 	total := 0
 	for i := range s.texts {
 		total += len(s.texts[i].Bytes)
-		if i > 1 && (i == keptTexts || total > keptBytes) {
+		if i > 1 && (i == maxTexts || total > maxTotalBytes) {
 			s.texts = s.texts[:i:i]
 			break
 		}
@@ -61,7 +61,7 @@
 		return Piece{}, err
 	}
 	offset := min(max(w.Offset, 0), len(bytes))
-	data := bytes[offset:min(offset+pieceBytes, len(bytes))]
+	data := bytes[offset:min(offset+maxPieceBytes, len(bytes))]
 	return Piece{Version: to.Version, Base: from.Version, Size: len(bytes), Offset: offset, Data: data}, nil
 }
 
@@ -88,6 +88,6 @@
 		return nil, err
 	}
 	s.patches = slices.Insert(s.patches, 0, patch{to.Version, from.Version, bytes})
-	s.patches = s.patches[:min(len(s.patches), keptPatches)]
+	s.patches = s.patches[:min(len(s.patches), maxPatches)]
 	return bytes, nil
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// routes is a text like a configuration: n lines of some 200 bytes, the same
+// routeText is a text like a configuration: n lines of some 200 bytes, the same
 // ones for a smaller n.
-func routes(n int) []byte {
+func routeText(n int) []byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	var text bytes.Buffer
 	for range n {
@@ -23,8 +23,8 @@
 	return text.Bytes()
 }
 
-// noise is a text that no patch makes shorter.
-func noise(n int) []byte {
+// randomText is a text that no patch makes shorter.
+func randomText(n int) []byte {
 	random := rand.New(rand.NewPCG(3, 4))
 	text := make([]byte, n)
 	for i := range text {
@@ -33,8 +33,8 @@
 	return text
 }
 
-// put applies a whole patch to what there is.
-func put(have Text, done Piece) (Text, error) {
+// applyPatch applies a whole patch to what there is.
+func applyPatch(have Text, done Piece) (Text, error) {
 	base := have.Bytes
 	if done.Base == 0 {
 		base = nil
@@ -45,11 +45,11 @@
 
 // transfer fetches from a source until nothing newer is known of. It returns the
 // text and the bytes that were sent.
-func transfer(t *testing.T, f *Fetch, from map[string]*Source, have Text) (Text, int) {
+func transfer(t *testing.T, f *Fetcher, from map[string]*Source, have Text) (Text, int) {
 	t.Helper()
 	sent := 0
 	for range 1000 {
-		f.Has(have.Version)
+		f.Applied(have.Version)
 		address, want, ok := f.Next()
 		if !ok {
 			return have, sent
@@ -57,11 +57,11 @@
 		p, err := from[address].Answer(want)
 		assert.NilError(t, err)
 		sent += len(p.Data)
-		done, complete := f.Took(address, p)
+		done, complete := f.Received(address, p)
 		if !complete {
 			continue
 		}
-		got, err := put(have, done)
+		got, err := applyPatch(have, done)
 		if err != nil {
 			f.Unusable(done.Version)
 			continue
@@ -74,67 +74,67 @@
 
 // A configuration of 4,250 routes changes by one route. Sent whole, it fills a
 // link of 10 Mbit/s for 0.7 s at each of hundreds of daemons, for nothing.
-func TestOnlyWhatDiffersIsSent(t *testing.T) {
+func TestOnlyTheDifferenceIsSent(t *testing.T) {
 	s := &Source{}
-	s.Add(Text{4, routes(4250)})
-	s.Add(Text{7, routes(4251)})
-	f := NewFetch()
-	f.Heard("a", 7)
-	got, sent := transfer(t, f, map[string]*Source{"a": s}, Text{4, routes(4250)})
-	assert.Assert(t, bytes.Equal(got.Bytes, routes(4251)))
+	s.Add(Text{4, routeText(4250)})
+	s.Add(Text{7, routeText(4251)})
+	f := NewFetcher()
+	f.Offered("a", 7)
+	got, sent := transfer(t, f, map[string]*Source{"a": s}, Text{4, routeText(4250)})
+	assert.Assert(t, bytes.Equal(got.Bytes, routeText(4251)))
 	assert.Assert(t, sent < 1000, "%d bytes", sent)
 
-	f = NewFetch() // a daemon that has just started
-	f.Heard("a", 7)
+	f = NewFetcher() // a daemon that has just started
+	f.Offered("a", 7)
 	got, sent = transfer(t, f, map[string]*Source{"a": s}, Text{})
-	assert.Assert(t, bytes.Equal(got.Bytes, routes(4251)))
+	assert.Assert(t, bytes.Equal(got.Bytes, routeText(4251)))
 	assert.Assert(t, sent < len(got.Bytes)/4, "%d bytes of %d", sent, len(got.Bytes))
 }
 
 // A source ends in the middle of a large text. What came of it is gone on with at
 // the other source, where beginning again could be for ever.
-func TestWhatCameFromALostSourceIsKept(t *testing.T) {
-	text := Text{2, noise(10 * pieceBytes)}
+func TestFetchResumesAtAnotherSource(t *testing.T) {
+	text := Text{2, randomText(10 * maxPieceBytes)}
 	a, b := &Source{}, &Source{}
 	a.Add(text)
 	b.Add(text)
-	f := NewFetch()
-	f.Heard("a", 2)
-	f.Heard("b", 2)
+	f := NewFetcher()
+	f.Offered("a", 2)
+	f.Offered("b", 2)
 	for range 6 {
 		address, want, _ := f.Next()
 		assert.Equal(t, address, "a")
 		p, err := a.Answer(want)
 		assert.NilError(t, err)
-		f.Took(address, p)
+		f.Received(address, p)
 	}
 	f.Failed("a")
 	got, sent := transfer(t, f, map[string]*Source{"b": b}, Text{})
 	assert.Assert(t, bytes.Equal(got.Bytes, text.Bytes))
-	assert.Assert(t, sent < 5*pieceBytes, "%d bytes", sent)
+	assert.Assert(t, sent < 5*maxPieceBytes, "%d bytes", sent)
 }
 
 // Versions come faster than one of them is fetched. One that was begun is
 // finished, as otherwise a daemon behind a narrow link would get none of them.
-func TestVersionsInQuickSuccessionDoNotStarveAFetch(t *testing.T) {
+func TestFrequentVersionsDoNotStarveAFetch(t *testing.T) {
 	s := &Source{}
-	text := noise(8 * pieceBytes)
-	f := NewFetch()
+	text := randomText(8 * maxPieceBytes)
+	f := NewFetcher()
 	have := Text{}
 	for v := uint64(1); v <= 40; v++ {
 		s.Add(Text{v, append(bytes.Clone(text), byte(v))})
-		f.Heard("a", v)
-		f.Has(have.Version)
+		f.Offered("a", v)
+		f.Applied(have.Version)
 		address, want, ok := f.Next()
 		assert.Assert(t, ok)
 		for range 3 { // three pieces between two versions
 			p, err := s.Answer(want)
 			assert.NilError(t, err)
-			if done, complete := f.Took(address, p); complete {
-				have, err = put(have, done)
+			if done, complete := f.Received(address, p); complete {
+				have, err = applyPatch(have, done)
 				assert.NilError(t, err)
 			}
-			f.Has(have.Version)
+			f.Applied(have.Version)
 			if address, want, ok = f.Next(); !ok {
 				break
 			}
@@ -145,30 +145,30 @@
 
 // Two daemons have different texts of one version, as somebody wrote the same
 // in another order. The patch's checksum shows it, and the whole text is fetched.
-func TestPatchOfAnotherTextIsNotUsed(t *testing.T) {
+func TestPatchOfAnotherTextIsRejected(t *testing.T) {
 	s := &Source{}
-	s.Add(Text{1, routes(300)})
-	s.Add(Text{2, routes(301)})
-	f := NewFetch()
-	f.Heard("a", 2)
-	got, _ := transfer(t, f, map[string]*Source{"a": s}, Text{1, noise(50000)})
-	assert.Assert(t, bytes.Equal(got.Bytes, routes(301)))
+	s.Add(Text{1, routeText(300)})
+	s.Add(Text{2, routeText(301)})
+	f := NewFetcher()
+	f.Offered("a", 2)
+	got, _ := transfer(t, f, map[string]*Source{"a": s}, Text{1, randomText(50000)})
+	assert.Assert(t, bytes.Equal(got.Bytes, routeText(301)))
 }
 
 // A version can't be read here, as a newer release wrote it. It isn't fetched
 // again for each report; the next version is.
-func TestVersionThatCannotBeUsedIsLeftAlone(t *testing.T) {
-	f := NewFetch()
-	f.Has(1)
-	f.Heard("a", 2)
+func TestUnusableVersionIsNotFetchedAgain(t *testing.T) {
+	f := NewFetcher()
+	f.Applied(1)
+	f.Offered("a", 2)
 	f.Unusable(2)
 	_, want, ok := f.Next()
 	assert.Assert(t, ok && want.Have == 0) // the whole text, once
 	f.Unusable(2)
-	f.Heard("a", 2)
+	f.Offered("a", 2)
 	_, _, ok = f.Next()
 	assert.Assert(t, !ok)
-	f.Heard("a", 3)
+	f.Offered("a", 3)
 	_, want, ok = f.Next()
 	assert.Assert(t, ok && want.Have == 1)
 }
@@ -176,14 +176,14 @@
 // Sources come, go and are behind each other; calls fail. A daemon that hears of
 // all of them in the end has the newest version, and never an older one than
 // before.
-func TestAnyOrderOfVersionsSourcesAndFailuresLeadsToTheNewest(t *testing.T) {
+func TestAnyOrderOfEventsLeadsToTheNewestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sources := map[string]*Source{"a": {}, "b": {}, "c": {}}
 		names := rapid.SampledFrom([]string{"a", "b", "c"})
-		f, have, newest := NewFetch(), Text{}, uint64(0)
+		f, have, newest := NewFetcher(), Text{}, uint64(0)
 		texts := map[uint64][]byte{}
 		step := func(fails bool) {
-			f.Has(have.Version)
+			f.Applied(have.Version)
 			address, want, ok := f.Next()
 			if !ok {
 				return
@@ -193,11 +193,11 @@
 				f.Failed(address)
 				return
 			}
-			done, complete := f.Took(address, p)
+			done, complete := f.Received(address, p)
 			if !complete {
 				return
 			}
-			got, err := put(have, done)
+			got, err := applyPatch(have, done)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -209,7 +209,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(t *rapid.T) {
 				newest += uint64(rapid.IntRange(1, 3).Draw(t, "steps"))
-				texts[newest] = noise(rapid.IntRange(0, 3*pieceBytes).Draw(t, "bytes"))
+				texts[newest] = randomText(rapid.IntRange(0, 3*maxPieceBytes).Draw(t, "bytes"))
 				sources[names.Draw(t, "at")].Add(Text{newest, texts[newest]})
 			},
 			"catch up": func(t *rapid.T) {
@@ -219,14 +219,14 @@
 			},
 			"restart": func(t *rapid.T) { sources[names.Draw(t, "at")] = &Source{} },
 			"hear": func(t *rapid.T) {
-				f.Heard(names.Draw(t, "from"), newest) // also where it has lost it since
+				f.Offered(names.Draw(t, "from"), newest) // also where it has lost it since
 			},
 			"step": func(t *rapid.T) { step(rapid.Bool().Draw(t, "fails")) },
 		})
 		for name, s := range sources {
 			if newest > 0 {
 				s.Add(Text{newest, texts[newest]})
-				f.Heard(name, newest)
+				f.Offered(name, newest)
 			}
 		}
 		for range 100 {
@@ -242,7 +242,7 @@
 // takes it.
 func BenchmarkPatch(b *testing.B) {
 	for _, n := range []int{60, 4250} {
-		old, text := routes(n), routes(n+1)
+		old, text := routeText(n), routeText(n+1)
 		b.Run(fmt.Sprint("make-", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
