--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -16,11 +16,11 @@
 	self        fleet.DataCentre
 	rng         *rand.Rand
 	members     map[fleet.EndpointID]*member
-	active      map[string][]*member // by service, without those that leave
-	listed      map[string][]*member // by service, with those that leave
-	splits      map[string]*split    // by service, while it moves to another version
-	established map[string][]*member // by service of several versions, those of the one that has served longest
-	// establishedVersions are those that have served longest, by service.
+	active      map[string][]*member // by service, without draining ones
+	listed      map[string][]*member // by service, with draining ones
+	splits      map[string]*split    // by service, during a roll-out of another version
+	established map[string][]*member // by service of several versions: the members of the established version
+	// establishedVersions are the versions that have served longest, by service.
 	establishedVersions map[string]string
 	table               *route.Table
 	prefillRate         prefillRate
@@ -28,8 +28,8 @@
 	homeScratch         []*member
 }
 
-// New returns a balancer for a daemon in a data centre. The random source
-// belongs to it from now on.
+// New returns a balancer for a daemon in a data centre. The random source belongs to
+// the balancer from then on.
 func New(self fleet.DataCentre, rng *rand.Rand) *Balancer {
 	return &Balancer{
 		self:    self,
@@ -44,7 +44,7 @@
 	}
 }
 
-// Configure takes a newer configuration.
+// Configure applies a newer configuration.
 func (b *Balancer) Configure(t *route.Table) {
 	b.table = t
 	for _, m := range b.members {
@@ -52,9 +52,9 @@
 	}
 }
 
-// SetEndpoints takes the newest list. What is known of those that stay is kept,
-// but for those that have started again: they hold none of what was sent there
-// before and run none of it.
+// SetEndpoints applies the newest list. The state of endpoints that stay is kept,
+// except for those that have restarted: their caches are empty, and earlier requests
+// no longer run there.
 func (b *Balancer) SetEndpoints(all []roster.Endpoint) {
 	listed := make(map[fleet.EndpointID]bool, len(all))
 	for _, e := range all {
@@ -83,7 +83,7 @@
 	b.findEstablished()
 }
 
-// applySettings takes the service's description of its engines into a member.
+// applySettings applies the service's settings for its engines to a member.
 func (b *Balancer) applySettings(m *member) {
 	s := b.table.Service(m.Service)
 	m.isEngine = s != nil && s.Engine != nil
@@ -96,8 +96,8 @@
 	}
 }
 
-// SetOthers takes the load of all other daemons, by endpoint; endpoints that are
-// missing have none.
+// SetOthers sets the load of all other daemons, by endpoint; missing endpoints have
+// none.
 func (b *Balancer) SetOthers(load Loads) {
 	for _, m := range b.members {
 		m.others = load[rendezvous.Short(m.hash)]
@@ -115,7 +115,8 @@
 	return out
 }
 
-// Pick chooses an endpoint; ok is false where the service has none left.
+// Pick chooses an endpoint; ok is false if the service has none left. Avoided
+// endpoints are chosen only when there are no others.
 func (b *Balancer) Pick(now time.Time, a *Request) (c Choice, ok bool) {
 	set := b.candidates(a)
 	home := b.homeOf(a.affinityKey(), set)
@@ -129,8 +130,8 @@
 	return Choice{}, false
 }
 
-// cheapest returns a member of the least cost, drawn from those that are about
-// equal; nil where none may be chosen.
+// cheapest returns the member of the least cost, drawn from those whose costs are
+// about equal; nil if there is none to choose.
 func (b *Balancer) cheapest(now time.Time, a *Request, set []*member, home *member, held *sources, avoided bool) *member {
 	var best *member
 	least, equal := 0.0, 0
@@ -153,7 +154,7 @@
 	return best
 }
 
-// member returns a choice's member, nil where it is gone or has started again.
+// member returns a choice's member; nil if it is gone or has restarted.
 func (b *Balancer) member(c Choice) *member {
 	m := b.members[c.Endpoint.ID]
 	if m == nil || c.Endpoint.RestartedAs(&m.Endpoint) {
@@ -162,7 +163,7 @@
 	return m
 }
 
-// Sent notes an attempt at an endpoint.
+// Sent records the start of an attempt.
 func (b *Balancer) Sent(a *Request, c Choice) {
 	m := b.member(c)
 	if m == nil {
@@ -173,23 +174,24 @@
 	m.parts.add(a.Parts)
 }
 
-// PrefillRate returns the prompt tokens that an engine reads a second.
+// PrefillRate returns the prompt tokens per second that an engine computes, as
+// observed.
 func (b *Balancer) PrefillRate() float64 { return b.prefillRate.perSecond }
 
-// FirstToken notes an attempt's first token, some seconds after it was sent.
+// FirstToken records an attempt's first token, some seconds after it was sent.
 func (b *Balancer) FirstToken(a *Request, c Choice, seconds float64) {
 	b.prefillRate.observe(a.Prompt-c.Cached, seconds)
 	b.prefilled(a, c)
 }
 
-// prefilled takes an attempt's prompt off what its endpoint has to prefilled.
+// prefilled takes an attempt's prompt off its endpoint's pending prefill.
 func (b *Balancer) prefilled(a *Request, c Choice) {
 	if m := b.member(c); m != nil {
 		m.own.PendingPrefill = max(m.own.PendingPrefill-(a.Prompt-c.Cached), 0)
 	}
 }
 
-// Done notes an attempt's end. first says whether First was called.
+// Done records the end of an attempt. first says whether FirstToken was called.
 func (b *Balancer) Done(now time.Time, a *Request, c Choice, first bool, o Outcome) {
 	m := b.member(c)
 	if m == nil {
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -40,8 +40,8 @@
 	return &Request{Service: "llm", Prompt: 12000, Output: 380, Parts: []Part{{1, 500}, {subject, 4900}, {subject << 32, 6600}}}
 }
 
-// Two daemons that share nothing but the list get requests on one subject. Did
-// they disagree, each engine would read the subject's history anew.
+// Two daemons that share nothing but the list of endpoints get requests with the same
+// prefix. If they chose different engines, each engine would compute the prefix again.
 func TestDaemonsAgreeOnTheHomeOfAPrefix(t *testing.T) {
 	for subject := uint64(2); subject < 50; subject++ {
 		a, _ := newTestBalancer(subject, 18).Pick(start, requestWithPrefix(subject))
@@ -51,8 +51,9 @@
 	}
 }
 
-// A burst on one subject: its home has prompts of many seconds to read. Sent
-// there all the same, all would be late while other engines idle.
+// A burst of requests with one prefix: its home has many seconds of prompts to
+// compute. If all were still sent there, all would be late while other engines are
+// idle.
 func TestRequestsSpillFromABusyHome(t *testing.T) {
 	b := newTestBalancer(1, 18)
 	seen := map[fleet.EndpointID]bool{}
@@ -67,8 +68,8 @@
 	assert.Assert(t, len(seen) > 10, "%d engines", len(seen))
 }
 
-// All daemons hear at once that one engine is empty. Each counts what it sends
-// there itself, so that they don't all send everything to it.
+// All daemons learn at the same time that one engine is idle. Each counts what it
+// sends there itself, so that they don't all send everything to it.
 func TestStaleLoadCausesNoHerd(t *testing.T) {
 	const daemons = 8
 	sent := map[fleet.EndpointID]int{}
@@ -117,8 +118,8 @@
 	assert.Assert(t, !ok)
 }
 
-// An engine fails half of what it gets while its health checks pass. It must
-// get little after the first failures, and get requests again after a while.
+// An engine fails half of its requests while its health checks pass. It must get
+// little after the first failures, and get requests again after a while.
 func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
 	b := newTestBalancer(1, 6)
 	q := func(i int) *Request { return &Request{Service: "llm", Prompt: 600, Parts: []Part{{uint64(i), 600}}} }
@@ -136,7 +137,7 @@
 		}
 		b.Done(now, a, c, true, Answered)
 	}
-	assert.Assert(t, failed <= 4, "%d sent to the failing one", failed)
+	assert.Assert(t, failed <= 4, "%d requests sent to the failing endpoint", failed)
 	again := 0
 	now = now.Add(30 * time.Second)
 	for i := range 200 {
@@ -150,8 +151,8 @@
 	assert.Assert(t, again > 10, "%d", again)
 }
 
-// All endpoints of a service fail. Refusing everything would be worse than
-// trying them.
+// All endpoints of a service fail. Refusing every request would be worse than trying
+// them.
 func TestAvoidedEndpointsAreUsedWhenThereIsNoOther(t *testing.T) {
 	b := newTestBalancer(1, 2)
 	for range 6 {
@@ -208,11 +209,10 @@
 	}
 }
 
-// An engine starts again under its ID while requests are under way there. What
-// it held is gone, and so are those requests: counted on, the daemon would send
-// prompts there for memory that isn't there, and believe in a load of the past.
-// The ends of its earlier requests come later and must not be taken off the new
-// one's.
+// An engine restarts under its ID while requests run there. Its cache is empty and the
+// requests are gone: otherwise the daemon would route prompts by a cache and a load
+// that no longer exist. The ends of the earlier requests arrive later and must not be
+// subtracted from the new load.
 func TestRestartedEngineIsANewOne(t *testing.T) {
 	b := newTestBalancer(1, 1)
 	before := testEndpoints(1)
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// candidates returns the members to weigh: all of a small set, the subject's
-// first homes and a few drawn ones of a large set. The slice is reused.
+// candidates returns the members to compare: all of a small set; of a large one the
+// first homes of the affinity key and a random sample. The slice is reused.
 func (b *Balancer) candidates(a *Request) []*member {
 	set := b.eligible(a)
 	if len(set) <= scanLimit {
@@ -26,7 +26,8 @@
 	return b.scratch
 }
 
-// homeOf returns the subject's first homeOf, nil without a subject.
+// homeOf returns the first home of an affinity key by rendezvous hashing; nil for key
+// 0.
 func (b *Balancer) homeOf(key uint64, set []*member) *member {
 	var best *member
 	var most uint64
@@ -41,7 +42,7 @@
 	return best
 }
 
-// appendHomes appends the subject's first homes in a set.
+// appendHomes appends the first homes of an affinity key in a set, best first.
 func appendHomes(key uint64, set []*member, out []*member) []*member {
 	var scores [homeCount]uint64
 	var top [homeCount]*member
--- a/internal/balance/config.go
+++ b/internal/balance/config.go
@@ -2,88 +2,87 @@
 
 import "time"
 
-// The model of an endpoint's time. Figures are starting values for engines
-// that were not measured yet; observed first tokens correct readRate.
+// The cost model of an endpoint, in seconds. The prefill rate is an initial value,
+// which observed first tokens correct.
 const (
-	// initialPrefillRate is the prompt tokens an engine reads a second: the slower of
-	// the platform's two published engine classes is 55 a millisecond.
+	// initialPrefillRate is the prompt tokens per second of an engine: the slower of the
+	// platform's two published engine classes computes 55 per millisecond.
 	initialPrefillRate = 55_000.0
-	// minPrefillRate and mostRate bound what is learned.
+	// minPrefillRate and maxPrefillRate bound the observed rate.
 	minPrefillRate = 20_000.0
 	maxPrefillRate = 200_000.0
-	// minSampleTokens is the least part of a prompt to be read from which the rate
-	// is learned: below it the time is mostly steps and the way.
+	// minSampleTokens is the smallest prefill that updates the rate: for less, the time is
+	// mostly that of decoding steps and of the network.
 	minSampleTokens = 4000
-	// rateQuantile: of the observed rates the one that a tenth exceeds is
-	// taken. Lower ones have waited for others; the highest found tokens in
-	// the endpoint's memory that this daemon didn't know of.
+	// rateQuantile is the quantile of the observed rates that is used. Lower rates include
+	// queueing; the highest come from cached tokens that this daemon did not know of.
 	rateQuantile = 0.9
-	// rateStep is the part by which an observation moves the rate.
+	// rateStep is the part by which an observation changes the rate.
 	rateStep = 0.05
-	// fullBatchSeconds is the added time to the first token of an engine whose
-	// slots are all taken, against an empty one: a step with a full batch
-	// takes some 8 to 9 ms, and a prompt waits for about two of them.
+	// fullBatchSeconds is the additional time to the first token of an engine whose slots
+	// are all in use, compared to an idle one: a step with a full batch takes some 8 to 9
+	// ms, and a prompt waits for about two of them.
 	fullBatchSeconds = 0.02
-	// slotHoldSeconds is how long a request occupies a slot, about a stream of
-	// 300 tokens at 6 ms; a request behind full slots waits for a share of it.
+	// slotHoldSeconds is how long a request occupies a slot, about a stream of 300 tokens
+	// at 6 ms. A request that finds all slots in use waits for a part of it.
 	slotHoldSeconds = 2.0
-	// plainCallSeconds is the same for a plain service's call.
+	// plainCallSeconds is the same for a call of a plain service.
 	plainCallSeconds = 0.03
-	// remoteSeconds is the price of another data centre: the way there and back,
-	// and the bytes between data centres, which are billed.
+	// remoteSeconds is the cost of another data centre: the round trip, and the billed
+	// traffic between data centres.
 	remoteSeconds = 0.004
-	// recomputeWeight is the price of reading a shared part again, as a multiple
-	// of its time: it delays the engine's other requests, and recomputed tokens
-	// are what the operators weigh most. Measured at 2, 5 and 10: tokens read
-	// again fall by a quarter and by a third, with no fewer answers in time.
+	// recomputeWeight is the cost of computing a prompt's tokens, as a multiple of their
+	// time: it delays the engine's other requests, and recomputed tokens are what the
+	// operators weigh most. With 5 and 10, compared to 2, recomputed tokens decrease by a
+	// quarter and by a third, with no fewer answers in time.
 	recomputeWeight = 7.0
-	// homeCachedShare is the part of a subject's shared tokens that its home is
-	// believed to hold where this daemon has not sent it there itself.
+	// homeCachedShare is the part of the shared tokens that a home is expected to have
+	// cached if this daemon has not sent them there itself.
 	homeCachedShare = 0.7
-	// minFetchTokens is the least that is fetched from another endpoint in place of
-	// being read: below it the transfer's set-up takes longer.
+	// minFetchTokens is the least number of tokens to fetch from another endpoint rather
+	// than compute: for fewer, the set-up of the transfer takes longer.
 	minFetchTokens = 1500
-	// fetchSetupSeconds is the time to set a transfer up, in seconds.
+	// fetchSetupSeconds is the time to set up a transfer.
 	fetchSetupSeconds = 0.005
-	// fetchWeight is the price of a transfer as a multiple of its time:
-	// transfers of one link wait for each other, and are billed.
+	// fetchWeight is the cost of a transfer as a multiple of its time: transfers on one
+	// link queue behind each other, and are billed.
 	fetchWeight = 3.0
-	// warmUpSeconds is the price of an endpoint that has just started and is
-	// not at its full speed.
+	// warmUpSeconds is the cost of an endpoint that has just started and is not at full
+	// speed.
 	warmUpSeconds = 0.1
-	// tieSeconds: costs that differ by less are equal, and drawn from, so
-	// that daemons with the same old view don't all choose the same endpoint.
+	// tieSeconds: costs that differ by less count as equal, and one is drawn at random, so
+	// that daemons with the same stale view don't all choose the same endpoint.
 	tieSeconds = 0.003
 )
 
 // The treatment of endpoints that fail.
 const (
-	// failureWeight is the weight of the newest outcome in an endpoint's share
-	// of failures: about the last ten outcomes count.
+	// failureWeight is the weight of the newest outcome in an endpoint's failure share:
+	// about the last ten outcomes count.
 	failureWeight = 0.1
-	// failureHalfLife is the time in which an endpoint's share of failures halves
-	// by itself: one that gets no requests for its failures must be tried
-	// again, and faults that come and go last some seconds.
+	// failureHalfLife is the time in which an endpoint's failure share halves without
+	// further outcomes: an endpoint that gets no requests because of its failures must be
+	// tried again, and intermittent faults last some seconds.
 	failureHalfLife = 3 * time.Second
-	// failureCostSeconds is the price of certain failure: a repeat at another
-	// endpoint costs the target time of most routes, about half a second.
+	// failureCostSeconds is the cost of a certain failure: a retry at another endpoint
+	// takes the target time of most routes, about half a second.
 	failureCostSeconds = 0.5
-	// avoidAfter failures in a row an endpoint is avoided: one can be a lost
-	// packet.
+	// avoidAfter is the number of consecutive failures after which an endpoint is avoided:
+	// a single one can be a lost packet.
 	avoidAfter = 2
-	// minAvoid and lastAvoid bound the time for which it is avoided; it
-	// doubles with each failed trial.
+	// minAvoid and maxAvoid bound the time for which an endpoint is avoided; it doubles
+	// with each further failure.
 	minAvoid = 500 * time.Millisecond
 	maxAvoid = 4 * time.Second
 )
 
-// scanLimit is the number of endpoints of a service up to which all are
-// weighed; above it, the homeCount of the subject and a few sampleSize ones.
+// A service with up to scanLimit endpoints has all of them compared; with more, only
+// the homeCount first homes of the affinity key and sampleSize random ones.
 const (
 	scanLimit  = 64
 	sampleSize = 6
 	homeCount  = 3
 )
 
-// maxParts bounds the parts that are remembered for one endpoint.
+// maxParts bounds the prompt parts that are remembered for one endpoint.
 const maxParts = 2048
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// cachedTokens returns the prompt's tokens that a member is believed to hold: what
-// this daemon has sent there and, at the subject's home, a part of what others
-// will have sent.
+// cachedTokens returns how many of the prompt's tokens a member is expected to have
+// cached: those that this daemon has sent there and, at the home, a part of what other
+// daemons will have sent.
 func cachedTokens(a *Request, m *member, home bool) int {
 	known := m.parts.prefixTokens(a.Parts)
 	if !home {
@@ -13,7 +13,9 @@
 	return max(known, int(homeCachedShare*float64(a.sharedTokens())))
 }
 
-// predictWait predicts the seconds to the first token, or of queueing at a plain service.
+// predictWait predicts the time to the first token of an engine, or the queueing time
+// of a plain service, in seconds. cached is the number of the prompt's tokens that are
+// not computed.
 func (b *Balancer) predictWait(a *Request, m *member, held int) float64 {
 	slots := max(m.Slots, 1)
 	running := m.running()
@@ -32,7 +34,7 @@
 	return sum
 }
 
-// cost prices a member for a request, in seconds.
+// cost returns the cost of a member for a request, in seconds.
 func (b *Balancer) cost(now time.Time, a *Request, m *member, home bool, s *sources) float64 {
 	f := b.planFetch(m, cachedTokens(a, m, home), s)
 	sum := b.predictWait(a, m, f.cached) + f.costSeconds
--- a/internal/balance/member.go
+++ b/internal/balance/member.go
@@ -11,39 +11,39 @@
 // Load is the unfinished requests of one or several daemons at an endpoint.
 type Load struct {
 	Requests int
-	// PendingPrefill is the prompt tokens of those without a first token, less what
-	// the endpoint is believed to hold.
+	// PendingPrefill is the prompt tokens of requests without a first token, less those
+	// that the endpoint is expected to have cached.
 	PendingPrefill int
 }
 
-// Loads is loads by endpoint, without those that have none.
+// Loads is loads by endpoint, without those that are idle.
 type Loads map[rendezvous.Short]Load
 
-// member is an endpoint with what is known of it.
+// member is an endpoint with its state.
 type member struct {
 	roster.Endpoint
 	hash     uint64 // of the endpoint's ID
 	isEngine bool
-	// fetchSeconds is the time to fetch a cached token; 0 where it can't.
+	// fetchSeconds is the time to fetch one cached token; 0 if the engine can't fetch.
 	fetchSeconds float64
 	own          Load
 	others       Load
 	parts        partCache
-	// failureShare is the share of failureShare among recent outcomes.
+	// failureShare is the smoothed share of failures among recent outcomes.
 	failureShare        float64
-	failedAt            time.Time // of failures
-	consecutiveFailures int       // failures without a success between
+	failedAt            time.Time // time of failureShare
+	consecutiveFailures int
 	avoidFor            time.Duration
-	avoidUntil          time.Time // avoided until then
+	avoidUntil          time.Time // zero or past: not avoided
 }
 
-// running returns the requests of all daemons there.
+// running returns the number of requests of all daemons there.
 func (m *member) running() int { return m.own.Requests + m.others.Requests }
 
-// avoided reports whether requests should go elsewhere.
+// avoided reports whether requests should go to other endpoints.
 func (m *member) avoided(now time.Time) bool { return now.Before(m.avoidUntil) }
 
-// currentFailureShare returns the share of failures among recent outcomes.
+// currentFailureShare returns the failure share, decayed up to now.
 func (m *member) currentFailureShare(now time.Time) float64 {
 	if m.failureShare == 0 {
 		return 0
@@ -51,7 +51,7 @@
 	return m.failureShare * math.Exp2(-now.Sub(m.failedAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// observe takes an attempt's outcome into the endpoint's record.
+// observe records the outcome of an attempt.
 func (m *member) observe(now time.Time, o Outcome) {
 	m.failureShare, m.failedAt = m.currentFailureShare(now), now
 	switch o {
--- a/internal/balance/partcache.go
+++ b/internal/balance/partcache.go
@@ -2,18 +2,17 @@
 
 import "container/list"
 
-// partCache remembers the parts of prompts that were sent to an endpoint, up to
-// a number of tokens, the least recently used forgotten first, as the endpoint
-// itself does. The zero value is empty and has no room for tokens.
+// partCache remembers the prompt parts that were sent to an endpoint, up to a number
+// of tokens, and evicts the least recently used, as the endpoint's own cache does. The
+// zero value is empty and has no capacity.
 type partCache struct {
 	capacity int // tokens
 	tokens   int
 	byID     map[uint64]*list.Element
-	order    list.List // of Part, the newest in front
+	order    list.List // of Part, most recently used first
 }
 
-// prefixTokens returns the tokens of the longest run of parts from the first that
-// are remembered.
+// prefixTokens returns the tokens of the longest remembered prefix of parts.
 func (s *partCache) prefixTokens(parts []Part) int {
 	sum := 0
 	for _, p := range parts {
@@ -25,7 +24,7 @@
 	return sum
 }
 
-// add remembers parts as just used.
+// add records the use of parts.
 func (s *partCache) add(parts []Part) {
 	if s.byID == nil {
 		s.byID = map[uint64]*list.Element{}
--- a/internal/balance/prefillrate.go
+++ b/internal/balance/prefillrate.go
@@ -1,13 +1,13 @@
 package balance
 
-// prefillRate learns how many prompt tokens an engine reads a second, as a quantile
-// of what first tokens show.
+// prefillRate estimates how many prompt tokens per second an engine computes, as a
+// quantile of the rates that first tokens show.
 type prefillRate struct{ perSecond float64 }
 
 func newPrefillRate() prefillRate { return prefillRate{perSecond: initialPrefillRate} }
 
-// observe takes the time to the first token, in seconds, of a prompt of which
-// some tokens had to be read.
+// observe adds the time to the first token, in seconds, of a prompt of which some
+// tokens had to be computed.
 func (r *prefillRate) observe(tokens int, seconds float64) {
 	if tokens < minSampleTokens || seconds <= 0 {
 		return
--- a/internal/balance/request.go
+++ b/internal/balance/request.go
@@ -6,27 +6,30 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// Part is a piece of a prompt that other requests may share.
+// Part is a section of a prompt. Requests with equal leading parts share their cached
+// tokens.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is what a choice depends on.
+// Request is what the choice of an endpoint depends on.
 type Request struct {
 	Service string
-	// Parts of the prompt in order; the last belongs to this request or its
-	// session. Empty for requests without a prompt.
+	// Parts of the prompt in order; the last belongs to this request or its session alone.
+	// Empty for requests without a prompt.
 	Parts []Part
-	// Prompt and Output are tokens; Output may be an estimate.
+	// Prompt and Output are numbers of tokens; Output may be an estimate.
 	Prompt, Output int
-	// Side is the part of a service's endpoints that may be chosen, by version.
+	// Side selects the service's endpoints that may be chosen during a roll-out, by
+	// version.
 	Side rollout.Side
 	// Tried endpoints are not chosen again.
 	Tried []fleet.EndpointID
 }
 
-// affinityKey returns the id of the deepest part that is shared, 0 without one.
+// affinityKey returns the ID of the last shared part, which identifies the shared
+// prefix; 0 if there is none.
 func (a *Request) affinityKey() uint64 {
 	if len(a.Parts) < 2 {
 		return 0
@@ -34,28 +37,29 @@
 	return a.Parts[len(a.Parts)-2].ID
 }
 
-// Choice is an endpoint with what was predicted for it.
+// Choice is an endpoint with the predictions for it.
 type Choice struct {
 	Endpoint roster.Endpoint
-	// Cached is the prompt's tokens that the endpoint is believed to hold.
+	// Cached is the number of the prompt's tokens that the endpoint is expected to have
+	// cached, including those that it is to fetch.
 	Cached int
 	// Wait is the predicted time to the first token, in seconds.
 	Wait float64
-	// Home says that it is the subject's home.
+	// Home says that the endpoint is the home of the request's affinity key.
 	Home bool
-	// FetchFrom is the address of an endpoint from which it should fetch what
-	// that one has cached of the prompt beyond its own; empty: from none.
+	// FetchFrom is the address of the endpoint from which the chosen one should fetch
+	// cached tokens of the prompt that it lacks; empty: none.
 	FetchFrom string
 }
 
 // Outcome says how an attempt ended.
 type Outcome uint8
 
-// The outcomes.
+// The possible outcomes.
 const (
-	Answered    Outcome = iota // whole, by the endpoint
-	Refused                    // not run, by the endpoint's word
-	Failed                     // an error of the endpoint's, or a broken answer
-	Unreachable                // no connection could be had
-	Abandoned                  // the caller went, or its time was over
+	Answered    Outcome = iota // completely, by the endpoint
+	Refused                    // not run, as the endpoint reported
+	Failed                     // an error of the endpoint, or a broken answer
+	Unreachable                // no connection to the endpoint
+	Abandoned                  // the caller disconnected, or the deadline passed
 )
--- a/internal/balance/source.go
+++ b/internal/balance/source.go
@@ -1,16 +1,16 @@
 package balance
 
-// source is a member whose cached part of a prompt another one can fetch.
+// source is a member from which others can fetch the cached part of a prompt.
 type source struct {
 	member *member
-	cached int // tokens that it is believed to hold
+	cached int // tokens that it is known to have
 }
 
-// sources are the two members that are believed to hold the most of a prompt:
-// the second serves where the request goes to the first.
+// sources are the two members that have the most of a prompt cached: the second is
+// used when the request goes to the first.
 type sources [2]source
 
-// add takes a member where it holds more than one of them.
+// add inserts a member if it has more cached than one of the two.
 func (s *sources) add(m *member, held int) {
 	switch {
 	case held == 0 || s[0].member == m || s[1].member == m:
@@ -21,7 +21,7 @@
 	}
 }
 
-// except returns the best source for a member.
+// except returns the best source for a member, which is not itself.
 func (s *sources) except(m *member) source {
 	if s[0].member == m {
 		return s[1]
@@ -29,11 +29,11 @@
 	return s[0]
 }
 
-// findSources looks among the members that are weighed, and among the subject's
-// first homes, of which some may be leaving: those have the most to give away.
-// Only what this daemon sent counts: a transfer from a home that was believed to
-// hold its subject moved nothing in most cases, and the prompt was read at the
-// wrong place (shared tokens read again 1.7 M instead of 1.2 M on one day).
+// findSources looks among the members that are compared, and among the first homes of
+// the affinity key, including draining ones. Only tokens that this daemon sent itself
+// count: when homes were assumed to have their share cached, most transfers from them
+// moved nothing, and the prompt was computed at the wrong endpoint (1.7 M instead of
+// 1.2 M shared tokens recomputed in one day).
 func (b *Balancer) findSources(a *Request, set []*member) sources {
 	var out sources
 	key := a.affinityKey()
@@ -44,27 +44,27 @@
 		out.add(m, m.parts.prefixTokens(a.Parts))
 	}
 	for _, m := range b.homesOf(key, b.listed[a.Service]) {
-		if b.versionAllowed(a, m) { // versions don't share their memory
+		if b.versionAllowed(a, m) { // versions don't share cached tokens
 			out.add(m, m.parts.prefixTokens(a.Parts))
 		}
 	}
 	return out
 }
 
-// homesOf returns a subject's first homes among members, the first first.
+// homesOf returns the first homes of an affinity key among members, best first.
 func (b *Balancer) homesOf(key uint64, set []*member) []*member {
 	b.homeScratch = appendHomes(key, set, b.homeScratch[:0])
 	return b.homeScratch
 }
 
-// fetchPlan is what a member can fetchPlan of a prompt.
+// fetchPlan is what a member can fetch of a prompt.
 type fetchPlan struct {
-	from        *member // nil: nothing worth it
-	cached      int     // tokens it has then
-	costSeconds float64 // seconds that the transfer costs
+	from        *member // nil: no fetch
+	cached      int     // tokens it has cached afterwards
+	costSeconds float64 // cost of the transfer
 }
 
-// planFetch returns what a member that holds some tokens can fetch.
+// planFetch returns what a member that has some tokens cached should fetch.
 func (b *Balancer) planFetch(m *member, held int, s *sources) fetchPlan {
 	from := s.except(m)
 	tokens := from.cached - held
@@ -78,7 +78,8 @@
 	}
 }
 
-// sharedTokens returns the tokens of the parts that other requests may share.
+// sharedTokens returns the number of tokens in the parts that other requests may
+// share.
 func (a *Request) sharedTokens() int {
 	sum := 0
 	for _, p := range a.Parts[:max(len(a.Parts)-1, 0)] {
--- a/internal/balance/source_test.go
+++ b/internal/balance/source_test.go
@@ -12,7 +12,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
 )
 
-// fetchingBalancer is a balancer before engines that fetch a token in some seconds.
+// fetchingBalancer returns a balancer for engines that can fetch cached tokens from
+// each other; perToken is in seconds, 0: they can't.
 func fetchingBalancer(perToken float64, endpoints int) *Balancer {
 	b := New("a", rand.New(rand.NewPCG(1, 1)))
 	b.Configure(route.New(route.Table{Services: []route.Service{
@@ -22,7 +23,7 @@
 	return b
 }
 
-// addressedEndpoints returns endpoints whose address is their name.
+// addressedEndpoints returns endpoints whose address is their ID.
 func addressedEndpoints(n int) []roster.Endpoint {
 	all := testEndpoints(n)
 	for i := range all {
@@ -31,7 +32,7 @@
 	return all
 }
 
-// overload sends prompts to an engine until it has a second of reading before it.
+// overload sends prompts to an engine until it has about a second of prefill pending.
 func overload(b *Balancer, c Choice) {
 	for i := range uint64(12) {
 		q := requestWithPrefix(1000 + i)
@@ -39,8 +40,8 @@
 	}
 }
 
-// The engine that holds a subject's history is busy. The request goes to another
-// one, which would read the whole history again: it fetches it instead.
+// The engine that has a prefix cached is busy. The request goes to another one, which
+// would compute the whole prefix again: it must fetch the cached part instead.
 func TestSpilledRequestFetchesTheCachedPrefix(t *testing.T) {
 	b := fetchingBalancer(2e-6, 18)
 	q := requestWithPrefix(7)
@@ -51,15 +52,15 @@
 	overload(b, home)
 
 	other := requestWithPrefix(7)
-	other.Parts[2].ID++ // another request on the subject
+	other.Parts[2].ID++ // another request with the same prefix
 	got, _ := b.Pick(start, other)
 	assert.Assert(t, got.Endpoint.ID != home.Endpoint.ID)
 	assert.Equal(t, got.FetchFrom, home.Endpoint.Address)
 	assert.Equal(t, got.Cached, 5400) // the shared parts
 }
 
-// Nothing is fetched where engines can't, where the part is small, and from an
-// engine that started again. The request goes to the other engine each time.
+// Nothing is fetched if engines can't, if the shared part is small, or from an engine
+// that has restarted. The request goes to the other engine each time.
 func TestNoUselessFetch(t *testing.T) {
 	b := fetchingBalancer(0, 2)
 	q := requestWithPrefix(7)
@@ -93,7 +94,7 @@
 	assert.Equal(t, got.FetchFrom, "")
 }
 
-// An engine that leaves is sent nothing any more, and has the most to give away.
+// A draining engine gets no more requests, but its cache is still worth fetching.
 func TestDrainingEngineIsAFetchSource(t *testing.T) {
 	b := fetchingBalancer(2e-6, 2)
 	q := requestWithPrefix(7)
--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -7,18 +7,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-// split is a service's endpoints by version, while it moves to another one.
+// split is a service's endpoints by version, during a roll-out.
 type split struct {
 	target      string
-	limit       int // endpoints of the target that are used
+	limit       int // number of endpoints of the target version that are used
 	rotation    uint64
 	old         []*member
-	new         []*member // those that are used now
-	targetTotal int       // of the target
+	new         []*member // endpoints of the target version that are used now
+	targetTotal int       // number of endpoints of the target version
 }
 
-// SetSplit takes a word on a service that moves to another version of its endpoints,
-// or that has moved.
+// SetSplit applies the state of the roll-out of a service to another version of its
+// endpoints, under way or completed.
 func (b *Balancer) SetSplit(w *rollout.Word) {
 	s := b.splits[w.Service]
 	if s != nil && s.target == w.Target() && s.limit == w.Spread && s.rotation == w.Turn {
@@ -29,11 +29,11 @@
 	b.rebuildSplit(w.Service, s)
 }
 
-// DropSplit forgets a service's versions.
+// DropSplit ends a service's split by version.
 func (b *Balancer) DropSplit(service string) { delete(b.splits, service) }
 
-// Versions returns how many endpoints of a service take requests, of its old versions
-// and of the one that it moves to.
+// Versions returns how many endpoints of a service take requests: of its old versions,
+// and of the roll-out's target.
 func (b *Balancer) Versions(service string) (old, target int) {
 	s := b.splits[service]
 	if s == nil {
@@ -48,8 +48,9 @@
 	}
 }
 
-// rebuildSplit sorts a service's endpoints by version, and draws those of the target that
-// are used: all daemons the same, so that few have the load of many.
+// rebuildSplit divides a service's endpoints by version, and selects those of the
+// target that are used. All daemons select the same ones, so that a few endpoints have
+// a normal load, instead of all a small one.
 func (b *Balancer) rebuildSplit(service string, s *split) {
 	s.old, s.new = nil, nil
 	for _, m := range b.active[service] {
@@ -93,7 +94,8 @@
 	return mixed
 }
 
-// findEstablished finds the version that has served longest, of services that have several.
+// findEstablished finds the established version of each service, and its members if
+// there are several versions.
 func (b *Balancer) findEstablished() {
 	b.established = map[string][]*member{}
 	for service, all := range b.listed {
@@ -108,18 +110,18 @@
 				of = append(of, m)
 			}
 		}
-		if len(of) == 0 { // all of it leave
+		if len(of) == 0 { // all endpoints of the version are draining
 			of = b.active[service]
 		}
 		b.established[service] = of
 	}
 }
 
-// establishedVersion returns the version that has served longest, and whether there are
-// others: the one that this daemon knew alone, where it is still there, or else that
-// of the endpoint that started first. Failure: all endpoints of the old version have
-// crashed and started again, later than those of the new one. Symptom: the new
-// version is taken for the old one.
+// establishedVersion returns the version that has served longest, and whether there
+// are others. It is the version known from earlier lists, while it still has
+// endpoints; otherwise that of the endpoint that started first. The start times alone
+// don't suffice: when all endpoints of the old version have crashed and restarted,
+// they are later than those of the new one, which would be taken for the old.
 func (b *Balancer) establishedVersion(service string, all []*member) (version string, mixed bool) {
 	first, known := all[0], false
 	for _, m := range all {
@@ -135,7 +137,7 @@
 	return first.Version, mixed
 }
 
-// versionAllowed reports whether a member is of the versions that may be chosen.
+// versionAllowed reports whether a member's version may be chosen.
 func (b *Balancer) versionAllowed(a *Request, m *member) bool {
 	s := b.splits[a.Service]
 	return s == nil || a.Side == rollout.Any || (m.Version == s.target) == (a.Side == rollout.New)
--- a/internal/balance/split_test.go
+++ b/internal/balance/split_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-// pickedVersions returns the versions and endpoints that many requests go to.
+// pickedVersions returns the versions and endpoints that many requests are sent to.
 func pickedVersions(b *Balancer, side rollout.Side) (versions map[string]bool, endpoints map[fleet.EndpointID]bool) {
 	versions, endpoints = map[string]bool{}, map[fleet.EndpointID]bool{}
 	for range 200 {
@@ -57,7 +57,7 @@
 			return
 		}
 	}
-	t.Fatal("the next turn has the same endpoints")
+	t.Fatal("the next rotation has the same endpoints")
 }
 
 func TestEstablishedVersionIsChosenWithoutARollout(t *testing.T) {
@@ -68,7 +68,7 @@
 	assert.DeepEqual(t, versions, map[string]bool{"v1": true})
 
 	for i := range old {
-		old[i].Born = splitNow.Add(time.Hour) // it has started again
+		old[i].Born = splitNow.Add(time.Hour) // all endpoints of v1 restarted
 	}
 	b.SetEndpoints(append(versioned("v2", 3, splitNow.Add(time.Minute)), old...))
 	versions, _ = pickedVersions(b, rollout.Old)
--- a/internal/node/keptlimits.go
+++ b/internal/node/keptlimits.go
@@ -23,7 +23,7 @@
 	At time.Time `json:"at"` // the fleet's
 	// Daemons is how many there were; daemons that start again divide limits by it
 	// until they hear of each other.
-	Daemons int                              `json:"daemons"`
+	Daemons int                                    `json:"daemons"`
 	Limits  map[fleet.WorkspaceID]quota.Checkpoint `json:"limits"`
 	// Crashes is what requests are held for.
 	Crashes []quarantine.Crash `json:"crashes,omitempty"`
--- a/internal/spread/doc.go
+++ b/internal/spread/doc.go
@@ -1,13 +1,12 @@
-// Package spread brings a text that changes, version by version, from daemons
+// Package spread distributes a versioned text, such as a configuration, from daemons
 // that have its newest version to those that don't.
 //
-// Failure: a text of a megabyte is sent whole to each daemon of a fleet, from
-// several sources at once, each transfer bounded by its length. Symptom: behind
-// a narrow link every transfer is cut and begins again, for ever, and nothing
-// else gets through. So a daemon fetches from one source at a time, only what
-// differs from the version it has, and in pieces: a call that is cut loses a
-// piece, not what came before it.
+// A daemon fetches from one source at a time, only the difference to the version that
+// it has, and in pieces, so that an interrupted call loses one piece and not what came
+// before it. If a text of a megabyte were sent whole to each daemon, by several
+// sources at once and with a time limit for each transfer, every transfer over a slow
+// link would time out and start over without end, and block all other traffic.
 //
-// Types of this package are plain decisions: they are not safe for concurrent
+// The types of this package are plain decision logic: they are not safe for concurrent
 // use.
 package spread
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -1,27 +1,26 @@
 package spread
 
-// Fetcher decides from whom the next piece is asked. It is this daemon's side of
-// the spreading.
+// Fetcher decides which source to ask for the next piece. It is the receiving side.
 type Fetcher struct {
 	current   uint64            // the version in force
-	unusable  uint64            // the newest version that could not be used
+	unusable  uint64            // the newest version that could not be applied
 	offers    map[string]uint64 // the newest version of each source, by address
-	needWhole bool              // a patch could not be applied: the next one starts from nothing
-	partial   Piece             // what there is of a patch; Data is all bytes so far
+	needWhole bool              // a patch could not be applied: ask for the whole text
+	partial   Piece             // the patch received so far
 }
 
-// NewFetcher returns a Fetch that has nothing.
+// NewFetcher returns a Fetcher without any version.
 func NewFetcher() *Fetcher { return &Fetcher{offers: map[string]uint64{}} }
 
-// Offered notes which version a source has.
+// Offered records that a source has a version.
 func (f *Fetcher) Offered(address string, version uint64) {
 	if version > max(f.current, f.unusable) {
 		f.offers[address] = version
 	}
 }
 
-// Applied notes the version that is in force. What was begun is dropped where it is
-// no newer.
+// Applied records the version that is in force. A fetch of a version that isn't newer
+// is abandoned.
 func (f *Fetcher) Applied(version uint64) {
 	if version <= f.current {
 		return
@@ -38,8 +37,8 @@
 	}
 }
 
-// Next returns whom to ask for what; false where nothing newer is known of. The
-// source with the newest version is asked.
+// Next returns the source to ask, the one with the newest version, and the request; ok
+// is false if no newer version is known.
 func (f *Fetcher) Next() (address string, w Want, ok bool) {
 	newest := uint64(0)
 	for a, version := range f.offers {
@@ -51,7 +50,7 @@
 	return address, w, newest > 0
 }
 
-// base returns the version from which a patch is asked for.
+// base returns the version that patches should start from; 0 for the whole text.
 func (f *Fetcher) base() uint64 {
 	if f.needWhole {
 		return 0
@@ -59,15 +58,14 @@
 	return f.current
 }
 
-// Failed notes that a source didn't answer. It isn't asked again before it is
-// heard of again; what came from it is kept.
+// Failed records that a source didn't answer. It isn't asked again until its next
+// offer; the pieces received from it are kept.
 func (f *Fetcher) Failed(address string) { delete(f.offers, address) }
 
-// Received takes a piece from a source. It returns the whole patch when it is
-// complete.
+// Received adds a piece from a source. When the patch is complete, it is returned.
 func (f *Fetcher) Received(address string, p Piece) (done Piece, complete bool) {
 	if p.Version <= f.current || p.Base != 0 && p.Base != f.base() {
-		f.Failed(address) // it has nothing newer, or answers something else
+		f.Failed(address) // the source has nothing newer, or its answer doesn't match the request
 		return Piece{}, false
 	}
 	if !f.continues(p) {
@@ -87,16 +85,15 @@
 	return done, true
 }
 
-// continues reports whether a piece belongs to the patch that was begun. Two
-// sources make the same patch of the same texts.
+// continues reports whether a piece belongs to the patch that is being received.
+// Different sources make identical patches from identical texts.
 func (f *Fetcher) continues(p Piece) bool {
 	return p.Version == f.partial.Version && p.Base == f.partial.Base && p.Size == f.partial.Size
 }
 
-// Unusable notes that the version to which a patch leads could not be put in
-// force. The whole text is asked for instead; where that can't be used either, as
-// a newer release wrote it, the version is left alone, lest it be fetched again
-// for each report.
+// Unusable records that a completed version could not be applied. The whole text is
+// fetched next. If that can't be applied either, as a newer release wrote it, the
+// version is ignored: otherwise it would be fetched again for each offer.
 func (f *Fetcher) Unusable(version uint64) {
 	if f.needWhole {
 		f.unusable = version
--- a/internal/spread/patch.go
+++ b/internal/spread/patch.go
@@ -7,23 +7,24 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of errors made by this package.
+// Error is the class of errors of this package.
 var Error = errs.Class("spread")
 
 const (
-	// maxTextBytes bounds a text that a patch leads to: eight times what the
-	// platform's store holds.
+	// maxTextBytes bounds the text that a patch may expand to: eight times what the
+	// platform's store accepts.
 	maxTextBytes = 8 << 20
-	// minBaseBytes is the least base that is worth a reference.
+	// minBaseBytes is the smallest base that is used as a dictionary.
 	minBaseBytes = 64
 )
 
-// dictionaryID is the number of the base within a patch.
+// dictionaryID identifies the base within a patch.
 const dictionaryID = 1
 
-// makePatch returns what leads from a base to a text. For 4,250 routes of some
-// 200 bytes it has 320 bytes where one is new, 22 kB where a third is, and 64 kB
-// from the empty base; the slower levels of the encoder gain nothing on the last two.
+// makePatch returns a patch from a base to a text: the text compressed with the base
+// as the dictionary. For 4,250 routes of some 200 bytes each it has 320 bytes if one
+// route is new, 22 kB if a third is new, and 64 kB without a base. Slower levels of
+// the encoder don't make the last two smaller.
 func makePatch(base, text []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
@@ -39,17 +40,17 @@
 	return e.EncodeAll(text, nil), nil
 }
 
-// Pack returns a patch from nothing.
+// Pack returns a patch without a base.
 func Pack(text []byte) ([]byte, error) { return makePatch(nil, text) }
 
-// window returns how far back a patch may refer, so that all of its base and its
-// text is within reach: a power of two.
+// window returns the compression window in bytes, a power of two that covers both base
+// and text.
 func window(bytes int) int {
 	return min(max(1<<bits.Len(uint(bytes)), zstd.MinWindowSize), maxTextBytes)
 }
 
-// Apply returns the text that a patch leads to from a base. A patch of another
-// base is an error: it carries a checksum of its text.
+// Apply returns the text that a patch makes from a base. A patch made from another
+// base is an error: it contains a checksum of its text.
 func Apply(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxTextBytes)}
 	if len(base) >= minBaseBytes {
--- a/internal/spread/source.go
+++ b/internal/spread/source.go
@@ -3,21 +3,21 @@
 import "slices"
 
 const (
-	// maxTexts and keptBytes bound the versions that are kept: whoever has an
-	// older one is given the whole text. Daemons learn of a version within two
-	// rounds of reports, in which few are published; of texts of a megabyte, the
-	// newest and the one before are kept.
+	// maxTexts and maxTotalBytes bound the versions that are kept; daemons with an older
+	// one get the whole text. Daemons learn of a version within two rounds of reports, in
+	// which few are published. The newest version and the one before are kept whatever
+	// their size.
 	maxTexts      = 8
 	maxTotalBytes = 2 << 20
-	// maxPatches bounds the patches: to the newest text from each other and
-	// from none.
+	// maxPatches bounds the patches that are kept: to the newest text from each other one
+	// and from none.
 	maxPatches = maxTexts
-	// maxPieceBytes bounds a piece, and so what is lost with a call: it takes a link
-	// of 10 Mbit/s 50 ms.
+	// maxPieceBytes bounds a piece, and so what an interrupted call loses: 50 ms on a link
+	// of 10 Mbit/s.
 	maxPieceBytes = 64 << 10
 )
 
-// Source answers those that lack the newest versions.
+// Source answers daemons that lack the newest version. It is the sending side.
 type Source struct {
 	texts   []Text  // newest first
 	patches []patch // newest first
@@ -29,7 +29,7 @@
 	bytes         []byte
 }
 
-// Add takes a newer version; one that isn't newer changes nothing.
+// Add stores a newer version; one that isn't newer is ignored.
 func (s *Source) Add(t Text) {
 	if len(s.texts) > 0 && t.Version <= s.texts[0].Version {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// Answer returns the piece that is wanted. A version that was begun is gone on
-// with while it is kept; otherwise the piece is the first one of the newest.
+// Answer returns the requested piece. A fetch of an older version is continued while
+// that version is kept; otherwise the piece is the first one of the newest version.
 func (s *Source) Answer(w Want) (Piece, error) {
 	if len(s.texts) == 0 {
 		return Piece{}, nil
@@ -65,7 +65,7 @@
 	return Piece{Version: to.Version, Base: from.Version, Size: len(bytes), Offset: offset, Data: data}, nil
 }
 
-// text returns a version that is kept.
+// text returns a version if it is kept.
 func (s *Source) text(version uint64) (Text, bool) {
 	for _, t := range s.texts {
 		if t.Version == version {
@@ -75,8 +75,8 @@
 	return Text{}, false
 }
 
-// patch returns what leads from one text to another. It is made once: a whole
-// fleet asks for it within a second, and making one takes some milliseconds.
+// patch returns the patch from one text to another. It is made once: a whole fleet
+// asks for it within a second, and making one takes some milliseconds.
 func (s *Source) patch(from, to Text) ([]byte, error) {
 	for _, p := range s.patches {
 		if p.version == to.Version && p.base == from.Version {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// routeText is a text like a configuration: n lines of some 200 bytes, the same
-// ones for a smaller n.
+// routeText returns a text like a configuration: n lines of some 200 bytes. A smaller
+// n gives the first lines of the same text.
 func routeText(n int) []byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	var text bytes.Buffer
@@ -23,7 +23,7 @@
 	return text.Bytes()
 }
 
-// randomText is a text that no patch makes shorter.
+// randomText returns a text that can't be compressed.
 func randomText(n int) []byte {
 	random := rand.New(rand.NewPCG(3, 4))
 	text := make([]byte, n)
@@ -33,7 +33,7 @@
 	return text
 }
 
-// applyPatch applies a whole patch to what there is.
+// applyPatch applies a complete patch to a text.
 func applyPatch(have Text, done Piece) (Text, error) {
 	base := have.Bytes
 	if done.Base == 0 {
@@ -43,8 +43,8 @@
 	return Text{done.Version, text}, err
 }
 
-// transfer fetches from a source until nothing newer is known of. It returns the
-// text and the bytes that were sent.
+// transfer fetches from sources until no newer version is known. It returns the text
+// and the number of bytes sent.
 func transfer(t *testing.T, f *Fetcher, from map[string]*Source, have Text) (Text, int) {
 	t.Helper()
 	sent := 0
@@ -72,8 +72,8 @@
 	return have, sent
 }
 
-// A configuration of 4,250 routes changes by one route. Sent whole, it fills a
-// link of 10 Mbit/s for 0.7 s at each of hundreds of daemons, for nothing.
+// A configuration of 4,250 routes changes by one route. Sent whole, it would occupy a
+// link of 10 Mbit/s for 0.7 s at each of hundreds of daemons.
 func TestOnlyTheDifferenceIsSent(t *testing.T) {
 	s := &Source{}
 	s.Add(Text{4, routeText(4250)})
@@ -91,8 +91,8 @@
 	assert.Assert(t, sent < len(got.Bytes)/4, "%d bytes of %d", sent, len(got.Bytes))
 }
 
-// A source ends in the middle of a large text. What came of it is gone on with at
-// the other source, where beginning again could be for ever.
+// A source dies in the middle of a large text. The fetch must continue at the other
+// source: if it started over each time, it might never finish.
 func TestFetchResumesAtAnotherSource(t *testing.T) {
 	text := Text{2, randomText(10 * maxPieceBytes)}
 	a, b := &Source{}, &Source{}
@@ -114,8 +114,8 @@
 	assert.Assert(t, sent < 5*maxPieceBytes, "%d bytes", sent)
 }
 
-// Versions come faster than one of them is fetched. One that was begun is
-// finished, as otherwise a daemon behind a narrow link would get none of them.
+// New versions appear faster than one of them is fetched. A fetch that has begun must
+// be finished: otherwise a daemon on a slow link would never get any version.
 func TestFrequentVersionsDoNotStarveAFetch(t *testing.T) {
 	s := &Source{}
 	text := randomText(8 * maxPieceBytes)
@@ -143,8 +143,8 @@
 	assert.Assert(t, have.Version > 35, "at version %d of 40", have.Version)
 }
 
-// Two daemons have different texts of one version, as somebody wrote the same
-// in another order. The patch's checksum shows it, and the whole text is fetched.
+// Two daemons have different texts of one version, as somebody wrote the same content
+// in another order. The patch's checksum detects it, and the whole text is fetched.
 func TestPatchOfAnotherTextIsRejected(t *testing.T) {
 	s := &Source{}
 	s.Add(Text{1, routeText(300)})
@@ -155,8 +155,8 @@
 	assert.Assert(t, bytes.Equal(got.Bytes, routeText(301)))
 }
 
-// A version can't be read here, as a newer release wrote it. It isn't fetched
-// again for each report; the next version is.
+// A version can't be applied here, as a newer release wrote it. It must not be fetched
+// again for each offer, but the next version must be.
 func TestUnusableVersionIsNotFetchedAgain(t *testing.T) {
 	f := NewFetcher()
 	f.Applied(1)
@@ -173,9 +173,9 @@
 	assert.Assert(t, ok && want.Have == 1)
 }
 
-// Sources come, go and are behind each other; calls fail. A daemon that hears of
-// all of them in the end has the newest version, and never an older one than
-// before.
+// Sources start, end and lag behind each other, and calls fail. A daemon that gets
+// offers from all sources in the end must have the newest version, and never go back
+// to an older one.
 func TestAnyOrderOfEventsLeadsToTheNewestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sources := map[string]*Source{"a": {}, "b": {}, "c": {}}
@@ -219,7 +219,7 @@
 			},
 			"restart": func(t *rapid.T) { sources[names.Draw(t, "at")] = &Source{} },
 			"hear": func(t *rapid.T) {
-				f.Offered(names.Draw(t, "from"), newest) // also where it has lost it since
+				f.Offered(names.Draw(t, "from"), newest) // also if the source has lost it
 			},
 			"step": func(t *rapid.T) { step(rapid.Bool().Draw(t, "fails")) },
 		})
@@ -238,8 +238,8 @@
 	})
 }
 
-// BenchmarkPatch is what a change by one route costs a hub, and a daemon that
-// takes it.
+// BenchmarkPatch measures what a change by one route costs a hub, and a daemon that
+// applies it.
 func BenchmarkPatch(b *testing.B) {
 	for _, n := range []int{60, 4250} {
 		old, text := routeText(n), routeText(n+1)
--- a/internal/spread/text.go
+++ b/internal/spread/text.go
@@ -1,7 +1,7 @@
 package spread
 
-// Text is one version of the text. Version 0 is the empty text, which
-// everybody has.
+// Text is one version of the text. Version 0 is the empty text, which every daemon
+// has.
 type Text struct {
 	Version uint64
 	Bytes   []byte
--- a/internal/spread/want.go
+++ b/internal/spread/want.go
@@ -1,8 +1,8 @@
 package spread
 
-// Want asks a source for a piece.
+// Want is a request for a piece.
 type Want struct {
-	Have    uint64 // the version that the asker has
-	Version uint64 // the version that it has begun to fetch, 0 for the newest
-	Offset  int    // what it has of that patch, in bytes
+	Have    uint64 // the version that the requesting daemon has; 0: none
+	Version uint64 // the version whose fetch has begun; 0: the newest
+	Offset  int    // bytes of that patch received so far
 }
