--- a/internal/spread/patch.go
+++ b/internal/spread/patch.go
@@ -43,8 +43,8 @@
 // Pack returns a patch without a base.
 func Pack(text []byte) ([]byte, error) { return makePatch(nil, text) }
 
-// window returns the compression window in bytes, a power of two that covers both base
-// and text.
+// window returns the compression window in bytes: a power of two that covers both base
+// and text, up to maxTextBytes.
 func window(bytes int) int {
 	return min(max(1<<bits.Len(uint(bytes)), zstd.MinWindowSize), maxTextBytes)
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -68,7 +68,7 @@
 		}
 		have = got
 	}
-	t.Fatal("it never ends")
+	t.Fatal("the transfer did not finish within 1000 calls")
 	return have, sent
 }
 
@@ -218,7 +218,7 @@
 				}
 			},
 			"restart": func(t *rapid.T) { sources[names.Draw(t, "at")] = &Source{} },
-			"hear": func(t *rapid.T) {
+			"offer": func(t *rapid.T) {
 				f.Offered(names.Draw(t, "from"), newest) // also if the source has lost it
 			},
 			"step": func(t *rapid.T) { step(rapid.Bool().Draw(t, "fails")) },
