--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -117,14 +117,14 @@
 
 // Pick chooses an endpoint; ok is false if the service has none left. Avoided
 // endpoints are chosen only when there are no others.
-func (b *Balancer) Pick(now time.Time, a *Request) (c Choice, ok bool) {
-	set := b.candidates(a)
-	home := b.homeOf(a.affinityKey(), set)
-	held := b.findSources(a, set)
+func (b *Balancer) Pick(now time.Time, r *Request) (c Choice, ok bool) {
+	set := b.candidates(r)
+	home := b.homeOf(r.affinityKey(), set)
+	found := b.findSources(r, set)
 	for _, avoided := range [...]bool{false, true} {
-		best := b.cheapest(now, a, set, home, &held, avoided)
+		best := b.cheapest(now, r, set, home, &found, avoided)
 		if best != nil {
-			return b.choice(a, best, home, &held), true
+			return b.choice(r, best, home, &found), true
 		}
 	}
 	return Choice{}, false
@@ -132,14 +132,14 @@
 
 // cheapest returns the member of the least cost, drawn from those whose costs are
 // about equal; nil if there is none to choose.
-func (b *Balancer) cheapest(now time.Time, a *Request, set []*member, home *member, held *sources, avoided bool) *member {
+func (b *Balancer) cheapest(now time.Time, r *Request, set []*member, home *member, found *sources, avoided bool) *member {
 	var best *member
 	least, equal := 0.0, 0
 	for _, m := range set {
-		if m.avoided(now) != avoided || slices.Contains(a.Tried, m.ID) {
+		if m.avoided(now) != avoided || slices.Contains(r.Tried, m.ID) {
 			continue
 		}
-		cost := b.cost(now, a, m, m == home, held)
+		cost := b.cost(now, r, m, m == home, found)
 		switch {
 		case best == nil || cost < least-tieSeconds:
 			best, least, equal = m, cost, 1
@@ -164,14 +164,14 @@
 }
 
 // Sent records the start of an attempt.
-func (b *Balancer) Sent(a *Request, c Choice) {
+func (b *Balancer) Sent(r *Request, c Choice) {
 	m := b.member(c)
 	if m == nil {
 		return
 	}
 	m.own.Requests++
-	m.own.PendingPrefill += a.Prompt - c.Cached
-	m.parts.add(a.Parts)
+	m.own.PendingPrefill += r.Prompt - c.Cached
+	m.parts.add(r.Parts)
 }
 
 // PrefillRate returns the prompt tokens per second that an engine computes, as
@@ -179,26 +179,26 @@
 func (b *Balancer) PrefillRate() float64 { return b.prefillRate.perSecond }
 
 // FirstToken records an attempt's first token, some seconds after it was sent.
-func (b *Balancer) FirstToken(a *Request, c Choice, seconds float64) {
-	b.prefillRate.observe(a.Prompt-c.Cached, seconds)
-	b.prefilled(a, c)
+func (b *Balancer) FirstToken(r *Request, c Choice, seconds float64) {
+	b.prefillRate.observe(r.Prompt-c.Cached, seconds)
+	b.prefilled(r, c)
 }
 
 // prefilled takes an attempt's prompt off its endpoint's pending prefill.
-func (b *Balancer) prefilled(a *Request, c Choice) {
+func (b *Balancer) prefilled(r *Request, c Choice) {
 	if m := b.member(c); m != nil {
-		m.own.PendingPrefill = max(m.own.PendingPrefill-(a.Prompt-c.Cached), 0)
+		m.own.PendingPrefill = max(m.own.PendingPrefill-(r.Prompt-c.Cached), 0)
 	}
 }
 
 // Done records the end of an attempt. first says whether FirstToken was called.
-func (b *Balancer) Done(now time.Time, a *Request, c Choice, first bool, o Outcome) {
+func (b *Balancer) Done(now time.Time, r *Request, c Choice, first bool, o Outcome) {
 	m := b.member(c)
 	if m == nil {
 		return
 	}
 	if !first {
-		b.prefilled(a, c)
+		b.prefilled(r, c)
 	}
 	m.own.Requests = max(m.own.Requests-1, 0)
 	m.observe(now, o)
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -36,16 +36,16 @@
 	return all
 }
 
-func requestWithPrefix(subject uint64) *Request {
-	return &Request{Service: "llm", Prompt: 12000, Output: 380, Parts: []Part{{1, 500}, {subject, 4900}, {subject << 32, 6600}}}
+func requestWithPrefix(prefixID uint64) *Request {
+	return &Request{Service: "llm", Prompt: 12000, Output: 380, Parts: []Part{{1, 500}, {prefixID, 4900}, {prefixID << 32, 6600}}}
 }
 
 // Two daemons that share nothing but the list of endpoints get requests with the same
 // prefix. If they chose different engines, each engine would compute the prefix again.
 func TestDaemonsAgreeOnTheHomeOfAPrefix(t *testing.T) {
-	for subject := uint64(2); subject < 50; subject++ {
-		a, _ := newTestBalancer(subject, 18).Pick(start, requestWithPrefix(subject))
-		b, _ := newTestBalancer(subject+1000, 18).Pick(start, requestWithPrefix(subject))
+	for prefixID := uint64(2); prefixID < 50; prefixID++ {
+		a, _ := newTestBalancer(prefixID, 18).Pick(start, requestWithPrefix(prefixID))
+		b, _ := newTestBalancer(prefixID+1000, 18).Pick(start, requestWithPrefix(prefixID))
 		assert.Equal(t, a.Endpoint.ID, b.Endpoint.ID)
 		assert.Assert(t, a.Home)
 	}
@@ -107,8 +107,8 @@
 	all := testEndpoints(2)
 	all[0].Draining = true
 	b.SetEndpoints(all)
-	for subject := range uint64(20) {
-		c, ok := b.Pick(start, requestWithPrefix(subject+2))
+	for prefixID := range uint64(20) {
+		c, ok := b.Pick(start, requestWithPrefix(prefixID+2))
 		assert.Assert(t, ok)
 		assert.Equal(t, c.Endpoint.ID, all[1].ID)
 	}
@@ -122,12 +122,12 @@
 // little after the first failures, and get requests again after a while.
 func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
 	b := newTestBalancer(1, 6)
-	q := func(i int) *Request { return &Request{Service: "llm", Prompt: 600, Parts: []Part{{uint64(i), 600}}} }
+	request := func(i int) *Request { return &Request{Service: "llm", Prompt: 600, Parts: []Part{{uint64(i), 600}}} }
 	failed := 0
 	now := start
 	for i := range 200 {
 		now = now.Add(10 * time.Millisecond)
-		a := q(i)
+		a := request(i)
 		c, _ := b.Pick(now, a)
 		b.Sent(a, c)
 		if c.Endpoint.ID == "e0" {
@@ -141,7 +141,7 @@
 	again := 0
 	now = now.Add(30 * time.Second)
 	for i := range 200 {
-		a := q(i)
+		a := request(i)
 		c, _ := b.Pick(now, a)
 		b.Sent(a, c)
 		if c.Endpoint.ID == "e0" {
@@ -192,16 +192,16 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 140, 690} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := newTestBalancer(1, n)
-			asks := make([]*Request, 320)
-			for i := range asks {
-				asks[i] = requestWithPrefix(uint64(i + 2))
+			balancer := newTestBalancer(1, n)
+			requests := make([]*Request, 320)
+			for i := range requests {
+				requests[i] = requestWithPrefix(uint64(i + 2))
 			}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				i++
-				if _, ok := l.Pick(start, asks[i%len(asks)]); !ok {
+				if _, ok := balancer.Pick(start, requests[i%len(requests)]); !ok {
 					b.Fatal("none")
 				}
 			}
@@ -223,8 +223,8 @@
 	assert.Assert(t, ok)
 	b.Sent(q, old)
 	b.Sent(q, old)
-	held, _ := b.Pick(start, q)
-	assert.Equal(t, held.Cached, q.Prompt)
+	cached, _ := b.Pick(start, q)
+	assert.Equal(t, cached.Cached, q.Prompt)
 
 	after := testEndpoints(1)
 	after[0].Born = start.Add(time.Second)
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -8,13 +8,13 @@
 
 // candidates returns the members to compare: all of a small set; of a large one the
 // first homes of the affinity key and a random sample. The slice is reused.
-func (b *Balancer) candidates(a *Request) []*member {
-	set := b.eligible(a)
+func (b *Balancer) candidates(r *Request) []*member {
+	set := b.eligible(r)
 	if len(set) <= scanLimit {
 		return set
 	}
 	b.scratch = b.scratch[:0]
-	if key := a.affinityKey(); key != 0 {
+	if key := r.affinityKey(); key != 0 {
 		b.scratch = appendHomes(key, set, b.scratch)
 	}
 	for range sampleSize {
--- a/internal/balance/partcache.go
+++ b/internal/balance/partcache.go
@@ -13,10 +13,10 @@
 }
 
 // prefixTokens returns the tokens of the longest remembered prefix of parts.
-func (s *partCache) prefixTokens(parts []Part) int {
+func (c *partCache) prefixTokens(parts []Part) int {
 	sum := 0
 	for _, p := range parts {
-		if _, ok := s.byID[p.ID]; !ok {
+		if _, ok := c.byID[p.ID]; !ok {
 			break
 		}
 		sum += p.Tokens
@@ -25,22 +25,22 @@
 }
 
 // add records the use of parts.
-func (s *partCache) add(parts []Part) {
-	if s.byID == nil {
-		s.byID = map[uint64]*list.Element{}
+func (c *partCache) add(parts []Part) {
+	if c.byID == nil {
+		c.byID = map[uint64]*list.Element{}
 	}
 	for _, p := range parts {
-		if e, ok := s.byID[p.ID]; ok {
-			s.order.MoveToFront(e)
+		if e, ok := c.byID[p.ID]; ok {
+			c.order.MoveToFront(e)
 			continue
 		}
-		s.byID[p.ID] = s.order.PushFront(p)
-		s.tokens += p.Tokens
+		c.byID[p.ID] = c.order.PushFront(p)
+		c.tokens += p.Tokens
 	}
-	for s.order.Len() > maxParts || s.tokens > s.capacity && s.order.Len() > 0 {
-		e := s.order.Back()
-		p := s.order.Remove(e).(Part)
-		delete(s.byID, p.ID)
-		s.tokens -= p.Tokens
+	for c.order.Len() > maxParts || c.tokens > c.capacity && c.order.Len() > 0 {
+		e := c.order.Back()
+		p := c.order.Remove(e).(Part)
+		delete(c.byID, p.ID)
+		c.tokens -= p.Tokens
 	}
 }
--- a/internal/balance/request.go
+++ b/internal/balance/request.go
@@ -30,11 +30,11 @@
 
 // affinityKey returns the ID of the last shared part, which identifies the shared
 // prefix; 0 if there is none.
-func (a *Request) affinityKey() uint64 {
-	if len(a.Parts) < 2 {
+func (r *Request) affinityKey() uint64 {
+	if len(r.Parts) < 2 {
 		return 0
 	}
-	return a.Parts[len(a.Parts)-2].ID
+	return r.Parts[len(r.Parts)-2].ID
 }
 
 // Choice is an endpoint with the predictions for it.
--- a/internal/balance/source.go
+++ b/internal/balance/source.go
@@ -11,13 +11,13 @@
 type sources [2]source
 
 // add inserts a member if it has more cached than one of the two.
-func (s *sources) add(m *member, held int) {
+func (s *sources) add(m *member, cached int) {
 	switch {
-	case held == 0 || s[0].member == m || s[1].member == m:
-	case held > s[0].cached:
-		s[0], s[1] = source{m, held}, s[0]
-	case held > s[1].cached:
-		s[1] = source{m, held}
+	case cached == 0 || s[0].member == m || s[1].member == m:
+	case cached > s[0].cached:
+		s[0], s[1] = source{m, cached}, s[0]
+	case cached > s[1].cached:
+		s[1] = source{m, cached}
 	}
 }
 
@@ -34,18 +34,18 @@
 // count: when homes were assumed to have their share cached, most transfers from them
 // moved nothing, and the prompt was computed at the wrong endpoint (1.7 M instead of
 // 1.2 M shared tokens recomputed in one day).
-func (b *Balancer) findSources(a *Request, set []*member) sources {
+func (b *Balancer) findSources(r *Request, set []*member) sources {
 	var out sources
-	key := a.affinityKey()
+	key := r.affinityKey()
 	if key == 0 {
 		return out
 	}
 	for _, m := range set {
-		out.add(m, m.parts.prefixTokens(a.Parts))
+		out.add(m, m.parts.prefixTokens(r.Parts))
 	}
-	for _, m := range b.homesOf(key, b.listed[a.Service]) {
-		if b.versionAllowed(a, m) { // versions don't share cached tokens
-			out.add(m, m.parts.prefixTokens(a.Parts))
+	for _, m := range b.homesOf(key, b.listed[r.Service]) {
+		if b.versionAllowed(r, m) { // versions don't share cached tokens
+			out.add(m, m.parts.prefixTokens(r.Parts))
 		}
 	}
 	return out
@@ -65,11 +65,11 @@
 }
 
 // planFetch returns what a member that has some tokens cached should fetch.
-func (b *Balancer) planFetch(m *member, held int, s *sources) fetchPlan {
+func (b *Balancer) planFetch(m *member, cached int, s *sources) fetchPlan {
 	from := s.except(m)
-	tokens := from.cached - held
+	tokens := from.cached - cached
 	if from.member == nil || m.fetchSeconds == 0 || tokens < minFetchTokens {
-		return fetchPlan{cached: held}
+		return fetchPlan{cached: cached}
 	}
 	return fetchPlan{
 		from:        from.member,
@@ -80,9 +80,9 @@
 
 // sharedTokens returns the number of tokens in the parts that other requests may
 // share.
-func (a *Request) sharedTokens() int {
+func (r *Request) sharedTokens() int {
 	sum := 0
-	for _, p := range a.Parts[:max(len(a.Parts)-1, 0)] {
+	for _, p := range r.Parts[:max(len(r.Parts)-1, 0)] {
 		sum += p.Tokens
 	}
 	return sum
--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -74,14 +74,14 @@
 }
 
 // eligible returns the members of a service that may be chosen.
-func (b *Balancer) eligible(a *Request) []*member {
-	s := b.splits[a.Service]
+func (b *Balancer) eligible(r *Request) []*member {
+	s := b.splits[r.Service]
 	switch {
-	case s == nil && a.Side == rollout.Old && b.MixedVersions(a.Service):
-		return b.established[a.Service]
-	case s == nil || a.Side == rollout.Any:
-		return b.active[a.Service]
-	case a.Side == rollout.New:
+	case s == nil && r.Side == rollout.Old && b.MixedVersions(r.Service):
+		return b.established[r.Service]
+	case s == nil || r.Side == rollout.Any:
+		return b.active[r.Service]
+	case r.Side == rollout.New:
 		return s.new
 	default:
 		return s.old
@@ -104,16 +104,16 @@
 		if !mixed {
 			continue
 		}
-		var of []*member
+		var members []*member
 		for _, m := range b.active[service] {
 			if m.Version == version {
-				of = append(of, m)
+				members = append(members, m)
 			}
 		}
-		if len(of) == 0 { // all endpoints of the version are draining
-			of = b.active[service]
+		if len(members) == 0 { // all endpoints of the version are draining
+			members = b.active[service]
 		}
-		b.established[service] = of
+		b.established[service] = members
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // versionAllowed reports whether a member's version may be chosen.
-func (b *Balancer) versionAllowed(a *Request, m *member) bool {
-	s := b.splits[a.Service]
-	return s == nil || a.Side == rollout.Any || (m.Version == s.target) == (a.Side == rollout.New)
+func (b *Balancer) versionAllowed(r *Request, m *member) bool {
+	s := b.splits[r.Service]
+	return s == nil || r.Side == rollout.Any || (m.Version == s.target) == (r.Side == rollout.New)
 }
--- a/internal/balance/split_test.go
+++ b/internal/balance/split_test.go
@@ -12,10 +12,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-var splitNow = time.Unix(1000, 0)
+var testNow = time.Unix(1000, 0)
 
-// versioned returns endpoints of a version that started at a time.
-func versioned(version string, n int, born time.Time) []roster.Endpoint {
+// versionedEndpoints returns endpoints of a version that started at a time.
+func versionedEndpoints(version string, n int, born time.Time) []roster.Endpoint {
 	out := make([]roster.Endpoint, n)
 	for i := range out {
 		id := version + "-" + string(rune('a'+i))
@@ -28,7 +28,7 @@
 func pickedVersions(b *Balancer, side rollout.Side) (versions map[string]bool, endpoints map[fleet.EndpointID]bool) {
 	versions, endpoints = map[string]bool{}, map[fleet.EndpointID]bool{}
 	for range 200 {
-		c, ok := b.Pick(splitNow, &Request{Service: "s", Side: side})
+		c, ok := b.Pick(testNow, &Request{Service: "s", Side: side})
 		if ok {
 			versions[c.Endpoint.Version] = true
 			endpoints[c.Endpoint.ID] = true
@@ -39,7 +39,7 @@
 
 func TestSidesOfARollout(t *testing.T) {
 	b := New("z", rand.New(rand.NewPCG(1, 2)))
-	b.SetEndpoints(append(versioned("v1", 8, splitNow), versioned("v2", 8, splitNow.Add(time.Minute))...))
+	b.SetEndpoints(append(versionedEndpoints("v1", 8, testNow), versionedEndpoints("v2", 8, testNow.Add(time.Minute))...))
 	b.SetSplit(&rollout.Word{Service: "s", Key: rollout.Key{Target: "v2"}, Spread: 3, Turn: 1})
 	versions, _ := pickedVersions(b, rollout.Old)
 	assert.DeepEqual(t, versions, map[string]bool{"v1": true})
@@ -62,22 +62,22 @@
 
 func TestEstablishedVersionIsChosenWithoutARollout(t *testing.T) {
 	b := New("z", rand.New(rand.NewPCG(1, 2)))
-	old := versioned("v1", 3, splitNow)
-	b.SetEndpoints(append(versioned("v2", 3, splitNow.Add(time.Minute)), old...))
+	old := versionedEndpoints("v1", 3, testNow)
+	b.SetEndpoints(append(versionedEndpoints("v2", 3, testNow.Add(time.Minute)), old...))
 	versions, _ := pickedVersions(b, rollout.Old)
 	assert.DeepEqual(t, versions, map[string]bool{"v1": true})
 
 	for i := range old {
-		old[i].Born = splitNow.Add(time.Hour) // all endpoints of v1 restarted
+		old[i].Born = testNow.Add(time.Hour) // all endpoints of v1 restarted
 	}
-	b.SetEndpoints(append(versioned("v2", 3, splitNow.Add(time.Minute)), old...))
+	b.SetEndpoints(append(versionedEndpoints("v2", 3, testNow.Add(time.Minute)), old...))
 	versions, _ = pickedVersions(b, rollout.Old)
 	assert.DeepEqual(t, versions, map[string]bool{"v1": true})
 
 	for i := range old {
 		old[i].Draining = true
 	}
-	b.SetEndpoints(append(versioned("v2", 3, splitNow.Add(time.Minute)), old...))
+	b.SetEndpoints(append(versionedEndpoints("v2", 3, testNow.Add(time.Minute)), old...))
 	versions, _ = pickedVersions(b, rollout.Old)
 	assert.DeepEqual(t, versions, map[string]bool{"v2": true})
 }
