--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -218,7 +218,7 @@
 				}
 			},
 			"restart": func(t *rapid.T) { sources[names.Draw(t, "at")] = &Source{} },
-			"offer": func(t *rapid.T) {
+			"hear": func(t *rapid.T) {
 				f.Offered(names.Draw(t, "from"), newest) // also if the source has lost it
 			},
 			"step": func(t *rapid.T) { step(rapid.Bool().Draw(t, "fails")) },
