--- a/internal/quota/fleetkill_test.go
+++ b/internal/quota/fleetkill_test.go
@@ -14,8 +14,8 @@
 	for _, daemons := range []int{6, 9, 80, 195, 340} {
 		for _, peak := range []float64{3, 6} {
 			t.Run(fmt.Sprintf("%ddaemons_%.0flimits", daemons, peak), func(t *testing.T) {
-				most := worstAfterKill(daemons, peak)
-				assert.Assert(t, most <= 1, "%.3f of what is tolerated", most)
+				used := worstAfterKill(daemons, peak)
+				assert.Assert(t, used <= 1, "%.3f of what is tolerated", used)
 			})
 		}
 	}
--- a/internal/quota/fleetsize_test.go
+++ b/internal/quota/fleetsize_test.go
@@ -379,11 +379,11 @@
 func TestLargeFleetKeepsTheLimit(t *testing.T) {
 	for _, daemons := range largeSizes() {
 		for _, c := range []struct {
-			name   string
-			jumpAt time.Duration
-			cut    bool
-			killed time.Duration
-			most   float64
+			name        string
+			jumpAt      time.Duration
+			partitioned bool
+			killAt      time.Duration
+			maxUsed     float64
 		}{
 			{"a jump", 500 * time.Millisecond, false, 0, 1},
 			{"a third partitioned, then a jump", 6 * time.Second, true, 0, 1},
@@ -391,15 +391,15 @@
 			{"a jump, then all killed", 2 * time.Second, false, 8 * time.Second, 1},
 		} {
 			t.Run(fmt.Sprintf("%d daemons, %s", daemons, c.name), func(t *testing.T) {
-				f := &sizedFleet{daemons: daemons, jumpAt: c.jumpAt, killAt: c.killed}
-				if c.cut {
+				f := &sizedFleet{daemons: daemons, jumpAt: c.jumpAt, killAt: c.killAt}
+				if c.partitioned {
 					f.cutOff, f.from, f.to = daemons*35/100, time.Second, 13*time.Second
 				}
 				f.run(1, 16*time.Second)
-				assert.Assert(t, f.toleranceUsed() <= c.most, "%.3f of what is tolerated", f.toleranceUsed())
+				assert.Assert(t, f.toleranceUsed() <= c.maxUsed, "%.3f of what is tolerated", f.toleranceUsed())
 				from, to := c.jumpAt, 13*time.Second
-				if c.killed > 0 {
-					to = c.killed
+				if c.killAt > 0 {
+					to = c.killAt
 				}
 				got := f.admittedShare(from, to)
 				assert.Assert(t, got >= 0.85, "%.2f of the limit", got)
@@ -426,9 +426,9 @@
 	}
 }
 
-// Guards against daemons that save up at a larger share before they have discovered
-// each other, and all spend the savings when demand jumps.
-func TestSavingsFromBeforeDiscoveryKeepWithinTheLimit(t *testing.T) {
+// Guards against daemons that accumulate savings at a larger share before they have
+// discovered each other, and all spend them when demand jumps.
+func TestSavingsFromBeforeDiscoveryStayWithinTheLimit(t *testing.T) {
 	for _, daemons := range fleetSizes {
 		for seed := range uint64(3) {
 			f := &sizedFleet{daemons: daemons, discoveredAt: time.Second, jumpAt: 6 * time.Second, peakDemand: 6}
--- a/internal/quota/partition_test.go
+++ b/internal/quota/partition_test.go
@@ -189,8 +189,8 @@
 }
 
 // A workspace asks for three times its limit at sixty daemons whose reports are late.
-// Callers must be served evenly: a second that admits nearly everything, followed by
-// one that refuses nearly everything, is of no use in either.
+// Callers must be served evenly: a second in which nearly everything is admitted must
+// not be followed by one in which nearly everything is refused.
 func TestLimitIsServedEvenly(t *testing.T) {
 	f := &partitionedFleet{daemons: 60, jumpAt: 0, demandAfter: 3, reportInterval: 400 * time.Millisecond, from: time.Hour, to: time.Hour}
 	admitted := f.run(30 * time.Second)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -44,8 +44,8 @@
 }
 
 // Six daemons serve one workspace, and learn of the others' spending 300 ms late.
-// Together they must stay within the limit and a tenth, and must not refuse demand
-// below it.
+// Together they must admit at most 1.1 times the limit, and must not refuse demand below
+// it.
 func TestSixDaemonsShareOneLimit(t *testing.T) {
 	const daemons, rate, burst, cost, lagSteps = 6, 1000.0, 1000.0, 10.0, 3
 	for _, demand := range []float64{0.9, 3, 7.5} {
@@ -90,8 +90,8 @@
 }
 
 // A workspace's demand jumps to many times its limit at six daemons that learn of the
-// others' spending late. What they admit beyond the limit must stay within the
-// tolerance: a tenth and some.
+// others' spending late. What they admit beyond the limit must stay within a quarter of
+// it.
 func TestDemandJumpStaysWithinTolerance(t *testing.T) {
 	const daemons, rate, lagSteps = 6, 1000.0, 3
 	w := route.Workspace{Name: "w", Rate: rate, Burst: rate}
