--- a/internal/node/scalingduty.go
+++ b/internal/node/scalingduty.go
@@ -58,17 +58,17 @@
 // sample describes a service as the fleet sees it.
 func (s *scalingDuty) sample(service *route.Service, work relay.Work, elapsed time.Duration) *scaling.Sample {
 	out := &scaling.Sample{
-		Service:  service,
-		Here:     map[scaling.Place]int{},
-		Leaving:  map[scaling.Place]int{},
-		ReadRate: s.duties.node.state.ReadRate(),
-		Seconds:  elapsed.Seconds(),
+		Service:         service,
+		Serving:         map[scaling.Place]int{},
+		Leaving:         map[scaling.Place]int{},
+		PrefillCapacity: s.duties.node.state.ReadRate(),
+		Seconds:         elapsed.Seconds(),
 	}
 	// A total is smaller than before where a daemon that is gone was forgotten,
 	// and a holder's first totals are no difference.
 	if last, ok := s.work[service.Name]; ok {
 		out.Slots = max(work.Hold-last.Hold, 0) / out.Seconds
-		out.Read = max(work.Read-last.Read, 0) / out.Seconds
+		out.Prefill = max(work.Read-last.Read, 0) / out.Seconds
 		out.Prompt = max(work.Prompt-last.Prompt, 0) / out.Seconds
 	}
 	s.work[service.Name] = work
@@ -81,7 +81,7 @@
 		if e.Draining {
 			out.Leaving[place]++
 		} else {
-			out.Here[place]++
+			out.Serving[place]++
 		}
 	}
 	return out
@@ -106,7 +106,7 @@
 	}
 	log := s.duties.log.WithFields(map[string]any{
 		"service": sample.Service.Name, "data_centre": o.DataCentre, "spot": o.Spot, "count": o.Count,
-		"here": sample.Here[o.Place], "slots": sample.Slots, "read": sample.Read, "prompt": sample.Prompt, "read_rate": sample.ReadRate,
+		"here": sample.Serving[o.Place], "slots": sample.Slots, "read": sample.Prefill, "prompt": sample.Prompt, "read_rate": sample.PrefillCapacity,
 	})
 	s.duties.call(ctx, func() func(time.Time) {
 		err := s.duties.node.platform.Cloud.Order(ctx, f, duty.Order{
--- a/internal/scaling/config.go
+++ b/internal/scaling/config.go
@@ -3,64 +3,69 @@
 import "time"
 
 const (
-	// fill is the share of an engine's time that the load should take. With
-	// more, prompts queue behind each other for longer than their target, and
-	// a burst finds no room in the seconds until new engines serve; with less,
-	// batches are small and each token costs more of the engine.
-	fill = 0.75
-	// tightFill is the share that the load may take once further losses that are
-	// provided for have come: answers get later, but none has to be refused.
-	// Measured at 0.75, 1 and 1.15 in waves of two to four losses: worth 0.598,
-	// 0.613 and 0.607; at 1.15 the wave of four has 2 in 100 fewer answers in time.
-	tightFill = 1.0
-	// losses is the number of data centres whose reclaimable endpoints may
-	// vanish while what is left still carries the load: reclaims come in waves
-	// a few seconds apart, and what vanished can't be had again for a while.
-	losses = 2
-	// startShare is the part of the endpoints found at the first look that
-	// the load is taken to need until it was measured: the first prompts find
-	// nothing cached. Measured at 0.5 and 0.75 with 94 endpoints: 3 in 100 more
-	// answers in time; at 1, with 16 to 22, none more and a lower worth.
-	startShare = 0.75
-	// registerTime is how long the number of endpoints must stay the same at
-	// the start: they register within about a heartbeat of 1.2 s.
-	registerTime = 1500 * time.Millisecond
-	// measureTime is how long requests must have come before the load counts as
-	// known; until then the start's estimate is a lower bound.
+	// targetUtilisation is the share of an engine's time that the load should take.
+	// Above it, prompts queue for longer than their latency target, and a burst finds
+	// no spare capacity in the seconds until new engines serve; below it, batches are
+	// small and each token costs more engine time.
+	targetUtilisation = 0.75
+	// maxUtilisation is the share that the load may take after the further losses
+	// that the planner covers: answers get later, but none has to be refused. In
+	// waves of two to four losses, 0.75, 1 and 1.15 reach a score (value of the answers
+	// less cost) of 0.598, 0.613 and 0.607; at 1.15, a wave of four has 2 in 100 fewer
+	// answers in time.
+	maxUtilisation = 1.0
+	// toleratedLosses is the number of data centres that may lose their reclaimable
+	// endpoints while the others still carry the load: reclaims come in waves a few
+	// seconds apart, and replacements are unavailable for a while.
+	toleratedLosses = 2
+	// initialNeedShare is the share of the endpoints present at the start that the
+	// load is assumed to need until it has been measured: the first prompts find
+	// nothing cached. With 94 endpoints, 0.75 brings 3 in 100 more answers in time
+	// than 0.5; with 16 to 22 endpoints, 1 brings no more than 0.75 at a lower score
+	// (value of the answers less cost).
+	initialNeedShare = 0.75
+	// registrationSettleTime is how long the number of endpoints must stay the same
+	// at the start: they register within about a heartbeat of 1.2 s.
+	registrationSettleTime = 1500 * time.Millisecond
+	// measureTime is how long requests must have arrived before the load counts as
+	// measured; until then, the initial need is a lower bound.
 	measureTime = 12 * time.Second
-	// firstLook is how long requests must have come before the start's estimate is
-	// bounded by guessMargin times what they take.
-	firstLook = 3 * time.Second
-	// guessMargin is how far a load of a few seconds may be below the one that is
-	// measured later: prompts find nothing cached yet, and traffic swells.
-	guessMargin = 4.0
-	// mostExcess bounds what is kept in the first step of giving back, as a multiple
-	// of what is wanted: halving a difference of fifty times takes half a minute.
-	mostExcess = 2
-	// riseSeconds and fallSeconds are the time constants of the smoothed load:
-	// new endpoints take seconds to start, and giving back breaks streams.
+	// estimateTime is how long requests must have arrived before the initial need is
+	// limited to estimateMargin times what they take.
+	estimateTime = 3 * time.Second
+	// estimateMargin is the factor by which the load of the first seconds may be
+	// below the load measured later: prompts find nothing cached yet, and traffic grows.
+	estimateMargin = 4.0
+	// maxExcess limits what the first step of a scale-down keeps, as a multiple of
+	// the wanted number: with halving alone, a fleet of fifty times that number
+	// takes half a minute to shrink.
+	maxExcess = 2
+	// riseSeconds and fallSeconds are the time constants of the smoothed load. A rise
+	// must be followed fast, since new endpoints take seconds to start; a fall
+	// slowly, since releasing endpoints breaks streams.
 	riseSeconds = 2.5
 	fallSeconds = 15.0
-	// holdFall is how long fewer endpoints must be enough before any is given back.
-	holdFall = 5 * time.Second
-	// refusedWait is between an order that was refused and its repeat.
-	refusedWait = 2 * time.Second
-	// refusedHold is how long a place that refused is left out of the choice.
-	refusedHold = 6 * time.Second
-	// waveHold is how long after the last loss or refusal nothing is given
-	// back: reclaims of a wave are up to six seconds apart.
-	waveHold = 7 * time.Second
-	// hazardHalf is the time in which the weight of a loss halves, as a sign of
-	// further ones: waves last some ten to twenty seconds.
-	hazardHalf = 7 * time.Second
-	// missingCost is what an endpoint that is missing costs callers, as a
-	// multiple of its on-demand price: late and refused answers are worth a
-	// tenth and nothing. Measured at 4.5 and 8 in waves of two to four losses:
-	// worth 0.617 and 0.607. At 8 the wave of four has 3 in 100 more answers in
-	// time, and the waves of two none more at a worth that is 0.03 to 0.04 lower
-	// on calm days.
-	missingCost = 4.5
-	// bootSlack is added to the stated start time before an endpoint that was
-	// ordered counts as missing.
+	// scaleDownDelay is how long fewer endpoints must suffice before any is released.
+	scaleDownDelay = 5 * time.Second
+	// refusalRetryDelay is the time between a refused order and its retry.
+	refusalRetryDelay = 2 * time.Second
+	// refusalAvoidTime is how long no more endpoints are planned for a place that
+	// refused an order.
+	refusalAvoidTime = 6 * time.Second
+	// waveDuration is how long a wave counts as going on after the last loss or
+	// refusal: the reclaims of a wave are up to six seconds apart.
+	waveDuration = 7 * time.Second
+	// hazardHalfLife is the time in which the weight of a loss halves as a predictor
+	// of further losses: waves last ten to twenty seconds.
+	hazardHalfLife = 7 * time.Second
+	// shortfallCost is what a missing endpoint costs callers, as a multiple of its
+	// on-demand price: a late answer has a tenth of the value of one in time, a
+	// refused one has none. In waves of two to four losses, 4.5 and 8 reach a score
+	// (value of the answers less cost) of 0.617 and 0.607. At 8, a wave of four has
+	// 3 in 100 more answers in time, a wave of two has no more, and the score without
+	// waves is 0.03 to 0.04 lower.
+	shortfallCost = 4.5
+	// bootSlack is added to the service's boot time before an ordered endpoint
+	// counts as missing.
 	bootSlack = 1500 * time.Millisecond
 )
--- a/internal/scaling/hazard.go
+++ b/internal/scaling/hazard.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// hazard follows how often data centres lose their reclaimable endpoints. A
-// loss raises the chance of further ones: reclaims come in waves.
+// hazard estimates the rate at which data centres lose their reclaimable
+// endpoints. Each loss raises it for a while, as reclaims come in waves.
 type hazard struct {
-	recent float64 // losses, each halved with every hazardHalf
-	at     time.Time
+	recent    float64 // losses, the weight of each halved every hazardHalfLife
+	updatedAt time.Time
 }
 
-// lost notes that a data centre lost its reclaimable endpoints.
-func (h *hazard) lost(now time.Time) {
+// recordLoss counts a data centre that lost its reclaimable endpoints.
+func (h *hazard) recordLoss(now time.Time) {
 	h.recent = h.decayed(now) + 1
-	h.at = now
+	h.updatedAt = now
 }
 
 func (h *hazard) decayed(now time.Time) float64 {
 	if h.recent == 0 {
 		return 0
 	}
-	return h.recent * math.Exp2(-now.Sub(h.at).Seconds()/hazardHalf.Seconds())
+	return h.recent * math.Exp2(-now.Sub(h.updatedAt).Seconds()/hazardHalfLife.Seconds())
 }
 
-// expected returns the losses to expect within a time: the rate is that of the
-// decayed count over the mean age at which it decays.
-func (h *hazard) expected(now time.Time, within time.Duration) float64 {
-	meanAge := hazardHalf.Seconds() / math.Ln2
-	return h.decayed(now) * within.Seconds() / meanAge
+// expectedLosses returns the expected number of losses within the horizon: the
+// rate is the decayed count divided by the time constant of the decay.
+func (h *hazard) expectedLosses(now time.Time, horizon time.Duration) float64 {
+	meanAge := hazardHalfLife.Seconds() / math.Ln2
+	return h.decayed(now) * horizon.Seconds() / meanAge
 }
 
-// provideFor returns the number of further losses to provide for, at most some:
-// the k-th is provided for while the chance that it comes before a replacement
-// could start, times what its missing endpoints cost callers, exceeds the
-// price of endpoints that wait for it. Losses are taken as independent.
-func (h *hazard) provideFor(now time.Time, within time.Duration, most int) int {
-	mean := h.expected(now, within)
+// lossesToCover returns how many further losses on-demand endpoints should stand
+// by for, at most limit. The horizon is the time that a replacement takes to start.
+// The k-th loss is covered if its probability within the horizon, times the cost of
+// its shortfall to callers, is at least the price of the stand-by endpoints. Losses
+// are assumed to be independent: their number has a Poisson distribution.
+func (h *hazard) lossesToCover(now time.Time, horizon time.Duration, limit int) int {
+	mean := h.expectedLosses(now, horizon)
 	term := math.Exp(-mean)
-	atLeast := 1 - term // chance of k or more
-	for k := range most {
-		if atLeast*missingCost < 1 {
+	atLeast := 1 - term // probability of more than k losses
+	for k := range limit {
+		if atLeast*shortfallCost < 1 {
 			return k
 		}
 		term *= mean / float64(k+1)
 		atLeast -= term
 	}
-	return most
+	return limit
 }
--- a/internal/scaling/planner.go
+++ b/internal/scaling/planner.go
@@ -9,174 +9,183 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Planner decides for one service. A new holder of the duty starts with a new
-// one. It is not safe for concurrent use.
+// Planner plans the endpoints of one service. Its state isn't persisted: the daemon
+// that takes over the scaling duty starts with a new planner. It is not safe for
+// concurrent use.
 type Planner struct {
-	load          float64   // endpoints that are busy with the load, smoothed
-	cached        float64   // endpoints that would be busy with reading what is cached, smoothed
-	loaded        time.Time // when requests were first seen
-	measured      bool      // whether requests have come for long enough to know the load
-	glimpsed      bool      // whether they have come for long enough to bound the floor
-	floor         float64   // endpoints that the start needs
-	started       bool
-	takenOver     time.Time // when this planner began under load; zero: it didn't
-	seen          int       // endpoints at the last look, before the start
-	seenAt        time.Time // since when
-	fewer         time.Time // since when fewer reclaimable ones would do; zero: they wouldn't
-	onDemand      int       // on-demand endpoints wanted in all
-	fewerOnDemand time.Time // since when fewer would do in a wave; zero: they wouldn't
-	market        *market
-	perCentre     int // reclaimable endpoints wanted in each data centre
-}
-
-// New returns a planner.
-func New() *Planner { return &Planner{market: newMarket()} }
-
-// Plan returns the orders that are due.
+	load               float64   // number of endpoints that the requests keep busy, smoothed
+	cachedLoad         float64   // number of endpoints that prefill of the cached tokens would keep busy, smoothed
+	loadedSince        time.Time // when requests first arrived; zero: none yet
+	measured           bool      // requests have arrived for measureTime
+	estimated          bool      // requests have arrived for estimateTime
+	initialNeed        float64   // lower bound of the needed endpoints until measured
+	started            bool      // the first plan was made
+	takenOverAt        time.Time // when this planner started under load; zero: it started without
+	startCount         int       // endpoints in the last sample before the start
+	startCountSince    time.Time // since when it has been the same
+	fewerSince         time.Time // since when fewer reclaimable endpoints would suffice; zero: they wouldn't
+	onDemand           int       // on-demand endpoints wanted in all data centres
+	fewerOnDemandSince time.Time // since when fewer would suffice during a wave; zero: they wouldn't
+	supply             *supply
+	perDataCentre      int // reclaimable endpoints wanted in each data centre
+}
+
+// New returns a planner for a service.
+func New() *Planner { return &Planner{supply: newSupply()} }
+
+// Plan takes a sample and returns the orders that are due, for the caller to send.
+// It returns none before the endpoints found at the start are known, and none for a
+// service that isn't scaled.
 func (p *Planner) Plan(now time.Time, s *Sample) []Order {
 	if s.Service.Scaling == nil || len(s.Service.Scaling.DataCentre) == 0 {
 		return nil
 	}
-	p.market.observe(now, s)
-	if !p.start(now, s) {
+	p.supply.observe(now, s)
+	if !p.ready(now, s) {
 		return nil
 	}
-	p.measure(now, s)
-	p.setReclaimable(now, s)
+	p.updateLoad(now, s)
+	p.updateReclaimable(now, s)
 	wanted := map[Place]int{}
 	for dc := range s.Service.Scaling.DataCentre {
-		wanted[Place{dc, true}] = min(p.perCentre, p.room(s, dc))
+		wanted[Place{dc, true}] = min(p.perDataCentre, p.reclaimableRoom(s, dc))
 	}
 	p.addOnDemand(now, s, wanted)
-	return p.due(now, s, wanted)
+	return p.dueOrders(now, s, wanted)
 }
 
-// room returns how many reclaimable endpoints a data centre can have beside the
-// on-demand ones there: an order above the bound brings fewer than it asks for.
-// Those that are there have room.
-func (p *Planner) room(s *Sample, dc fleet.DataCentre) int {
-	return max(s.Service.Scaling.Max-s.Here[Place{dc, false}], s.Here[Place{dc, true}])
+// reclaimableRoom returns how many reclaimable endpoints a data centre can have
+// beside its on-demand ones; an order for more would bring fewer than it asks for.
+// It is never below the number that serves there.
+func (p *Planner) reclaimableRoom(s *Sample, dc fleet.DataCentre) int {
+	return max(s.Service.Scaling.Max-s.Serving[Place{dc, false}], s.Serving[Place{dc, true}])
 }
 
-// Refused notes that an order was refused.
+// Refused reports that an order was refused; it is due again after a while.
 func (p *Planner) Refused(now time.Time, o Order) {
-	p.market.refusedOrder(now, o)
+	p.supply.recordRefusal(now, o)
 }
 
-// Failed notes that an order has no answer: it is repeated.
-func (p *Planner) Failed(o Order) { p.market.forget(o.Place) }
+// Failed reports that an order wasn't sent or its outcome is unknown; it can be due
+// again at once.
+func (p *Planner) Failed(o Order) { p.supply.forgetOrder(o.Place) }
 
-// start reports whether the endpoints that are there are known. Right after
-// the platform's own start they register one after the other; planned from the
-// first few, most would be given back and be missing when requests come. Where
-// requests come already, a holder before this one has planned: what it ordered
-// is where this one begins.
-func (p *Planner) start(now time.Time, s *Sample) bool {
+// ready reports whether planning can start, and sets the state to start from.
+// When the platform starts, endpoints register one after the other; a plan based on
+// the first few would release most of the others, which would be missing when
+// requests arrive. If requests arrive already, another planner was active before:
+// this one starts at once, with the endpoints that it left.
+func (p *Planner) ready(now time.Time, s *Sample) bool {
 	if !p.started && s.Slots > 0 {
-		p.started, p.takenOver = true, now
-		p.floor = startShare * float64(total(s.Here))
-		p.perCentre = reclaimable(s)
-		p.onDemand = p.onDemandThere(now, s)
+		p.started, p.takenOverAt = true, now
+		p.initialNeed = initialNeedShare * float64(total(s.Serving))
+		p.perDataCentre = mostReclaimable(s)
+		p.onDemand = p.onDemandPresent(now, s)
 		return true
 	}
-	if n := total(s.Here); !p.started && n != p.seen {
-		p.seen, p.seenAt = n, now
+	if n := total(s.Serving); !p.started && n != p.startCount {
+		p.startCount, p.startCountSince = n, now
 	}
-	if p.started || p.seen == 0 || now.Sub(p.seenAt) < registerTime {
+	if p.started || p.startCount == 0 || now.Sub(p.startCountSince) < registrationSettleTime {
 		return p.started
 	}
 	p.started = true
-	p.floor = startShare * float64(p.seen)
+	p.initialNeed = initialNeedShare * float64(p.startCount)
 	return true
 }
 
-// measure smooths the load: a batch's slots and the reading of prompts take an
-// engine's time in turns, so that their parts add up.
-func (p *Planner) measure(now time.Time, s *Sample) {
+// updateLoad smooths the load of a sample. An engine alternates between decoding its
+// batch and prefill, so the shares of its time that they take add up.
+func (p *Planner) updateLoad(now time.Time, s *Sample) {
 	slots := 1
 	if s.Service.Engine != nil {
 		slots = max(s.Service.Engine.Slots, 1)
 	}
-	seen := s.Slots / float64(slots)
+	busy := s.Slots / float64(slots)
 	cached := 0.0
-	if s.ReadRate > 0 {
-		seen += s.Read / s.ReadRate
-		cached = max(s.Prompt-s.Read, 0) / s.ReadRate
+	if s.PrefillCapacity > 0 {
+		busy += s.Prefill / s.PrefillCapacity
+		cached = max(s.Prompt-s.Prefill, 0) / s.PrefillCapacity
 	}
-	if seen > 0 && p.loaded.IsZero() {
-		p.loaded = now
-		p.load, p.cached = seen, cached
+	if busy > 0 && p.loadedSince.IsZero() {
+		p.loadedSince = now
+		p.load, p.cachedLoad = busy, cached
 	}
 	p.measured = p.loadedFor(now, measureTime)
-	p.glimpsed = p.loadedFor(now, firstLook)
-	p.load = smooth(p.load, seen, s.Seconds)
-	p.cached = smooth(p.cached, cached, s.Seconds)
+	p.estimated = p.loadedFor(now, estimateTime)
+	p.load = smooth(p.load, busy, s.Seconds)
+	p.cachedLoad = smooth(p.cachedLoad, cached, s.Seconds)
 }
 
-// loadedFor reports whether requests have come for a time.
+// loadedFor reports whether requests first arrived at least d ago.
 func (p *Planner) loadedFor(now time.Time, d time.Duration) bool {
-	return !p.loaded.IsZero() && now.Sub(p.loaded) >= d
+	return !p.loadedSince.IsZero() && now.Sub(p.loadedSince) >= d
 }
 
-// smooth follows a rise fast and a fall slowly.
-func smooth(old, seen, seconds float64) float64 {
+// smooth returns the exponentially smoothed value, with riseSeconds or fallSeconds
+// as the time constant.
+func smooth(old, sample, seconds float64) float64 {
 	constant := fallSeconds
-	if seen > old {
+	if sample > old {
 		constant = riseSeconds
 	}
-	return old + (seen-old)*(1-math.Exp(-seconds/constant))
+	return old + (sample-old)*(1-math.Exp(-seconds/constant))
 }
 
-// need returns the endpoints that the load takes once a share of the endpoints
-// is lost: what those had cached has to be read again elsewhere.
-func (p *Planner) need(lost float64) float64 { return max((p.load+lost*p.cached)/fill, 1) }
+// needAfterLoss returns how many endpoints the load takes at targetUtilisation after
+// the loss of a share of the endpoints: the prompts cached there need prefill again
+// elsewhere.
+func (p *Planner) needAfterLoss(lost float64) float64 {
+	return max((p.load+lost*p.cachedLoad)/targetUtilisation, 1)
+}
 
-// least returns the endpoints that the load takes, or is taken to while it isn't
-// known yet.
-func (p *Planner) least() float64 {
-	need := p.need(0)
+// estimatedNeed returns how many endpoints the load takes, or is assumed to take
+// until it has been measured.
+func (p *Planner) estimatedNeed() float64 {
+	need := p.needAfterLoss(0)
 	switch {
 	case p.measured:
 		return need
-	case p.glimpsed:
-		return max(need, min(p.floor, guessMargin*need))
+	case p.estimated:
+		return max(need, min(p.initialNeed, estimateMargin*need))
 	default:
-		return max(need, p.floor)
+		return max(need, p.initialNeed)
 	}
 }
 
-// setReclaimable chooses the reclaimable endpoints of each data centre. More
-// is ordered at once, less only after a while, and by half of the difference or
-// what is above mostExcess times the want.
-func (p *Planner) setReclaimable(now time.Time, s *Sample) {
-	centres := len(s.Service.Scaling.DataCentre)
-	left := max(centres-losses, 1)
-	need := p.least()
-	want := int(math.Ceil(need / float64(left)))
+// updateReclaimable sets the reclaimable endpoints of each data centre. Their number
+// rises at once. It falls only after scaleDownDelay, by half of the difference or to
+// maxExcess times the wanted number, whichever is less.
+func (p *Planner) updateReclaimable(now time.Time, s *Sample) {
+	dataCentres := len(s.Service.Scaling.DataCentre)
+	remaining := max(dataCentres-toleratedLosses, 1)
+	need := p.estimatedNeed()
+	want := int(math.Ceil(need / float64(remaining)))
 	want = min(max(want, s.Service.Scaling.Min), s.Service.Scaling.Max)
 	switch {
-	case want >= p.perCentre:
-		p.perCentre, p.fewer = want, time.Time{}
-	case p.fewer.IsZero():
-		p.fewer = now
-	case p.market.wave(now):
-		p.fewer = now // what is there may be needed next, and can't be had again
-	case now.Sub(p.fewer) > holdFall && !p.settling(now):
-		p.perCentre = min((p.perCentre+want)/2, max(mostExcess*want, s.Service.Scaling.Min))
-		p.fewer = now
+	case want >= p.perDataCentre:
+		p.perDataCentre, p.fewerSince = want, time.Time{}
+	case p.fewerSince.IsZero():
+		p.fewerSince = now
+	case p.supply.inWave(now):
+		p.fewerSince = now // the endpoints may be needed next, and can't be replaced
+	case now.Sub(p.fewerSince) > scaleDownDelay && !p.settling(now):
+		p.perDataCentre = min((p.perDataCentre+want)/2, max(maxExcess*want, s.Service.Scaling.Min))
+		p.fewerSince = now
 	}
 }
 
-// settling reports whether a planner that began under load doesn't know the
-// load well enough to give anything back.
+// settling reports whether a planner that started under load hasn't measured the
+// load for long enough to release endpoints.
 func (p *Planner) settling(now time.Time) bool {
-	return !p.takenOver.IsZero() && now.Sub(p.takenOver) < measureTime
+	return !p.takenOverAt.IsZero() && now.Sub(p.takenOverAt) < measureTime
 }
 
-// reclaimable returns the most reclaimable endpoints in a data centre.
-func reclaimable(s *Sample) int {
+// mostReclaimable returns the largest number of reclaimable endpoints in any data
+// centre.
+func mostReclaimable(s *Sample) int {
 	n := 0
-	for place, count := range s.Here {
+	for place, count := range s.Serving {
 		if place.Spot {
 			n = max(n, count)
 		}
@@ -184,17 +193,16 @@
 	return n
 }
 
-// due returns the wanted counts that weren't ordered yet, or whose endpoints
-// are missing though their start time is over. On-demand endpoints are given
-// back only while enough others serve.
-func (p *Planner) due(now time.Time, s *Sample, wanted map[Place]int) []Order {
+// dueOrders returns and records the orders for wanted counts that weren't ordered
+// yet, or whose endpoints are still missing after the boot time.
+func (p *Planner) dueOrders(now time.Time, s *Sample, wanted map[Place]int) []Order {
 	var out []Order
 	for _, dc := range slices.Sorted(maps.Keys(s.Service.Scaling.DataCentre)) {
 		for _, spot := range [...]bool{true, false} {
 			place := Place{dc, spot}
 			o := Order{place, wanted[place]}
 			if p.isDue(now, s, o) {
-				p.market.ordered(now, o)
+				p.supply.recordOrder(now, o)
 				out = append(out, o)
 			}
 		}
@@ -203,22 +211,22 @@
 }
 
 func (p *Planner) isDue(now time.Time, s *Sample, o Order) bool {
-	last := p.market.at(o.Place)
+	st := p.supply.state(o.Place)
 	switch {
-	case !last.refused.IsZero():
-		return now.Sub(last.refused) >= refusedWait && s.Here[o.Place] != o.Count
-	case !last.isOrdered:
-		return s.Here[o.Place] != o.Count
-	case last.ordered != o.Count:
+	case !st.refusedAt.IsZero():
+		return now.Sub(st.refusedAt) >= refusalRetryDelay && s.Serving[o.Place] != o.Count
+	case !st.isOrdered:
+		return s.Serving[o.Place] != o.Count
+	case st.ordered != o.Count:
 		return true
 	default:
-		return s.Here[o.Place]+p.market.starting(now, s, o.Place) < o.Count
+		return s.Serving[o.Place]+p.supply.starting(now, s, o.Place) < o.Count
 	}
 }
 
-func total(here map[Place]int) int {
+func total(counts map[Place]int) int {
 	n := 0
-	for _, c := range here {
+	for _, c := range counts {
 		n += c
 	}
 	return n
--- a/internal/scaling/planner_test.go
+++ b/internal/scaling/planner_test.go
@@ -22,58 +22,58 @@
 	}
 }
 
-// world starts what is ordered after the start time.
-type world struct {
-	planner *Planner
-	now     time.Time
-	here    map[Place]int
-	coming  []coming
-	dry     bool // nothing reclaimable is to be had
-	ordered int
+// simCloud starts ordered endpoints after the boot time.
+type simCloud struct {
+	planner       *Planner
+	now           time.Time
+	serving       map[Place]int
+	pending       []pendingOrder
+	noReclaimable bool // orders for reclaimable endpoints are refused
+	orderCount    int
 }
 
-type coming struct {
+type pendingOrder struct {
 	Order
-	at time.Time
+	readyAt time.Time
 }
 
-func newWorld() *world {
-	return &world{planner: New(), now: start, here: map[Place]int{
+func newSimCloud() *simCloud {
+	return &simCloud{planner: New(), now: start, serving: map[Place]int{
 		{"a", false}: 5, {"b", false}: 5, {"c", false}: 4, {"d", false}: 4,
 	}}
 }
 
-func (w *world) step(requests int) {
+func (w *simCloud) step(requests int) {
 	w.now = w.now.Add(500 * time.Millisecond)
-	for _, c := range w.coming {
-		if !w.now.Before(c.at) {
-			w.here[c.Place] = max(w.here[c.Place], c.Count)
+	for _, c := range w.pending {
+		if !w.now.Before(c.readyAt) {
+			w.serving[c.Place] = max(w.serving[c.Place], c.Count)
 		}
 	}
-	s := &Sample{Service: service(), Here: w.here, Slots: float64(requests), Seconds: 0.5}
+	s := &Sample{Service: service(), Serving: w.serving, Slots: float64(requests), Seconds: 0.5}
 	for _, o := range w.planner.Plan(w.now, s) {
-		w.ordered++
-		if w.dry && o.Spot {
+		w.orderCount++
+		if w.noReclaimable && o.Spot {
 			w.planner.Refused(w.now, o)
 			continue
 		}
-		if o.Count < w.here[o.Place] {
-			w.here[o.Place] = o.Count
+		if o.Count < w.serving[o.Place] {
+			w.serving[o.Place] = o.Count
 			continue
 		}
-		w.coming = append(w.coming, coming{o, w.now.Add(4 * time.Second)})
+		w.pending = append(w.pending, pendingOrder{o, w.now.Add(4 * time.Second)})
 	}
 }
 
-func (w *world) run(seconds, requests int) {
+func (w *simCloud) run(seconds, requests int) {
 	for range 2 * seconds {
 		w.step(requests)
 	}
 }
 
-func (w *world) class(spot bool) int {
+func (w *simCloud) count(spot bool) int {
 	n := 0
-	for p, c := range w.here {
+	for p, c := range w.serving {
 		if p.Spot == spot {
 			n += c
 		}
@@ -81,83 +81,83 @@
 	return n
 }
 
-func TestCalmLoadRunsOnReclaimableEndpoints(t *testing.T) {
-	w := newWorld()
+func TestSteadyLoadRunsOnReclaimableEndpoints(t *testing.T) {
+	w := newSimCloud()
 	w.run(10, 0)
 	w.run(40, 110)
-	assert.Equal(t, w.class(false), 0)
-	assert.Assert(t, w.class(true) >= 10, "%d", w.class(true))
-	assert.Assert(t, w.ordered < 30, "%d orders", w.ordered)
+	assert.Equal(t, w.count(false), 0)
+	assert.Assert(t, w.count(true) >= 10, "%d", w.count(true))
+	assert.Assert(t, w.orderCount < 30, "%d orders", w.orderCount)
 }
 
-// Two data centres lose their reclaimable endpoints and none is to be had.
-// What is left must carry the load, or on-demand ones fill the gap.
-func TestWaveOfReclaims(t *testing.T) {
-	w := newWorld()
+// Two data centres lose their reclaimable endpoints and no replacement is available.
+// The others must carry the load, or on-demand endpoints must make up for it.
+func TestReclaimWaveLeavesEnoughEndpoints(t *testing.T) {
+	w := newSimCloud()
 	w.run(30, 110)
-	w.dry = true
-	w.coming = nil
-	w.here[Place{"a", true}], w.here[Place{"b", true}] = 0, 0
+	w.noReclaimable = true
+	w.pending = nil
+	w.serving[Place{"a", true}], w.serving[Place{"b", true}] = 0, 0
 	w.run(7, 110)
-	assert.Assert(t, w.class(true)+w.class(false) >= 6)
+	assert.Assert(t, w.count(true)+w.count(false) >= 6)
 }
 
-func TestLoadAboveAllReclaimableEndpoints(t *testing.T) {
-	w := newWorld()
+func TestLoadAboveReclaimableCapacityAddsOnDemandEndpoints(t *testing.T) {
+	w := newSimCloud()
 	w.run(20, 110)
 	w.run(14, 900)
-	assert.Assert(t, w.class(true)+w.class(false) >= 32, "%d and %d", w.class(true), w.class(false))
+	assert.Assert(t, w.count(true)+w.count(false) >= 32, "%d and %d", w.count(true), w.count(false))
 }
 
-func TestNeverAboveTheBoundOfADataCentre(t *testing.T) {
-	w := newWorld()
-	w.dry = true
+func TestDataCentreMaximumIsNeverExceeded(t *testing.T) {
+	w := newSimCloud()
+	w.noReclaimable = true
 	w.run(20, 5000)
-	for p, n := range w.here {
+	for p, n := range w.serving {
 		assert.Assert(t, n <= 10, "%v: %d", p, n)
 	}
 }
 
-// The endpoints there carry a load when the duty's holder changes. None of
-// them may be given back before others serve in their place.
-func TestNothingIsGivenBackBeforeItsPlaceIsTaken(t *testing.T) {
-	w := newWorld()
+// Guards against a planner that takes over under load and releases endpoints before
+// their replacements serve.
+func TestNothingIsReleasedBeforeItsReplacementServes(t *testing.T) {
+	w := newSimCloud()
 	least := 18
 	for range 40 {
 		w.step(350)
-		least = min(least, w.class(true)+w.class(false))
+		least = min(least, w.count(true)+w.count(false))
 	}
 	assert.Assert(t, least >= 9, "%d", least)
 }
 
-// The duty's holder dies in the middle of a heavy day, while endpoints come and
-// go. Its successor knows nothing of the load yet. It must neither give back
-// what carries the load nor wait for the endpoints to stay the same.
-func TestNewHolderUnderLoad(t *testing.T) {
-	w := newWorld()
-	w.here = map[Place]int{{"b", false}: 3}
+// The daemon with the scaling duty fails under heavy load, while endpoints start and
+// stop. The new planner has measured no load yet. It must neither release endpoints
+// that carry the load nor wait until their number settles.
+func TestTakeoverUnderLoadKeepsEndpoints(t *testing.T) {
+	w := newSimCloud()
+	w.serving = map[Place]int{{"b", false}: 3}
 	for _, dc := range []fleet.DataCentre{"a", "b", "c", "d"} {
-		w.here[Place{dc, true}] = 8
+		w.serving[Place{dc, true}] = 8
 	}
 	for i := range 24 {
-		w.here[Place{"a", true}] = 8 - i%2 // one fails and comes back
+		w.serving[Place{"a", true}] = 8 - i%2 // one fails and starts again
 		w.step(700)
-		n := w.class(true) + w.class(false)
+		n := w.count(true) + w.count(false)
 		assert.Assert(t, n >= 33, "%d endpoints after %d steps", n, i+1)
 	}
 	for i := range 24 {
-		w.here[Place{"a", true}] -= i % 2
+		w.serving[Place{"a", true}] -= i % 2
 		w.step(1500)
 	}
-	assert.Assert(t, w.class(true)+w.class(false) > 36, "%d and %d", w.class(true), w.class(false))
+	assert.Assert(t, w.count(true)+w.count(false) > 36, "%d and %d", w.count(true), w.count(false))
 }
 
-// A data centre is full when on-demand endpoints start there for what was lost
-// elsewhere. Its reclaimable ones must not be given back to make room.
-func TestNothingIsGivenBackForRoom(t *testing.T) {
+// A data centre is full when on-demand endpoints start there to replace losses
+// elsewhere. Its reclaimable ones must not be released to make room.
+func TestReclaimableEndpointsAreNotReleasedForRoom(t *testing.T) {
 	p := New()
-	s := &Sample{Service: service(), Here: map[Place]int{{"b", true}: 8, {"b", false}: 4}, Seconds: 0.5}
-	assert.Equal(t, p.room(s, "b"), 8)
-	s.Here[Place{"b", false}] = 1
-	assert.Equal(t, p.room(s, "b"), 9)
+	s := &Sample{Service: service(), Serving: map[Place]int{{"b", true}: 8, {"b", false}: 4}, Seconds: 0.5}
+	assert.Equal(t, p.reclaimableRoom(s, "b"), 8)
+	s.Serving[Place{"b", false}] = 1
+	assert.Equal(t, p.reclaimableRoom(s, "b"), 9)
 }
--- a/internal/scaling/sample.go
+++ b/internal/scaling/sample.go
@@ -5,34 +5,35 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
 )
 
-// Sample is a service at one moment.
+// Sample describes a service and its load at one moment.
 type Sample struct {
 	Service *route.Service
-	// Here is the endpoints that serve and don't leave, by place.
-	Here map[Place]int
-	// Leaving is the endpoints that are announced to leave, by place.
+	// Serving is the number of endpoints that serve and aren't leaving, by place.
+	Serving map[Place]int
+	// Leaving is the number of endpoints under notice or draining, by place.
 	Leaving map[Place]int
-	// Slots is the slots that the requests since the last sample hold of
-	// endpoints that aren't overloaded.
+	// Slots is the number of batch slots that the requests since the last sample need
+	// at endpoints that aren't overloaded; it doesn't grow when endpoints slow down.
 	Slots float64
-	// Read is the prompt tokens a second that endpoints had to read.
-	Read float64
-	// Prompt is the prompt tokens a second in all, with those that endpoints
-	// hold already.
+	// Prefill is the prompt tokens a second that endpoints have to process, without
+	// those expected in their prefix caches.
+	Prefill float64
+	// Prompt is the prompt tokens a second in all, cached ones included.
 	Prompt float64
-	// ReadRate is the prompt tokens that one endpoint reads in a second.
-	ReadRate float64
-	// Seconds since the last sample.
+	// PrefillCapacity is the prompt tokens that one endpoint can process in a
+	// second; 0: unknown, so that only slots count as load.
+	PrefillCapacity float64
+	// Seconds is the time since the last sample.
 	Seconds float64
 }
 
-// Place is a class of endpoints in a data centre.
+// Place is an endpoint class in a data centre.
 type Place struct {
 	DataCentre fleet.DataCentre
-	Spot       bool // the reclaimable class
+	Spot       bool // reclaimable; false: on-demand
 }
 
-// Order is a wanted number of endpoints.
+// Order sets the number of endpoints at a place.
 type Order struct {
 	Place
 	Count int
