--- a/internal/scaling/simulation_test.go
+++ b/internal/scaling/simulation_test.go
@@ -315,7 +315,7 @@
 func TestReclaimWavesCauseLittleShortfall(t *testing.T) {
 	for name, s := range scenarios() {
 		p, onDemandOnly, ideal := simulatePlanner(s), simulateOnDemandOnly(s), idealCost(s)
-		t.Logf("%-8s shortfall %5.1f cost %6.1f orders %3d reversals %d; on-demand only: shortfall %.1f cost %.1f; ideal cost %.1f",
+		t.Logf("%-7s shortfall %5.1f cost %6.1f orders %3d reversals %d; on-demand only: shortfall %.1f cost %.1f; ideal cost %.1f",
 			name, p.shortfall, p.cost, p.orderCount, p.reversals, onDemandOnly.shortfall, onDemandOnly.cost, ideal)
 		assert.Check(t, p.shortfall <= 1, "%s: shortfall of %.1f endpoint seconds", name, p.shortfall)
 		assert.Check(t, p.cost <= 0.75*onDemandOnly.cost, "%s: cost %.1f", name, p.cost)
