--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -85,10 +85,10 @@
 	for _, o := range result.Orders {
 		p.order(ctx, permit, o)
 	}
-	for _, m := range result.Waiting {
+	for _, m := range result.Unplaced {
 		p.log.WithField("model", m.Model).Warn("no engine has room")
 	}
-	return result.Again
+	return result.NextPlan
 }
 
 func unfenced(e fleet.Endpoint) bool { return e.Kind == fleet.EngineEndpoint && !e.Fences }
@@ -201,7 +201,7 @@
 		if e.Kind != fleet.EngineEndpoint {
 			continue
 		}
-		r := placement.Engine{ID: e.ID, DataCentre: e.DataCentre, Room: p.room, Leaving: e.State != fleet.Live}
+		r := placement.Engine{ID: e.ID, DataCentre: e.DataCentre, Capacity: p.room, Leaving: e.State != fleet.Live}
 		for _, m := range e.Models {
 			r.Holds = append(r.Holds, placement.Held{Model: m, Ready: true})
 		}
--- a/internal/placement/config.go
+++ b/internal/placement/config.go
@@ -13,14 +13,14 @@
 	WeightRate float64
 	// LoadTime is from an order until a replica serves, beside the transfer.
 	LoadTime time.Duration
-	// Lead is how long before it is needed a model may be loaded.
-	Lead time.Duration
-	// RepeatAfter is how long an order may go without effect before it is given again.
-	RepeatAfter time.Duration
-	// StuckAfter is how long a load may take.
-	StuckAfter time.Duration
-	// DrainTime is how long routing needs to hear that a replica drains.
-	DrainTime time.Duration
+	// LeadTime is how long before it is needed a model may be loaded.
+	LeadTime time.Duration
+	// RetryAfter is how long an order may go without effect before it is given again.
+	RetryAfter time.Duration
+	// LoadTimeout is how long a load may take.
+	LoadTimeout time.Duration
+	// DrainDelay is how long routing needs to hear that a replica drains.
+	DrainDelay time.Duration
 	// AvoidFor is how long an engine that refused a load is passed over for it.
 	AvoidFor time.Duration
 	// KeepUnwanted is how long a model that nobody wants stays where room is not needed.
@@ -35,10 +35,10 @@
 		Headroom:     0.3, // a replica that drains or is lost leaves the others within the target
 		WeightRate:   weightRate,
 		LoadTime:     30 * time.Second,
-		Lead:         30 * time.Minute, // earlier, the room is of more use to others
-		RepeatAfter:  10 * time.Second, // an engine reports a load that it began within seconds
-		StuckAfter:   10 * time.Minute, // twenty loads
-		DrainTime:    5 * time.Second,  // a leaving endpoint gets no new work after a few seconds
+		LeadTime:     30 * time.Minute, // earlier, the room is of more use to others
+		RetryAfter:   10 * time.Second, // an engine reports a load that it began within seconds
+		LoadTimeout:  10 * time.Minute, // twenty loads
+		DrainDelay:   5 * time.Second,  // a leaving endpoint gets no new work after a few seconds
 		AvoidFor:     time.Minute,
 		KeepUnwanted: 15 * time.Minute, // a template amended back within minutes costs no load
 	}
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -7,7 +7,7 @@
 	ID         fleet.EndpointID
 	DataCentre fleet.DataCentre
 	Role       string // empty while it has none
-	Room       int    // models that it can hold at once
+	Capacity   int    // models that it can hold at once
 	Leaving    bool   // under notice or draining
 	Holds      []Held
 }
--- a/internal/placement/fleet_test.go
+++ b/internal/placement/fleet_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	testRate    = 100.0 // tokens a second of an engine
-	testBytes   = 10 << 30
-	testWeights = 1 << 30 // bytes a second: ten seconds a load
+	testEngineRate = 100.0 // tokens a second of an engine
+	testModelBytes = 10 << 30
+	testWeightRate = 1 << 30 // bytes a second: ten seconds a load
 )
 
 var start = time.Unix(1_000_000, 0)
@@ -21,48 +21,48 @@
 func ref(model, version string) fleet.ModelRef { return fleet.ModelRef{Model: model, Version: version} }
 
 func want(model, version string, load float64) Want {
-	return Want{Model: ref(model, version), Load: load, Bytes: testBytes}
+	return Want{Model: ref(model, version), Load: load, Bytes: testModelBytes}
 }
 
-// fleetOf is a set of engines that carry out orders in passed-in time.
-type fleetOf struct {
-	now     time.Time
-	p       *Planner
-	rng     *rand.Rand
-	engines []Engine
-	readyAt map[Replica]time.Time
-	loads   int
-	unloads int
-	last    Result
+// simFleet is a set of engines that carry out orders in passed-in time.
+type simFleet struct {
+	now        time.Time
+	p          *Planner
+	rng        *rand.Rand
+	engines    []Engine
+	readyAt    map[Replica]time.Time
+	loads      int
+	unloads    int
+	lastResult Result
 }
 
 // newFleet has count engines in four data centres with room models each.
-func newFleet(count, room int) *fleetOf {
-	f := &fleetOf{now: start, p: New(DefaultConfig(testRate, testWeights)), readyAt: map[Replica]time.Time{}}
+func newFleet(count, room int) *simFleet {
+	f := &simFleet{now: start, p: New(DefaultConfig(testEngineRate, testWeightRate)), readyAt: map[Replica]time.Time{}}
 	f.rng = rand.New(rand.NewPCG(1, 1))
 	for i := range count {
 		id := fleet.EndpointID(fmt.Sprintf("e%d", i))
-		f.engines = append(f.engines, Engine{ID: id, DataCentre: fleet.DataCentre("abcd"[i%4:][:1]), Room: room})
+		f.engines = append(f.engines, Engine{ID: id, DataCentre: fleet.DataCentre("abcd"[i%4:][:1]), Capacity: room})
 	}
 	return f
 }
 
 // step plans, carries orders out, and lets a second pass.
-func (f *fleetOf) step(wants []Want) Result {
+func (f *simFleet) step(wants []Want) Result {
 	f.now = f.now.Add(time.Second)
-	f.last = f.p.Plan(f.now, wants, f.engines)
-	for _, o := range f.last.Orders {
-		f.obey(o)
+	f.lastResult = f.p.Plan(f.now, wants, f.engines)
+	for _, o := range f.lastResult.Orders {
+		f.apply(o)
 	}
 	for i := range f.engines {
 		for k := range f.engines[i].Holds {
-			f.tick(&f.engines[i], &f.engines[i].Holds[k])
+			f.advance(&f.engines[i], &f.engines[i].Holds[k])
 		}
 	}
-	return f.last
+	return f.lastResult
 }
 
-func (f *fleetOf) obey(o Order) {
+func (f *simFleet) apply(o Order) {
 	e := &f.engines[slices.IndexFunc(f.engines, func(e Engine) bool { return e.ID == o.Engine })]
 	at := slices.IndexFunc(e.Holds, func(h Held) bool { return h.Model == o.Model })
 	switch {
@@ -78,26 +78,26 @@
 	}
 }
 
-// tick loads on and moves the requests of one replica: a draining one gets no
+// advance loads on and moves the requests of one replica: a draining one gets no
 // new ones.
-func (f *fleetOf) tick(e *Engine, h *Held) {
+func (f *simFleet) advance(e *Engine, h *Held) {
 	r := Replica{e.ID, h.Model}
 	h.Ready = h.Ready || !f.now.Before(f.readyAt[r])
 	if !h.Ready {
 		return
 	}
 	h.Running = max(0, h.Running-f.rng.IntN(2))
-	if !slices.Contains(f.last.Drain, r) {
+	if !slices.Contains(f.lastResult.Drain, r) {
 		h.Running = min(8, h.Running+f.rng.IntN(3))
 	}
 }
 
 // count returns the replicas of m that are ready and not draining, by data centre.
-func (f *fleetOf) count(m fleet.ModelRef) map[fleet.DataCentre]int {
+func (f *simFleet) count(m fleet.ModelRef) map[fleet.DataCentre]int {
 	n := map[fleet.DataCentre]int{}
 	for _, e := range f.engines {
 		for _, h := range e.Holds {
-			if h.Model == m && h.Ready && !e.Leaving && !slices.Contains(f.last.Drain, Replica{e.ID, m}) {
+			if h.Model == m && h.Ready && !e.Leaving && !slices.Contains(f.lastResult.Drain, Replica{e.ID, m}) {
 				n[e.DataCentre]++
 			}
 		}
@@ -113,7 +113,7 @@
 	return sum
 }
 
-func (f *fleetOf) settle(wants []Want) {
+func (f *simFleet) settle(wants []Want) {
 	for range 600 {
 		f.step(wants)
 	}
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -8,32 +8,32 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// load gives out loads, the most urgent first, as long as the weight store has
+// orderLoads gives out loads, the most urgent first, as long as the weight store has
 // nothing left to give out.
-func (p *Planner) load(now time.Time, v *view) {
-	for n := p.next(now, v); n != nil; n = p.next(now, v) {
-		s := p.choose(v, n)
+func (p *Planner) orderLoads(now time.Time, v *view) {
+	for n := p.mostUrgent(now, v); n != nil; n = p.mostUrgent(now, v) {
+		s := p.chooseEngine(v, n)
 		if s == nil {
-			p.block(now, v, n)
+			p.resolveBlocked(now, v, n)
 			continue
 		}
-		if p.store.After(now) {
-			v.again(p.store)
+		if p.storeFreeAt.After(now) {
+			v.planBy(p.storeFreeAt)
 			return
 		}
-		p.loadOn(now, v, n, s)
+		p.orderLoad(now, v, n, s)
 	}
 }
 
-// next returns the most urgent need that misses replicas, nil when there is none.
-func (p *Planner) next(now time.Time, v *view) *need {
+// mostUrgent returns the most urgent need that misses replicas, nil when there is none.
+func (p *Planner) mostUrgent(now time.Time, v *view) *need {
 	var best *need
 	for _, n := range v.needs {
 		if n.blocked || n.missing() <= 0 {
 			continue
 		}
-		if early := n.NeedBy.Add(-p.cfg.Lead); now.Before(early) {
-			v.again(early)
+		if early := n.NeedBy.Add(-p.cfg.LeadTime); now.Before(early) {
+			v.planBy(early)
 			continue
 		}
 		if best == nil || n.before(best, now, &p.cfg) {
@@ -43,43 +43,43 @@
 	return best
 }
 
-// loadOn orders one replica of n.
-func (p *Planner) loadOn(now time.Time, v *view, n *need, s *site) {
+// orderLoad orders one replica of n.
+func (p *Planner) orderLoad(now time.Time, v *view, n *need, s *engineState) {
 	if s.role != n.Role && n.Role != "" {
 		s.role = n.Role
-		v.order(s, engineapi.SetRole, fleet.ModelRef{})
+		v.addOrder(s, engineapi.SetRole, fleet.ModelRef{})
 	}
-	v.order(s, engineapi.LoadModel, n.Model)
+	v.addOrder(s, engineapi.LoadModel, n.Model)
 	p.ordered[Replica{s.ID, n.Model}] = now
-	p.store = now.Add(time.Duration(float64(n.Bytes) / p.cfg.WeightRate * float64(time.Second)))
-	v.again(now.Add(p.cfg.RepeatAfter))
+	p.storeFreeAt = now.Add(time.Duration(float64(n.Bytes) / p.cfg.WeightRate * float64(time.Second)))
+	v.planBy(now.Add(p.cfg.RetryAfter))
 	h := Held{Model: n.Model}
 	s.holds[n.Model] = h
-	s.room--
-	v.count(s, h)
+	s.free--
+	v.addReplica(s, h)
 }
 
-// block makes room for n, or lets more of it into one data centre, or gives up.
-func (p *Planner) block(now time.Time, v *view, n *need) {
+// resolveBlocked makes room for n, or lets more of it into one data centre, or gives up.
+func (p *Planner) resolveBlocked(now time.Time, v *view, n *need) {
 	switch {
 	case p.makeRoom(now, v, n):
 		n.blocked = true
-	case n.perSite < n.count:
-		n.perSite++
+	case n.maxPerDataCentre < n.wanted:
+		n.maxPerDataCentre++
 	default:
 		n.blocked = true
-		v.result.Waiting = append(v.result.Waiting, n.Model)
+		v.result.Unplaced = append(v.result.Unplaced, n.Model)
 	}
 }
 
-// choose returns the engine for the next replica of n: in the data centre
+// chooseEngine returns the engine for the next replica of n: in the data centre
 // with the fewest of them, there the least loaded, and among equals the one
-// that every planner would choose.
-func (p *Planner) choose(v *view, n *need) *site {
-	var best *site
+// that every planner would chooseEngine.
+func (p *Planner) chooseEngine(v *view, n *need) *engineState {
+	var best *engineState
 	key := rendezvous.Key(n.Model.Model + "\x00" + n.Model.Adapter + "\x00" + n.Model.Version)
-	for _, s := range v.sites {
-		if s.room <= 0 || !p.fits(s, n) {
+	for _, s := range v.engines {
+		if s.free <= 0 || !p.fits(s, n) {
 			continue
 		}
 		if best == nil || better(s, best, n, key) {
@@ -89,7 +89,7 @@
 	return best
 }
 
-func better(a, b *site, n *need, key uint64) bool {
+func better(a, b *engineState, n *need, key uint64) bool {
 	if x, y := n.held[a.DataCentre], n.held[b.DataCentre]; x != y {
 		return x < y
 	}
@@ -100,7 +100,7 @@
 }
 
 // fits reports whether s may hold another replica of n, given room.
-func (p *Planner) fits(s *site, n *need) bool {
+func (p *Planner) fits(s *engineState, n *need) bool {
 	if s.Leaving || n.Role != "" && s.role != "" && s.role != n.Role {
 		return false
 	}
@@ -108,5 +108,5 @@
 		return false
 	}
 	_, avoid := p.avoid[Replica{s.ID, n.Model}]
-	return !avoid && n.held[s.DataCentre] < n.perSite
+	return !avoid && n.held[s.DataCentre] < n.maxPerDataCentre
 }
--- a/internal/placement/need.go
+++ b/internal/placement/need.go
@@ -10,12 +10,12 @@
 // need is a want with what is there for it.
 type need struct {
 	Want
-	count   int // replicas wanted
-	floor   int // replicas that must serve, old versions included
-	perSite int // most replicas that count in one data centre
-	ready   int
-	held    map[fleet.DataCentre]int // replicas that are ready or on their way
-	blocked bool                     // nothing more can be done for it in this plan
+	wanted           int // replicas wanted
+	floor            int // replicas that must serve, old versions included
+	maxPerDataCentre int // most replicas that count in one data centre
+	ready            int
+	held             map[fleet.DataCentre]int // replicas that are ready or on their way
+	blocked          bool                     // nothing more can be done for it in this plan
 }
 
 // missing returns how many replicas are to be loaded. More than perSite in
@@ -23,9 +23,9 @@
 func (n *need) missing() int {
 	counted := 0
 	for _, held := range n.held {
-		counted += min(held, n.perSite)
+		counted += min(held, n.maxPerDataCentre)
 	}
-	return n.count - counted
+	return n.wanted - counted
 }
 
 // total returns the replicas that are ready or on their way.
@@ -63,7 +63,7 @@
 	return n.Load/float64(n.total()+1) > o.Load/float64(o.total()+1)
 }
 
-// spread sets how many replicas count in one data centre.
-func (n *need) spread(dataCentres int) {
-	n.perSite = int(math.Ceil(float64(n.count) / float64(max(1, min(n.count, dataCentres)))))
+// setSpread sets how many replicas count in one data centre.
+func (n *need) setSpread(dataCentres int) {
+	n.maxPerDataCentre = int(math.Ceil(float64(n.wanted) / float64(max(1, min(n.wanted, dataCentres)))))
 }
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -14,11 +14,11 @@
 	for _, size := range []struct{ engines, models int }{{18, 8}, {690, 100}} {
 		b.Run(fmt.Sprintf("engines=%d", size.engines), func(b *testing.B) {
 			f := newFleet(size.engines, 3)
-			wants := benchWants(size.models, testRate*float64(size.engines)/float64(size.models)/2)
+			wants := benchWants(size.models, testEngineRate*float64(size.engines)/float64(size.models)/2)
 			for range 100 {
 				f.now = f.now.Add(time.Hour) // the store is idle again
 				for _, o := range f.p.Plan(f.now, wants, f.engines).Orders {
-					f.obey(o)
+					f.apply(o)
 				}
 				for i := range f.engines {
 					for k := range f.engines[i].Holds {
@@ -52,7 +52,7 @@
 		wants := benchWants(8, 120)
 		f.settle(wants)
 		f.loads = 0
-		hashed, hashLoads := hash(f, wants), 0
+		hashed, hashLoads := placeByHash(f, wants), 0
 		for event := range 200 {
 			if event%2 == 0 {
 				i := f.rng.IntN(len(f.engines))
@@ -65,7 +65,7 @@
 			for range 60 {
 				f.step(wants)
 			}
-			next := hash(f, wants)
+			next := placeByHash(f, wants)
 			for r := range next {
 				if !hashed[r] {
 					hashLoads++
@@ -79,8 +79,8 @@
 	}
 }
 
-// hash places every want on its best engines by rendezvous hashing.
-func hash(f *fleetOf, wants []Want) map[Replica]bool {
+// placeByHash places every want on its best engines by rendezvous hashing.
+func placeByHash(f *simFleet, wants []Want) map[Replica]bool {
 	var ids []string
 	for _, e := range f.engines {
 		ids = append(ids, string(e.ID))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -13,7 +13,7 @@
 
 // A new version is rolled out while requests run. Unloading the old one first,
 // or under requests, would lose them or leave too few to serve the load.
-func TestRolloutKeepsEnoughServingAndCutsNothing(t *testing.T) {
+func TestVersionChangeKeepsEnoughServingAndCutsOffNoRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.IntRange(1, 3).Draw(t, "room")
 		load := float64(rapid.IntRange(50, 450).Draw(t, "load"))
@@ -37,7 +37,7 @@
 	})
 }
 
-func running(f *fleetOf) map[Replica]int {
+func running(f *simFleet) map[Replica]int {
 	n := map[Replica]int{}
 	for _, e := range f.engines {
 		for _, h := range e.Holds {
@@ -49,7 +49,7 @@
 
 // An engine dies. Only what it held is loaded, elsewhere, and nothing that
 // serves is moved: each needless load costs the weight store and a cold cache.
-func TestOnlyWhatWasLostIsLoaded(t *testing.T) {
+func TestOnlyLostReplicasAreLoadedAgain(t *testing.T) {
 	wants := []Want{want("m", "1", 300), want("n", "1", 100), want("o", "1", 50)}
 	f := newFleet(8, 3)
 	f.settle(wants)
@@ -66,7 +66,7 @@
 
 // A data centre vanishes: with all replicas of a model in it, its workspaces
 // would wait for a cold load.
-func TestReplicasAreSpread(t *testing.T) {
+func TestReplicasAreSpreadOverDataCentres(t *testing.T) {
 	f := newFleet(12, 2)
 	f.settle([]Want{want("m", "1", 300)}) // four replicas
 	for _, n := range f.count(ref("m", "1")) {
@@ -83,7 +83,7 @@
 // Many models are missing at once and the weight store refuses more than it can
 // give. What nobody serves comes first, then the closing that starts first,
 // though its template was published last; one far away does not load yet.
-func TestLoadsAreOrderedAndNotFasterThanTheStore(t *testing.T) {
+func TestLoadsAreOrderedByUrgencyWithinTheStoreRate(t *testing.T) {
 	late, soon, far := want("late", "1", 200), want("soon", "1", 50), want("far", "1", 50)
 	late.NeedBy = start.Add(20 * time.Minute)
 	soon.NeedBy = start.Add(5 * time.Minute)
@@ -103,7 +103,7 @@
 
 // A holder of the duty dies after its orders, or its orders are lost. The
 // successor gives the same ones; a lost one is given again, not at every plan.
-func TestOrdersRepeatHarmlessly(t *testing.T) {
+func TestSuccessorRepeatsOrdersAndLostOrdersAreRetried(t *testing.T) {
 	wants := []Want{want("m", "1", 50)}
 	wants[0].Bytes = 1 // the store is never busy
 	f := newFleet(8, 2)
@@ -116,7 +116,7 @@
 
 // An engine refuses a load, or never ends it. Asking the same one for ever
 // would leave the model unserved.
-func TestFailedAndStuckLoadsGoElsewhere(t *testing.T) {
+func TestFailedAndStuckLoadsMoveToOtherEngines(t *testing.T) {
 	wants := []Want{want("m", "1", 50)}
 	f := newFleet(8, 2)
 	r := Replica{f.p.Plan(start, wants, f.engines).Orders[0].Engine, ref("m", "1")}
@@ -134,7 +134,7 @@
 
 // Engines under notice hold what is wanted. It must be loaded elsewhere before
 // they go, and nothing be loaded on them.
-func TestLeavingEngineIsReplacedBeforeItGoes(t *testing.T) {
+func TestLeavingEngineIsReplacedBeforeItStops(t *testing.T) {
 	wants := []Want{want("m", "1", 50)}
 	f := newFleet(2, 2)
 	f.settle(wants)
@@ -144,25 +144,25 @@
 	assert.Equal(t, len(res.Orders), 1)
 	assert.Assert(t, res.Orders[0].Engine != f.engines[i].ID)
 	f.engines[1-i].Leaving = true
-	assert.DeepEqual(t, f.step([]Want{want("n", "1", 50)}).Waiting, []fleet.ModelRef{ref("n", "1")})
+	assert.DeepEqual(t, f.step([]Want{want("n", "1", 50)}).Unplaced, []fleet.ModelRef{ref("n", "1")})
 }
 
 // What nobody wants any more stays a while where room is not needed, and goes
 // at once, drained, where it is.
-func TestUnwantedGoesWhenRoomIsNeeded(t *testing.T) {
+func TestUnwantedModelIsUnloadedWhenRoomIsNeeded(t *testing.T) {
 	f := newFleet(1, 1)
 	f.settle([]Want{want("old", "1", 10)})
 	f.step(nil)
-	assert.Equal(t, len(f.last.Drain), 0)
+	assert.Equal(t, len(f.lastResult.Drain), 0)
 	f.step([]Want{want("new", "1", 10)})
-	assert.DeepEqual(t, f.last.Drain, []Replica{{f.engines[0].ID, ref("old", "1")}})
+	assert.DeepEqual(t, f.lastResult.Drain, []Replica{{f.engines[0].ID, ref("old", "1")}})
 	// The want is withdrawn and comes back: routing has to hear of it anew.
 	f.now = f.now.Add(time.Minute)
 	f.step(nil)
 	for range 5 {
 		f.engines[0].Holds[0].Running = 0
 		f.step([]Want{want("new", "1", 10)})
-		assert.Equal(t, len(f.last.Orders), 0)
+		assert.Equal(t, len(f.lastResult.Orders), 0)
 	}
 	f.settle([]Want{want("new", "1", 10)})
 	assert.Equal(t, total(f.count(ref("new", "1"))), 1)
@@ -173,7 +173,7 @@
 }
 
 // A role is given to an engine that has none, and never taken from one.
-func TestRoleIsGivenBeforeTheLoad(t *testing.T) {
+func TestRoleIsSetBeforeTheLoad(t *testing.T) {
 	f := newFleet(2, 2)
 	f.engines[0].Role = "prefill"
 	w := want("m", "1", 10)
@@ -183,12 +183,12 @@
 		{Engine: "e1", Kind: engineapi.LoadModel, Model: ref("m", "1"), Role: "decode"},
 	})
 	w.Model, w.Role = fleet.ModelRef{Model: "n"}, "train"
-	assert.DeepEqual(t, f.step([]Want{w}).Waiting, []fleet.ModelRef{{Model: "n"}})
+	assert.DeepEqual(t, f.step([]Want{w}).Unplaced, []fleet.ModelRef{{Model: "n"}})
 }
 
 // The replica that drains has a request left, and another one is idle by now.
 // Draining the other instead, plan after plan, would unload neither.
-func TestDrainingGoesOnWithTheSameReplica(t *testing.T) {
+func TestDrainingContinuesWithTheSameReplica(t *testing.T) {
 	f := newFleet(2, 1)
 	old := func(running int) []Held { return []Held{{Model: ref("old", "1"), Ready: true, Running: running}} }
 	f.engines[0].Holds, f.engines[1].Holds = old(1), old(2)
@@ -200,7 +200,7 @@
 
 // Two new versions need room in one plan. Each alone may take an old replica;
 // both together would go below what the load needs.
-func TestPlansTogetherKeepTheFloor(t *testing.T) {
+func TestTwoNewVersionsInOnePlanKeepTheFloor(t *testing.T) {
 	f := newFleet(3, 1)
 	for i := range f.engines {
 		f.engines[i].Holds = []Held{{Model: ref("m", "1"), Ready: true}}
@@ -212,14 +212,14 @@
 // All replicas of a model are in one data centre, and the only other one is
 // full of what nobody wants. Loading more beside the first would help nobody
 // when that data centre goes: room is made in the other.
-func TestRoomIsMadeWhereReplicasAreMissing(t *testing.T) {
+func TestRoomIsMadeInTheDataCentreThatLacksReplicas(t *testing.T) {
 	f := newFleet(6, 1)
 	f.engines = slices.DeleteFunc(f.engines, func(e Engine) bool { return e.DataCentre > "b" })
 	f.engines[0].Holds = []Held{{Model: ref("m", "1"), Ready: true}}
 	f.engines[2].Holds = []Held{{Model: ref("m", "1"), Ready: true}}
 	f.engines[1].Holds = []Held{{Model: ref("old", "1"), Ready: true}}
 	f.engines[3].Holds = []Held{{Model: ref("old", "1"), Ready: true}}
-	f.engines = append(f.engines, Engine{ID: "free", DataCentre: "a", Room: 1})
+	f.engines = append(f.engines, Engine{ID: "free", DataCentre: "a", Capacity: 1})
 	res := f.p.Plan(start, []Want{want("m", "1", 150)}, f.engines)
 	assert.Equal(t, len(res.Orders), 0)
 	assert.Equal(t, len(res.Drain), 1)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -10,13 +10,13 @@
 // Planner plans one shard's engines. Its own state is soft: a successor starts
 // without it and works the same orders out from what engines report.
 type Planner struct {
-	cfg      Config
-	ordered  map[Replica]time.Time // loads given, until the engine reports them
-	loading  map[Replica]time.Time // reported as loading, since when
-	avoid    map[Replica]time.Time // refused or stuck loads, until when to pass the engine over
-	draining map[Replica]time.Time // since when
-	unwanted map[Replica]time.Time // since when
-	store    time.Time             // when the weight store has given out all that was ordered
+	cfg         Config
+	ordered     map[Replica]time.Time // loads given, until the engine reports them
+	loading     map[Replica]time.Time // reported as loading, since when
+	avoid       map[Replica]time.Time // refused or stuck loads, until when to pass the engine over
+	draining    map[Replica]time.Time // since when
+	unwanted    map[Replica]time.Time // since when
+	storeFreeAt time.Time             // when the weight store has given out all that was ordered
 }
 
 // New returns a planner.
@@ -40,15 +40,15 @@
 // Plan returns the orders to give now. Call it at Result.Again, and when wants
 // or reports have changed.
 func (p *Planner) Plan(now time.Time, wants []Want, engines []Engine) Result {
-	v := p.survey(now, wants, engines)
-	p.load(now, v)
-	p.clean(now, v)
-	p.forget(now, v)
+	v := p.newView(now, wants, engines)
+	p.orderLoads(now, v)
+	p.removeUnwanted(now, v)
+	p.prune(now, v)
 	return v.result
 }
 
-// forget drops what the planner remembers about replicas that are no more.
-func (p *Planner) forget(now time.Time, v *view) {
+// prune drops what the planner remembers about replicas that are no more.
+func (p *Planner) prune(now time.Time, v *view) {
 	for r, until := range p.avoid {
 		if !now.Before(until) {
 			delete(p.avoid, r)
@@ -56,7 +56,7 @@
 	}
 	for _, m := range []map[Replica]time.Time{p.loading, p.unwanted} {
 		for r := range m {
-			if !v.held[r] {
+			if !v.reported[r] {
 				delete(m, r)
 			}
 		}
--- a/internal/placement/result.go
+++ b/internal/placement/result.go
@@ -21,8 +21,8 @@
 	// Drain lists replicas to which routing must send nothing new. Each is
 	// unloaded by a later plan, once nothing runs on it.
 	Drain []Replica
-	// Waiting lists wants for which no engine has room.
-	Waiting []fleet.ModelRef
-	// Again is when to plan again at the latest; zero when only news matter.
-	Again time.Time
+	// Unplaced lists wants for which no engine has room.
+	Unplaced []fleet.ModelRef
+	// NextPlan is when to plan again at the latest; zero when only news matter.
+	NextPlan time.Time
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -12,14 +12,14 @@
 // makeRoom frees a place for n by draining a replica that can be spared. It
 // reports false when there is none.
 func (p *Planner) makeRoom(now time.Time, v *view, n *need) bool {
-	var from *site
+	var from *engineState
 	var spare Held
-	for _, s := range v.sites {
+	for _, s := range v.engines {
 		if !p.fits(s, n) {
 			continue
 		}
-		for _, h := range s.sorted() {
-			if v.spared(h.Model) && (from == nil || p.rather(s, h, from, spare)) {
+		for _, h := range s.sortedHolds() {
+			if v.canSpare(h.Model) && (from == nil || p.preferRemoval(s, h, from, spare)) {
 				from, spare = s, h
 			}
 		}
@@ -31,8 +31,8 @@
 	return true
 }
 
-// sorted lists what the site holds in a fixed order, so that runs repeat.
-func (s *site) sorted() []Held {
+// sortedHolds lists what the site holds in a fixed order, so that runs repeat.
+func (s *engineState) sortedHolds() []Held {
 	held := make([]Held, 0, len(s.holds))
 	for _, h := range s.holds {
 		held = append(held, h)
@@ -43,19 +43,19 @@
 	return held
 }
 
-// spared reports whether one replica of m can go: nobody wants it, or there
+// canSpare reports whether one replica of m can go: nobody wants it, or there
 // are more than wanted; and what serves of its family stays at the floor.
-func (v *view) spared(m fleet.ModelRef) bool {
+func (v *view) canSpare(m fleet.ModelRef) bool {
 	if n := v.byModel[m]; n != nil {
-		return n.total() > n.count && n.missing() <= 0 && n.ready > n.count
+		return n.total() > n.wanted && n.missing() <= 0 && n.ready > n.wanted
 	}
 	n := v.families[familyOf(m)]
 	return n == nil || v.serving[familyOf(m)] > n.floor
 }
 
-// rather reports whether h on s is better removed than o on t: one that drains
+// preferRemoval reports whether h on s is better removed than o on t: one that drains
 // already, else the one with the least running on it.
-func (p *Planner) rather(s *site, h Held, t *site, o Held) bool {
+func (p *Planner) preferRemoval(s *engineState, h Held, t *engineState, o Held) bool {
 	_, a := p.draining[Replica{s.ID, h.Model}]
 	_, b := p.draining[Replica{t.ID, o.Model}]
 	if a != b {
@@ -66,7 +66,7 @@
 
 // remove drains a replica, and unloads it once routing has heard of that and
 // nothing runs on it.
-func (p *Planner) remove(now time.Time, v *view, s *site, h Held) {
+func (p *Planner) remove(now time.Time, v *view, s *engineState, h Held) {
 	r := Replica{s.ID, h.Model}
 	if h.Ready {
 		v.serving[familyOf(h.Model)]--
@@ -76,32 +76,32 @@
 		n.ready--
 	}
 	delete(s.holds, h.Model)
-	drained := since(p.draining, r, now).Add(p.cfg.DrainTime)
+	drained := since(p.draining, r, now).Add(p.cfg.DrainDelay)
 	v.result.Drain = append(v.result.Drain, r)
 	if now.Before(drained) {
-		v.again(drained)
+		v.planBy(drained)
 		return
 	}
 	if h.Running == 0 {
-		v.order(s, engineapi.UnloadModel, h.Model)
+		v.addOrder(s, engineapi.UnloadModel, h.Model)
 	}
 }
 
-// clean removes what nobody wants: an old version once enough of the new one
+// removeUnwanted removes what nobody wants: an old version once enough of the new one
 // serves, anything else after KeepUnwanted.
-func (p *Planner) clean(now time.Time, v *view) {
-	for _, s := range v.sites {
-		for _, h := range s.sorted() {
+func (p *Planner) removeUnwanted(now time.Time, v *view) {
+	for _, s := range v.engines {
+		for _, h := range s.sortedHolds() {
 			r := Replica{s.ID, h.Model}
 			if v.byModel[h.Model] != nil {
 				delete(p.unwanted, r)
 				continue
 			}
 			from := since(p.unwanted, r, now)
-			if n := v.families[familyOf(h.Model)]; n != nil && n.ready < n.count {
+			if n := v.families[familyOf(h.Model)]; n != nil && n.ready < n.wanted {
 				continue
 			} else if n == nil && now.Sub(from) < p.cfg.KeepUnwanted {
-				v.again(from.Add(p.cfg.KeepUnwanted))
+				v.planBy(from.Add(p.cfg.KeepUnwanted))
 				continue
 			}
 			p.remove(now, v, s, h)
--- a/internal/scale/placing_bench_test.go
+++ b/internal/scale/placing_bench_test.go
@@ -28,7 +28,7 @@
 			var all []placement.Engine
 			for i := range engines {
 				all = append(all, placement.Engine{
-					ID: engineID(i), DataCentre: dataCentre(i), Room: 4,
+					ID: engineID(i), DataCentre: dataCentre(i), Capacity: 4,
 					Holds: []placement.Held{{Model: model(i % len(wants)), Ready: true, Running: 20}},
 				})
 			}
