--- a/internal/placement/fleet_test.go
+++ b/internal/placement/fleet_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	testEngineRate = 100.0 // tokens a second of an engine
+	testEngineRate = 100.0 // generated tokens a second of an engine
 	testModelBytes = 10 << 30
-	testWeightRate = 1 << 30 // bytes a second: ten seconds a load
+	testWeightRate = 1 << 30 // bytes a second: a load takes ten seconds
 )
 
 var start = time.Unix(1_000_000, 0)
@@ -24,7 +24,7 @@
 	return Want{Model: ref(model, version), Load: load, Bytes: testModelBytes}
 }
 
-// simFleet is a set of engines that carry out orders in passed-in time.
+// simFleet simulates engines that carry out a planner's orders.
 type simFleet struct {
 	now        time.Time
 	p          *Planner
@@ -36,7 +36,8 @@
 	lastResult Result
 }
 
-// newFleet has count engines in four data centres with room models each.
+// newFleet returns count engines in four data centres, with room for room models
+// each.
 func newFleet(count, room int) *simFleet {
 	f := &simFleet{now: start, p: New(DefaultConfig(testEngineRate, testWeightRate)), readyAt: map[Replica]time.Time{}}
 	f.rng = rand.New(rand.NewPCG(1, 1))
@@ -47,7 +48,7 @@
 	return f
 }
 
-// step plans, carries orders out, and lets a second pass.
+// step advances the time by a second, plans, and carries out the orders.
 func (f *simFleet) step(wants []Want) Result {
 	f.now = f.now.Add(time.Second)
 	f.lastResult = f.p.Plan(f.now, wants, f.engines)
@@ -78,8 +79,8 @@
 	}
 }
 
-// advance loads on and moves the requests of one replica: a draining one gets no
-// new ones.
+// advance finishes a replica's load when its time has come, then ends and starts
+// requests on it at random. A draining replica gets no new ones.
 func (f *simFleet) advance(e *Engine, h *Held) {
 	r := Replica{e.ID, h.Model}
 	h.Ready = h.Ready || !f.now.Before(f.readyAt[r])
@@ -92,7 +93,8 @@
 	}
 }
 
-// count returns the replicas of m that are ready and not draining, by data centre.
+// count returns the number of replicas of m that are ready and not draining, by data
+// centre.
 func (f *simFleet) count(m fleet.ModelRef) map[fleet.DataCentre]int {
 	n := map[fleet.DataCentre]int{}
 	for _, e := range f.engines {
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -8,8 +8,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// orderLoads gives out loads, the most urgent first, as long as the weight store has
-// nothing left to give out.
+// orderLoads orders loads, the most urgent first, until the weight store is busy.
 func (p *Planner) orderLoads(now time.Time, v *view) {
 	for n := p.mostUrgent(now, v); n != nil; n = p.mostUrgent(now, v) {
 		s := p.chooseEngine(v, n)
@@ -25,7 +24,7 @@
 	}
 }
 
-// mostUrgent returns the most urgent need that misses replicas, nil when there is none.
+// mostUrgent returns the most urgent need that lacks replicas, nil if there is none.
 func (p *Planner) mostUrgent(now time.Time, v *view) *need {
 	var best *need
 	for _, n := range v.needs {
@@ -43,7 +42,8 @@
 	return best
 }
 
-// orderLoad orders one replica of n.
+// orderLoad orders a load of n on an engine, and the engine's role before it where
+// that isn't set.
 func (p *Planner) orderLoad(now time.Time, v *view, n *need, s *engineState) {
 	if s.role != n.Role && n.Role != "" {
 		s.role = n.Role
@@ -59,7 +59,8 @@
 	v.addReplica(s, h)
 }
 
-// resolveBlocked makes room for n, or lets more of it into one data centre, or gives up.
+// resolveBlocked handles a need that no engine can take: it makes room, or allows
+// more of its replicas in one data centre, or gives up for this plan.
 func (p *Planner) resolveBlocked(now time.Time, v *view, n *need) {
 	switch {
 	case p.makeRoom(now, v, n):
@@ -72,9 +73,9 @@
 	}
 }
 
-// chooseEngine returns the engine for the next replica of n: in the data centre
-// with the fewest of them, there the least loaded, and among equals the one
-// that every planner would chooseEngine.
+// chooseEngine returns the engine for the next replica of n, nil if none can take
+// it: in the data centre with the fewest of them, there the least loaded one, and
+// among equals the first by rendezvous hashing, which is the same for every planner.
 func (p *Planner) chooseEngine(v *view, n *need) *engineState {
 	var best *engineState
 	key := rendezvous.Key(n.Model.Model + "\x00" + n.Model.Adapter + "\x00" + n.Model.Version)
@@ -89,6 +90,7 @@
 	return best
 }
 
+// better reports whether a is to be chosen before b.
 func better(a, b *engineState, n *need, key uint64) bool {
 	if x, y := n.held[a.DataCentre], n.held[b.DataCentre]; x != y {
 		return x < y
@@ -99,7 +101,7 @@
 	return rendezvous.Score(key, string(a.ID)) > rendezvous.Score(key, string(b.ID))
 }
 
-// fits reports whether s may hold another replica of n, given room.
+// fits reports whether s may take a replica of n, apart from its free room.
 func (p *Planner) fits(s *engineState, n *need) bool {
 	if s.Leaving || n.Role != "" && s.role != "" && s.role != n.Role {
 		return false
--- a/internal/placement/need.go
+++ b/internal/placement/need.go
@@ -7,19 +7,19 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// need is a want with what is there for it.
+// need is a want with the replicas that exist for it.
 type need struct {
 	Want
 	wanted           int // replicas wanted
-	floor            int // replicas that must serve, old versions included
-	maxPerDataCentre int // most replicas that count in one data centre
+	floor            int // minimum of serving replicas, old versions included
+	maxPerDataCentre int // replicas beyond this in one data centre don't count
 	ready            int
-	held             map[fleet.DataCentre]int // replicas that are ready or on their way
-	blocked          bool                     // nothing more can be done for it in this plan
+	held             map[fleet.DataCentre]int // replicas that are ready, loading or ordered
+	blocked          bool                     // this plan can do nothing more for it
 }
 
-// missing returns how many replicas are to be loaded. More than perSite in
-// one data centre do not count, so that its loss leaves the others.
+// missing returns how many replicas are to be loaded. Those beyond maxPerDataCentre
+// don't count, so that the loss of a data centre leaves enough in the others.
 func (n *need) missing() int {
 	counted := 0
 	for _, held := range n.held {
@@ -28,7 +28,7 @@
 	return n.wanted - counted
 }
 
-// total returns the replicas that are ready or on their way.
+// total returns the number of replicas that are ready, loading or ordered.
 func (n *need) total() int {
 	sum := 0
 	for _, held := range n.held {
@@ -37,11 +37,11 @@
 	return sum
 }
 
-// startBy returns when the next load should start at the latest.
+// startBy returns the latest time at which the next load should start.
 func (n *need) startBy(now time.Time, cfg *Config) time.Time {
 	if !n.NeedBy.After(now) {
 		if n.ready == 0 {
-			return now.Add(-time.Hour) // nobody serves it: before all others
+			return now.Add(-time.Hour) // no replica serves: before all other needs
 		}
 		return now
 	}
@@ -53,8 +53,8 @@
 	return by
 }
 
-// before orders needs: the one whose load must start first, and among equals
-// the one with the most load on each replica.
+// before reports whether n is more urgent than o: its next load must start earlier,
+// or, at the same time, it has the higher load per replica.
 func (n *need) before(o *need, now time.Time, cfg *Config) bool {
 	a, b := n.startBy(now, cfg), o.startBy(now, cfg)
 	if !a.Equal(b) {
@@ -63,7 +63,7 @@
 	return n.Load/float64(n.total()+1) > o.Load/float64(o.total()+1)
 }
 
-// setSpread sets how many replicas count in one data centre.
+// setSpread sets maxPerDataCentre for an even spread over the data centres.
 func (n *need) setSpread(dataCentres int) {
 	n.maxPerDataCentre = int(math.Ceil(float64(n.wanted) / float64(max(1, min(n.wanted, dataCentres)))))
 }
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -9,14 +9,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// BenchmarkPlan plans for a settled fleet.
+// BenchmarkPlan plans for a fleet with all models loaded.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ engines, models int }{{18, 8}, {690, 100}} {
 		b.Run(fmt.Sprintf("engines=%d", size.engines), func(b *testing.B) {
 			f := newFleet(size.engines, 3)
 			wants := benchWants(size.models, testEngineRate*float64(size.engines)/float64(size.models)/2)
 			for range 100 {
-				f.now = f.now.Add(time.Hour) // the store is idle again
+				f.now = f.now.Add(time.Hour) // later than all loads, so that the weight store is idle
 				for _, o := range f.p.Plan(f.now, wants, f.engines).Orders {
 					f.apply(o)
 				}
@@ -43,8 +43,8 @@
 	return wants
 }
 
-// BenchmarkMoves replaces engines and changes loads, 200 times, and counts
-// loads: of this planner, and of placing by rendezvous hashing alone.
+// BenchmarkMoves replaces an engine or changes a model's load, 200 times, and reports
+// the loads per change of this planner and of placement by rendezvous hashing alone.
 // Run: go test -run=- -bench=Moves -benchtime=1x ./internal/placement
 func BenchmarkMoves(b *testing.B) {
 	for range b.N {
@@ -79,7 +79,7 @@
 	}
 }
 
-// placeByHash places every want on its best engines by rendezvous hashing.
+// placeByHash places every want on its first engines by rendezvous hashing.
 func placeByHash(f *simFleet, wants []Want) map[Replica]bool {
 	var ids []string
 	for _, e := range f.engines {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A new version is rolled out while requests run. Unloading the old one first,
-// or under requests, would lose them or leave too few to serve the load.
+// A new version replaces an old one under load. Unloading the old one too early would
+// cut off running requests or leave too few replicas for the load.
 func TestVersionChangeKeepsEnoughServingAndCutsOffNoRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.IntRange(1, 3).Draw(t, "room")
@@ -47,8 +47,9 @@
 	return n
 }
 
-// An engine dies. Only what it held is loaded, elsewhere, and nothing that
-// serves is moved: each needless load costs the weight store and a cold cache.
+// An engine fails. Only its models are loaded again, on other engines, and no serving
+// replica is moved: each needless load costs throughput of the weight store and
+// starts with an empty prefix cache.
 func TestOnlyLostReplicasAreLoadedAgain(t *testing.T) {
 	wants := []Want{want("m", "1", 300), want("n", "1", 100), want("o", "1", 50)}
 	f := newFleet(8, 3)
@@ -64,15 +65,15 @@
 	assert.Equal(t, f.unloads, 0)
 }
 
-// A data centre vanishes: with all replicas of a model in it, its workspaces
-// would wait for a cold load.
+// Guards against all replicas of a model in one data centre: if that fails, the
+// model's workspaces wait for a load.
 func TestReplicasAreSpreadOverDataCentres(t *testing.T) {
 	f := newFleet(12, 2)
 	f.settle([]Want{want("m", "1", 300)}) // four replicas
 	for _, n := range f.count(ref("m", "1")) {
 		assert.Equal(t, n, 1)
 	}
-	// Only one data centre has room left: better there than nowhere.
+	// Only one data centre has room left, so both replicas are loaded there.
 	f = newFleet(5, 1)
 	f.engines = slices.DeleteFunc(f.engines, func(e Engine) bool { return e.DataCentre > "b" })
 	f.engines[1].Holds = []Held{{Model: ref("n", "1"), Ready: true}}
@@ -80,9 +81,9 @@
 	assert.DeepEqual(t, f.count(ref("m", "1")), map[fleet.DataCentre]int{"a": 2})
 }
 
-// Many models are missing at once and the weight store refuses more than it can
-// give. What nobody serves comes first, then the closing that starts first,
-// though its template was published last; one far away does not load yet.
+// Many models are missing at once, and the weight store can't deliver them all at
+// once. A model that no replica serves comes first, then the one with the earliest
+// NeedBy, whatever the order of the wants; one needed much later isn't loaded yet.
 func TestLoadsAreOrderedByUrgencyWithinTheStoreRate(t *testing.T) {
 	late, soon, far := want("late", "1", 200), want("soon", "1", 50), want("far", "1", 50)
 	late.NeedBy = start.Add(20 * time.Minute)
@@ -101,11 +102,11 @@
 	assert.DeepEqual(t, order, []string{"now", "now", "soon", "late", "late", "late"})
 }
 
-// A holder of the duty dies after its orders, or its orders are lost. The
-// successor gives the same ones; a lost one is given again, not at every plan.
+// The daemon that plans fails after its orders, or an order is lost. Its successor
+// gives the same orders; a lost order is repeated after RetryAfter, not in every plan.
 func TestSuccessorRepeatsOrdersAndLostOrdersAreRetried(t *testing.T) {
 	wants := []Want{want("m", "1", 50)}
-	wants[0].Bytes = 1 // the store is never busy
+	wants[0].Bytes = 1 // the weight store is never busy
 	f := newFleet(8, 2)
 	first := f.p.Plan(start, wants, f.engines)
 	assert.Equal(t, len(first.Orders), 1)
@@ -114,7 +115,7 @@
 	assert.DeepEqual(t, f.p.Plan(start.Add(11*time.Second), wants, f.engines).Orders, first.Orders)
 }
 
-// An engine refuses a load, or never ends it. Asking the same one for ever
+// An engine refuses a load, or never finishes it. Retrying on the same engine for ever
 // would leave the model unserved.
 func TestFailedAndStuckLoadsMoveToOtherEngines(t *testing.T) {
 	wants := []Want{want("m", "1", 50)}
@@ -132,8 +133,8 @@
 	assert.Assert(t, orders[0].Engine != next.Engine)
 }
 
-// Engines under notice hold what is wanted. It must be loaded elsewhere before
-// they go, and nothing be loaded on them.
+// Engines under notice hold wanted models. These must be loaded on other engines before
+// the notice ends, and nothing must be loaded on the leaving ones.
 func TestLeavingEngineIsReplacedBeforeItStops(t *testing.T) {
 	wants := []Want{want("m", "1", 50)}
 	f := newFleet(2, 2)
@@ -147,8 +148,8 @@
 	assert.DeepEqual(t, f.step([]Want{want("n", "1", 50)}).Unplaced, []fleet.ModelRef{ref("n", "1")})
 }
 
-// What nobody wants any more stays a while where room is not needed, and goes
-// at once, drained, where it is.
+// An unwanted model stays loaded for a while where its room isn't needed; where it is
+// needed, the model is drained at once and unloaded.
 func TestUnwantedModelIsUnloadedWhenRoomIsNeeded(t *testing.T) {
 	f := newFleet(1, 1)
 	f.settle([]Want{want("old", "1", 10)})
@@ -156,7 +157,8 @@
 	assert.Equal(t, len(f.lastResult.Drain), 0)
 	f.step([]Want{want("new", "1", 10)})
 	assert.DeepEqual(t, f.lastResult.Drain, []Replica{{f.engines[0].ID, ref("old", "1")}})
-	// The want is withdrawn and comes back: routing has to hear of it anew.
+	// The want is withdrawn and made again: the drain delay must start anew, since
+	// routing may have sent requests in between.
 	f.now = f.now.Add(time.Minute)
 	f.step(nil)
 	for range 5 {
@@ -172,7 +174,7 @@
 	assert.Equal(t, len(f.engines[0].Holds), 0)
 }
 
-// A role is given to an engine that has none, and never taken from one.
+// A role is set on an engine that has none, and never changed.
 func TestRoleIsSetBeforeTheLoad(t *testing.T) {
 	f := newFleet(2, 2)
 	f.engines[0].Role = "prefill"
@@ -186,8 +188,8 @@
 	assert.DeepEqual(t, f.step([]Want{w}).Unplaced, []fleet.ModelRef{{Model: "n"}})
 }
 
-// The replica that drains has a request left, and another one is idle by now.
-// Draining the other instead, plan after plan, would unload neither.
+// A draining replica still runs a request, and another one has become idle. A planner
+// that switched to the idle one in each plan would unload neither.
 func TestDrainingContinuesWithTheSameReplica(t *testing.T) {
 	f := newFleet(2, 1)
 	old := func(running int) []Held { return []Held{{Model: ref("old", "1"), Ready: true, Running: running}} }
@@ -198,8 +200,8 @@
 	assert.Equal(t, f.p.Plan(start.Add(time.Second), wants, f.engines).Drain[0].Engine, f.engines[0].ID)
 }
 
-// Two new versions need room in one plan. Each alone may take an old replica;
-// both together would go below what the load needs.
+// Two new versions need room in one plan. Each alone may replace an old replica; both
+// together would leave fewer serving than the load takes.
 func TestTwoNewVersionsInOnePlanKeepTheFloor(t *testing.T) {
 	f := newFleet(3, 1)
 	for i := range f.engines {
@@ -209,9 +211,9 @@
 	assert.Equal(t, len(res.Drain), 1)
 }
 
-// All replicas of a model are in one data centre, and the only other one is
-// full of what nobody wants. Loading more beside the first would help nobody
-// when that data centre goes: room is made in the other.
+// All replicas of a model are in one data centre, and the other one is full of unwanted
+// models. Another replica in the first would be lost with the others if that data centre
+// failed, so room must be made in the second one.
 func TestRoomIsMadeInTheDataCentreThatLacksReplicas(t *testing.T) {
 	f := newFleet(6, 1)
 	f.engines = slices.DeleteFunc(f.engines, func(e Engine) bool { return e.DataCentre > "b" })
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -7,19 +7,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Planner plans one shard's engines. Its own state is soft: a successor starts
-// without it and works the same orders out from what engines report.
+// Planner plans the models of a shard's engines. Its state isn't persisted: a
+// successor derives the same orders from what engines report. It is not safe for
+// concurrent use.
 type Planner struct {
 	cfg         Config
-	ordered     map[Replica]time.Time // loads given, until the engine reports them
-	loading     map[Replica]time.Time // reported as loading, since when
-	avoid       map[Replica]time.Time // refused or stuck loads, until when to pass the engine over
-	draining    map[Replica]time.Time // since when
-	unwanted    map[Replica]time.Time // since when
-	storeFreeAt time.Time             // when the weight store has given out all that was ordered
+	ordered     map[Replica]time.Time // when loads were ordered that engines haven't reported yet
+	loading     map[Replica]time.Time // since when an engine reports a load in progress
+	avoid       map[Replica]time.Time // until when not to choose an engine for a model, after a failed load
+	draining    map[Replica]time.Time // since when a replica drains
+	unwanted    map[Replica]time.Time // since when a replica is unwanted
+	storeFreeAt time.Time             // when the weight store will have delivered all ordered loads
 }
 
-// New returns a planner.
+// New returns a planner without state.
 func New(cfg Config) *Planner {
 	return &Planner{
 		cfg:      cfg,
@@ -31,14 +32,15 @@
 	}
 }
 
-// Failed reports that an engine refused a load, or lost it.
+// Failed reports that an engine refused or lost a load. The engine isn't chosen for
+// the model again for Config.AvoidFor.
 func (p *Planner) Failed(now time.Time, r Replica) {
 	delete(p.ordered, r)
 	p.avoid[r] = now.Add(p.cfg.AvoidFor)
 }
 
-// Plan returns the orders to give now. Call it at Result.Again, and when wants
-// or reports have changed.
+// Plan returns the orders to send now. Call it again at Result.NextPlan, and when
+// wants or reports have changed.
 func (p *Planner) Plan(now time.Time, wants []Want, engines []Engine) Result {
 	v := p.newView(now, wants, engines)
 	p.orderLoads(now, v)
@@ -47,7 +49,7 @@
 	return v.result
 }
 
-// prune drops what the planner remembers about replicas that are no more.
+// prune drops the state of replicas to which it no longer applies.
 func (p *Planner) prune(now time.Time, v *view) {
 	for r, until := range p.avoid {
 		if !now.Before(until) {
@@ -63,12 +65,12 @@
 	}
 	for r := range p.draining {
 		if !slices.Contains(v.result.Drain, r) {
-			delete(p.draining, r) // it may serve again, so draining starts anew
+			delete(p.draining, r) // it may get requests again, so that a later drain starts anew
 		}
 	}
 }
 
-// since returns when r entered m, which is now if it was not in it.
+// since returns the time of r in m, after setting it to now if r is missing.
 func since(m map[Replica]time.Time, r Replica, now time.Time) time.Time {
 	t, ok := m[r]
 	if !ok {
@@ -78,7 +80,7 @@
 	return t
 }
 
-// family names a model and adapter whatever the version.
+// family identifies a model and adapter regardless of the version.
 type family struct{ model, adapter string }
 
 func familyOf(m fleet.ModelRef) family { return family{m.Model, m.Adapter} }
--- a/internal/placement/result.go
+++ b/internal/placement/result.go
@@ -7,7 +7,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Order is an order to an engine; the caller adds its fencing number.
+// Order is an order to an engine; the caller adds the fencing number.
 type Order struct {
 	Engine fleet.EndpointID
 	Kind   engineapi.OrderKind
@@ -18,11 +18,12 @@
 // Result is a plan.
 type Result struct {
 	Orders []Order
-	// Drain lists replicas to which routing must send nothing new. Each is
-	// unloaded by a later plan, once nothing runs on it.
+	// Drain lists the replicas to which routing must send no new requests. A later
+	// plan unloads each when no request runs on it.
 	Drain []Replica
-	// Unplaced lists wants for which no engine has room.
+	// Unplaced lists the wanted models for which no engine has room.
 	Unplaced []fleet.ModelRef
-	// NextPlan is when to plan again at the latest; zero when only news matter.
+	// NextPlan is the latest time for the next plan; zero: only changes of wants or
+	// reports require one.
 	NextPlan time.Time
 }
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// makeRoom frees a place for n by draining a replica that can be spared. It
-// reports false when there is none.
+// makeRoom drains a replica that can be spared, on an engine that n can be loaded
+// on. It reports false if there is none.
 func (p *Planner) makeRoom(now time.Time, v *view, n *need) bool {
 	var from *engineState
 	var spare Held
@@ -31,7 +31,8 @@
 	return true
 }
 
-// sortedHolds lists what the site holds in a fixed order, so that runs repeat.
+// sortedHolds returns the engine's models in a fixed order, so that plans are
+// deterministic.
 func (s *engineState) sortedHolds() []Held {
 	held := make([]Held, 0, len(s.holds))
 	for _, h := range s.holds {
@@ -43,8 +44,9 @@
 	return held
 }
 
-// canSpare reports whether one replica of m can go: nobody wants it, or there
-// are more than wanted; and what serves of its family stays at the floor.
+// canSpare reports whether a replica of m can be removed. For a wanted version, more
+// replicas than wanted must exist and serve; for another version of a wanted model,
+// more replicas than the floor must serve. Any other model can go.
 func (v *view) canSpare(m fleet.ModelRef) bool {
 	if n := v.byModel[m]; n != nil {
 		return n.total() > n.wanted && n.missing() <= 0 && n.ready > n.wanted
@@ -53,8 +55,8 @@
 	return n == nil || v.serving[familyOf(m)] > n.floor
 }
 
-// preferRemoval reports whether h on s is better removed than o on t: one that drains
-// already, else the one with the least running on it.
+// preferRemoval reports whether h on s should be removed rather than o on t: the one
+// that drains already, otherwise the one with fewer running requests.
 func (p *Planner) preferRemoval(s *engineState, h Held, t *engineState, o Held) bool {
 	_, a := p.draining[Replica{s.ID, h.Model}]
 	_, b := p.draining[Replica{t.ID, o.Model}]
@@ -64,8 +66,8 @@
 	return h.Running < o.Running
 }
 
-// remove drains a replica, and unloads it once routing has heard of that and
-// nothing runs on it.
+// remove drains a replica, and unloads it once DrainDelay has passed and no request
+// runs on it.
 func (p *Planner) remove(now time.Time, v *view, s *engineState, h Held) {
 	r := Replica{s.ID, h.Model}
 	if h.Ready {
@@ -87,8 +89,8 @@
 	}
 }
 
-// removeUnwanted removes what nobody wants: an old version once enough of the new one
-// serves, anything else after KeepUnwanted.
+// removeUnwanted removes unwanted replicas: those of an old version once enough of
+// the new one serve, all others after KeepUnwanted.
 func (p *Planner) removeUnwanted(now time.Time, v *view) {
 	for _, s := range v.engines {
 		for _, h := range s.sortedHolds() {
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -7,27 +7,27 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// view is one plan in the making.
+// view is the state of one plan: wants, engines and the result so far.
 type view struct {
 	needs    []*need
 	byModel  map[fleet.ModelRef]*need
-	families map[family]*need // the need that versions of a family are replaced by
-	serving  map[family]int   // ready and not draining, any version
+	families map[family]*need // the need whose version replaces the others of the family
+	serving  map[family]int   // replicas of any version that are ready and not draining
 	engines  []*engineState
-	reported map[Replica]bool // all that engines report
+	reported map[Replica]bool // all replicas that engines report
 	result   Result
 }
 
-// engineState is an engine with what is planned for it.
+// engineState is an engine after the orders of the plan so far.
 type engineState struct {
 	*Engine
 	role  string
-	free  int     // still free
-	load  float64 // tokens a second expected on it
+	free  int     // models that it can still take
+	load  float64 // expected generated tokens a second
 	holds map[fleet.ModelRef]Held
 }
 
-// newView matches wants with what engines hold.
+// newView matches wants with the models that engines hold or were ordered to load.
 func (p *Planner) newView(now time.Time, wants []Want, engines []Engine) *view {
 	v := &view{
 		byModel:  make(map[fleet.ModelRef]*need, len(wants)),
@@ -59,7 +59,7 @@
 	return v
 }
 
-// addReported counts one replica that an engine reports.
+// addReported counts a replica that an engine reports.
 func (p *Planner) addReported(now time.Time, v *view, s *engineState, h Held) {
 	r := Replica{s.ID, h.Model}
 	v.reported[r] = true
@@ -73,16 +73,16 @@
 		delete(p.loading, r)
 		v.serving[familyOf(h.Model)]++
 	} else if now.Sub(since(p.loading, r, now)) > p.cfg.LoadTimeout {
-		// A load that never ends would be counted for ever and its model
-		// served by too few; the engine is passed over for it.
+		// A load that never ends doesn't count, or its model would be served by too
+		// few replicas; the engine isn't chosen for it for a while.
 		p.avoid[r] = now.Add(p.cfg.AvoidFor)
 		return
 	}
 	v.addReplica(s, h)
 }
 
-// addOrdered counts loads that engines have not reported yet. One without
-// effect is forgotten, and its place chosen anew.
+// addOrdered counts ordered loads that engines haven't reported yet. One without
+// effect for RetryAfter is dropped, and its engine chosen anew.
 func (p *Planner) addOrdered(now time.Time, v *view) {
 	for _, s := range v.engines {
 		for _, n := range v.needs {
@@ -102,7 +102,8 @@
 	}
 }
 
-// addReplica adds a replica to the need it serves.
+// addReplica adds a replica to the need that it serves, if any, and its load to the
+// engine.
 func (v *view) addReplica(s *engineState, h Held) {
 	n := v.byModel[h.Model]
 	if n == nil {
@@ -119,7 +120,7 @@
 	v.result.Orders = append(v.result.Orders, Order{Engine: s.ID, Kind: kind, Model: m, Role: s.role})
 }
 
-// planBy keeps the earliest time for the next plan.
+// planBy makes t the time of the next plan if it is the earliest so far.
 func (v *view) planBy(t time.Time) {
 	if v.result.NextPlan.IsZero() || t.Before(v.result.NextPlan) {
 		v.result.NextPlan = t
