--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -19,12 +19,12 @@
 
 // SetSplit applies the state of the roll-out of a service to another version of its
 // endpoints, under way or completed.
-func (b *Balancer) SetSplit(w *rollout.Word) {
+func (b *Balancer) SetSplit(w *rollout.Split) {
 	s := b.splits[w.Service]
-	if s != nil && s.target == w.Target() && s.limit == w.Spread && s.rotation == w.Turn {
+	if s != nil && s.target == w.Target() && s.limit == w.Spread && s.rotation == w.Rotation {
 		return
 	}
-	s = &split{target: w.Target(), limit: w.Spread, rotation: w.Turn}
+	s = &split{target: w.Target(), limit: w.Spread, rotation: w.Rotation}
 	b.splits[w.Service] = s
 	b.rebuildSplit(w.Service, s)
 }
--- a/internal/balance/split_test.go
+++ b/internal/balance/split_test.go
@@ -40,7 +40,7 @@
 func TestSidesOfARollout(t *testing.T) {
 	b := New("z", rand.New(rand.NewPCG(1, 2)))
 	b.SetEndpoints(append(versionedEndpoints("v1", 8, testNow), versionedEndpoints("v2", 8, testNow.Add(time.Minute))...))
-	b.SetSplit(&rollout.Word{Service: "s", Key: rollout.Key{Target: "v2"}, Spread: 3, Turn: 1})
+	b.SetSplit(&rollout.Split{Service: "s", Key: rollout.Key{Target: "v2"}, Spread: 3, Rotation: 1})
 	versions, _ := pickedVersions(b, rollout.Old)
 	assert.DeepEqual(t, versions, map[string]bool{"v1": true})
 	versions, endpoints := pickedVersions(b, rollout.New)
@@ -49,7 +49,7 @@
 	old, target := b.Versions("s")
 	assert.Equal(t, old, 8)
 	assert.Equal(t, target, 8)
-	b.SetSplit(&rollout.Word{Service: "s", Key: rollout.Key{Target: "v2"}, Spread: 3, Turn: 2})
+	b.SetSplit(&rollout.Split{Service: "s", Key: rollout.Key{Target: "v2"}, Spread: 3, Rotation: 2})
 	_, next := pickedVersions(b, rollout.New)
 	assert.Assert(t, len(next) == 3)
 	for id := range endpoints {
--- a/internal/exchange/hub_test.go
+++ b/internal/exchange/hub_test.go
@@ -76,11 +76,11 @@
 		Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Asked: 3, Exposed: 1, Running: 2, Moved: true,
 		Rows: []rollout.Row{{Route: "r", Endpoint: "e", Counts: rollout.Counts{Failed: 1}}},
 	}}
-	p.RolloutNews = rollout.News{
+	p.RolloutNews = rollout.Update{
 		Rank: rollout.Rank{Token: 4, Seq: 2}, Age: 30 * time.Millisecond, OrdersAge: 40 * time.Millisecond,
-		Words: []rollout.Word{{
+		Splits: []rollout.Split{{
 			Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Phase: rollout.Moving, Share: 0.25,
-			Routes: map[string]float64{"r": 1}, Spread: 4, Turn: 9,
+			Routes: map[string]float64{"r": 1}, Spread: 4, Rotation: 9,
 		}},
 	}
 	assert.DeepEqual(t, decodePart(encodePart(&p)), p)
--- a/internal/exchange/part.go
+++ b/internal/exchange/part.go
@@ -37,7 +37,7 @@
 	// Rollouts is what the daemon has counted of those under way, RolloutNews what it
 	// was told of them.
 	Rollouts    []rollout.Report
-	RolloutNews rollout.News
+	RolloutNews rollout.Update
 	// WantLevels asks for what the limits have left.
 	WantLevels bool
 	// Seq rises with each report; 0 of an earlier release.
@@ -81,7 +81,7 @@
 	Crashes   []quarantine.Crash
 	CrashesTo quarantine.Position
 	// Rollouts is what the hub was told of the roll-outs.
-	Rollouts rollout.News
+	Rollouts rollout.Update
 	// Members leads to the hub's list of members; see EncodeMember.
 	Members feed.Update
 	// Packed says that long lists are told packed.
--- a/internal/exchange/rollouts.go
+++ b/internal/exchange/rollouts.go
@@ -44,16 +44,16 @@
 	return out
 }
 
-func encodeNews(n *rollout.News) *exchangepb.RolloutNews {
+func encodeNews(n *rollout.Update) *exchangepb.RolloutNews {
 	if n.Rank.Token == 0 {
 		return nil
 	}
 	out := &exchangepb.RolloutNews{Token: n.Rank.Token, Seq: n.Rank.Seq, AgeMs: n.Age.Milliseconds(), OrdersAgeMs: n.OrdersAge.Milliseconds()}
-	for i := range n.Words {
-		w := &n.Words[i]
+	for i := range n.Splits {
+		w := &n.Splits[i]
 		word := &exchangepb.RolloutWord{
 			Service: w.Service, Target: w.Key.Target, StartedMs: w.Key.Started, Phase: uint32(w.Phase),
-			Share: w.Share, Spread: uint32(w.Spread), Turn: w.Turn,
+			Share: w.Share, Spread: uint32(w.Spread), Turn: w.Rotation,
 		}
 		for route, share := range w.Routes {
 			word.Routes = append(word.Routes, &exchangepb.Amount{Name: route, Amount: share})
@@ -63,18 +63,18 @@
 	return out
 }
 
-func decodeNews(n *exchangepb.RolloutNews) rollout.News {
+func decodeNews(n *exchangepb.RolloutNews) rollout.Update {
 	if n == nil {
-		return rollout.News{}
+		return rollout.Update{}
 	}
-	out := rollout.News{
+	out := rollout.Update{
 		Rank: rollout.Rank{Token: n.Token, Seq: n.Seq}, Age: time.Duration(n.AgeMs) * time.Millisecond,
 		OrdersAge: time.Duration(n.OrdersAgeMs) * time.Millisecond,
 	}
 	for _, w := range n.Words {
-		word := rollout.Word{
+		word := rollout.Split{
 			Service: w.Service, Key: rollout.Key{Target: w.Target, Started: w.StartedMs}, Phase: rollout.PhaseOf(w.Phase),
-			Share: w.Share, Spread: int(w.Spread), Turn: w.Turn,
+			Share: w.Share, Spread: int(w.Spread), Rotation: w.Turn,
 		}
 		for _, a := range w.Routes {
 			if word.Routes == nil {
@@ -82,7 +82,7 @@
 			}
 			word.Routes[a.Name] = a.Amount
 		}
-		out.Words = append(out.Words, word)
+		out.Splits = append(out.Splits, word)
 	}
 	return out
 }
--- a/internal/node/rolloutduty.go
+++ b/internal/node/rolloutduty.go
@@ -98,7 +98,7 @@
 		for daemon, reports := range heard {
 			for i := range reports {
 				if reports[i].Service == service {
-					r.decider.Hear(fleetNow, string(daemon), &reports[i])
+					r.decider.AddReport(fleetNow, string(daemon), &reports[i])
 				}
 			}
 		}
@@ -204,7 +204,7 @@
 // view returns what the decider must know of a service.
 func (d *rolloutDuty) view(service string) rollout.View {
 	n := d.node
-	v := rollout.View{Routes: map[string]bool{}, Interval: n.movingInterval()}
+	v := rollout.View{Routes: map[string]bool{}, ReportInterval: n.movingInterval()}
 	v.Old, v.New = n.state.Versions(service)
 	for _, id := range n.members.ids() {
 		v.Daemons = append(v.Daemons, string(id))
@@ -228,9 +228,9 @@
 // reports.
 func (d *rolloutDuty) tell(now, fleetNow time.Time) {
 	d.seq++
-	news := rollout.News{Rank: rollout.Rank{Token: d.token, Seq: d.seq}, OrdersAge: d.store.Age()}
+	news := rollout.Update{Rank: rollout.Rank{Token: d.token, Seq: d.seq}, OrdersAge: d.store.Age()}
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
-		news.Words = append(news.Words, d.running[service].decider.Word(fleetNow))
+		news.Splits = append(news.Splits, d.running[service].decider.Split(fleetNow))
 	}
 	d.node.state.HearRollouts(now, news)
 }
--- a/internal/node/rolloutrunning.go
+++ b/internal/node/rolloutrunning.go
@@ -36,7 +36,7 @@
 func (r *runningRollout) reorder(order rollout.Order) {
 	if r.order != order {
 		r.order = order
-		r.decider.Reorder(order)
+		r.decider.SetOrder(order)
 	}
 }
 
@@ -54,7 +54,7 @@
 		r.final = false
 	case !r.final:
 		r.final = true
-		r.decider.Settle(phase)
+		r.decider.SetFinal(phase)
 	}
 }
 
@@ -114,7 +114,7 @@
 		r.revision, r.stated = max(r.revision, o.Revision), true
 		if phase.Final() {
 			r.final = true
-			r.decider.Settle(phase)
+			r.decider.SetFinal(phase)
 		}
 		log.Info("status written")
 	case errors.Is(err, objects.ErrConflict) && o.Revision != 0:
--- a/internal/relay/track.go
+++ b/internal/relay/track.go
@@ -36,7 +36,7 @@
 	if !f.asked {
 		f.asked = true
 		if counter := s.versions.counters[f.service]; counter != nil {
-			counter.Asked()
+			counter.CountRequest()
 		}
 		s.loads.asked(f.service, f.ask.Output, f.ask.Prompt, max(f.ask.Prompt-c.Cached, 0))
 	}
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -32,13 +32,13 @@
 }
 
 // HearRollouts takes what another daemon tells of the roll-outs.
-func (s *State) HearRollouts(now time.Time, n rollout.News) {
+func (s *State) HearRollouts(now time.Time, n rollout.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := &s.versions
-	v.gate.Hear(now, n)
+	v.gate.Apply(now, n)
 	told := map[string]bool{}
-	for _, w := range v.gate.News(now).Words {
+	for _, w := range v.gate.Update(now).Splits {
 		told[w.Service] = true
 		s.balancer.SetSplit(&w)
 		if v.keys[w.Service] != w.Key {
@@ -55,10 +55,10 @@
 }
 
 // Rollouts returns what this daemon tells others of the roll-outs.
-func (s *State) Rollouts(now time.Time) rollout.News {
+func (s *State) Rollouts(now time.Time) rollout.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.versions.gate.News(now)
+	return s.versions.gate.Update(now)
 }
 
 // RolloutReports returns what this daemon has counted of the roll-outs under way.
@@ -67,9 +67,9 @@
 	defer s.mu.Unlock()
 	var out []rollout.Report
 	for service, c := range s.versions.counters {
-		w, _ := s.versions.gate.Word(now, service)
+		w, _ := s.versions.gate.Split(now, service)
 		if !w.Phase.Final() {
-			c.SetMoved(w.All())
+			c.SetMoved(w.AllNew())
 			out = append(out, c.Report())
 		}
 	}
@@ -82,7 +82,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for service := range s.versions.counters {
-		if w, _ := s.versions.gate.Word(now, service); w.Phase == rollout.Moving {
+		if w, _ := s.versions.gate.Split(now, service); w.Phase == rollout.Moving {
 			return true
 		}
 	}
@@ -118,7 +118,7 @@
 	if !v.on {
 		return rollout.Any
 	}
-	if w, known := v.gate.Word(now, f.service); known {
+	if w, known := v.gate.Split(now, f.service); known {
 		draw := s.rng.Float64()
 		if f.tally != (tally{}) { // a trial is not worth a second chance to fail
 			draw = math.Nextafter(1, 0)
@@ -154,9 +154,9 @@
 	t.toNew = t.choice.Endpoint.Version == s.versions.keys[t.flight.service].Target
 	switch {
 	case t.toNew:
-		c.SentToNew()
+		c.CountExposed()
 	case !t.flight.route.Repeatable():
-		c.Runs(1)
+		c.AddRunning(1)
 	}
 }
 
@@ -166,7 +166,7 @@
 		return
 	}
 	if !t.toNew && !t.flight.route.Repeatable() {
-		t.counter.Runs(-1)
+		t.counter.AddRunning(-1)
 	}
 	failed := t.flight.outcome.Failed
 	if !failed && o != balance.Answered || now.Before(t.choice.Endpoint.SlowUntil) {
@@ -176,5 +176,5 @@
 	if t.toNew {
 		name = string(t.choice.Endpoint.ID)
 	}
-	t.counter.Answered(t.flight.route.Name, name, failed, now.Sub(t.sent))
+	t.counter.CountAnswer(t.flight.route.Name, name, failed, now.Sub(t.sent))
 }
--- a/internal/rollout/times.go
+++ b/internal/rollout/counts.go
@@ -8,9 +8,9 @@
 const (
 	// timeBuckets are classes of answer times, each half as long again as the one
 	// before: from 5 ms to over a minute.
-	timeBuckets = 24
-	firstBucket = 5 * time.Millisecond
-	bucketStep  = 1.5
+	timeBuckets  = 24
+	firstBucket  = 5 * time.Millisecond
+	bucketFactor = 1.5
 )
 
 // bucketOf returns the class of an answer time.
@@ -18,7 +18,7 @@
 	if d <= firstBucket {
 		return 0
 	}
-	n := math.Log(float64(d)/float64(firstBucket)) / math.Log(bucketStep)
+	n := math.Log(float64(d)/float64(firstBucket)) / math.Log(bucketFactor)
 	return min(int(math.Ceil(n)), timeBuckets-1)
 }
 
@@ -72,8 +72,8 @@
 	return out
 }
 
-// median returns the class of the middle answer time, false without any.
-func (c *Counts) median() (int, bool) {
+// medianBucket returns the class of the middle answer time, false without any.
+func (c *Counts) medianBucket() (int, bool) {
 	all := c.answers() - int(c.Failed)
 	if all == 0 {
 		return 0, false
@@ -97,20 +97,20 @@
 	return n
 }
 
-// timeOf returns the longest answer time of a class.
-func timeOf(bucket int) time.Duration {
-	return time.Duration(float64(firstBucket) * math.Pow(bucketStep, float64(bucket)))
+// bucketLimit returns the longest answer time of a class.
+func bucketLimit(bucket int) time.Duration {
+	return time.Duration(float64(firstBucket) * math.Pow(bucketFactor, float64(bucket)))
 }
 
-// longest returns the time that all but rare answers took at most, 0 without any.
-func (c *Counts) longest() time.Duration {
+// tailTime returns the time that all but rare answers took at most, 0 without any.
+func (c *Counts) tailTime() time.Duration {
 	if c == nil {
 		return 0
 	}
-	left := int(rare * float64(c.answers()))
+	left := int(slowShare * float64(c.answers()))
 	for i := timeBuckets - 1; i >= 0; i-- {
 		if left -= int(c.Times[i]); left < 0 {
-			return timeOf(i)
+			return bucketLimit(i)
 		}
 	}
 	return 0
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// sameTime is how far back the old version's answers are compared, and atOnce how
+	// compareWindow is how far back the old version's answers are compared, and atOnce how
 	// far where these are enough: what strikes both versions must count for both.
-	sameTime = 4 * time.Second
-	atOnce   = time.Second
-	// fewAnswers is how many of the old version's answers a comparison needs;
+	compareWindow = 4 * time.Second
+	recentWindow  = time.Second
+	// minAnswers is how many of the old version's answers a comparison needs;
 	// below, all since the order are taken.
-	fewAnswers = 50
-	// fewForMedian is how many it takes until their median is about right.
-	fewForMedian = 10
+	minAnswers = 50
+	// minForMedian is how many it takes until their median is about right.
+	minForMedian = 10
 	// slowBuckets above the old version's median is slow: more than twice as long.
 	slowBuckets = 2
-	// leastRate is taken for the old version's part of bad answers at least: a few
+	// minBadRate is taken for the old version's part of bad answers at least: a few
 	// endpoints may garble or fail one by chance.
-	leastRate = 0.01
-	// doubt is added to the old version's bad answers: few answers may lack the bad
+	minBadRate = 0.01
+	// priorBad is added to the old version's bad answers: few answers may lack the bad
 	// ones by chance.
-	doubt = 1.0
-	// likeOthers is how many answers a route's rate is taken to be like that of all
+	priorBad = 1.0
+	// pooledWeight is how many answers a route's rate is taken to be like that of all
 	// routes together: its own few say little.
-	likeOthers = 20.0
-	// maxSeen bounds the answers of the new version that are looked at again.
-	maxSeen = 400
+	pooledWeight = 20.0
+	// maxAnswers bounds the answers of the new version that are looked at again.
+	maxAnswers = 400
 )
 
 // windows are how many of the new version's last answers are looked at together: a
 // version may turn bad late, and a long good record must not hide it.
-var windows = [...]int{8, 16, 32, 64, 128, maxSeen}
+var windows = [...]int{8, 16, 32, 64, 128, maxAnswers}
 
-// seen is an answer of the new version.
-type seen struct {
+// answer is an answer of the new version.
+type answer struct {
 	endpoint string
 	bad      bool
-	rate     float64 // the old version's part of bad answers at that time
+	oldRate  float64 // the old version's part of bad answers at that time
 }
 
-// moment is the old version's answers that came in at a time.
-type moment struct {
+// oldSample is the old version's answers that came in at a time.
+type oldSample struct {
 	at     time.Time
 	counts Counts
 }
 
 // routeEvidence is what is known of one route.
 type routeEvidence struct {
-	old    []moment
+	old    []oldSample
 	oldAll Counts
-	new    []seen
+	new    []answer
 }
 
 // evidence compares the two versions, by route and over all routes.
 type evidence struct {
 	routes map[string]*routeEvidence
-	all    []seen
+	all    []answer
 }
 
 func newEvidence() *evidence { return &evidence{routes: map[string]*routeEvidence{}} }
@@ -81,35 +81,35 @@
 		r.old[n-1].counts.plus(&c)
 		return
 	}
-	r.old = append(r.old, moment{now, c})
+	r.old = append(r.old, oldSample{now, c})
 }
 
 // addNew takes answers of an endpoint of the new version. Those of the old version
 // that came in with them are to be added before.
 func (e *evidence) addNew(now time.Time, route, endpoint string, c Counts) {
 	r := e.route(route)
-	limit, rate := r.compare(now, e.pooled(now))
+	limit, rate := r.baseline(now, e.pooledRate(now))
 	bad := int(c.Failed) + c.above(limit)
 	for i := range c.answers() {
-		s := seen{endpoint: endpoint, bad: i < bad, rate: rate}
+		s := answer{endpoint: endpoint, bad: i < bad, oldRate: rate}
 		r.new = keepLast(append(r.new, s))
 		e.all = keepLast(append(e.all, s))
 	}
 }
 
-func keepLast(s []seen) []seen {
-	if over := len(s) - 2*maxSeen; over > 0 {
-		return slices.Delete(s, 0, over+maxSeen)
+func keepLast(s []answer) []answer {
+	if over := len(s) - 2*maxAnswers; over > 0 {
+		return slices.Delete(s, 0, over+maxAnswers)
 	}
 	return s
 }
 
-// pooled returns which part of the old version's answers is bad now, over all routes.
-func (e *evidence) pooled(now time.Time) float64 {
-	bad, all := float64(doubt), 2*float64(doubt)
+// pooledRate returns which part of the old version's answers is bad now, over all routes.
+func (e *evidence) pooledRate(now time.Time) float64 {
+	bad, all := float64(priorBad), 2*float64(priorBad)
 	for _, r := range e.routes {
-		lately := r.lately(now)
-		if limit, ok := lately.slowFrom(); ok {
+		lately := r.recent(now)
+		if limit, ok := lately.slowBucket(); ok {
 			bad += float64(int(lately.Failed) + lately.above(limit))
 			all += float64(lately.answers())
 		}
@@ -117,82 +117,82 @@
 	return bad / all
 }
 
-// lately returns the old version's answers to compare with: the newest that are
+// recent returns the old version's answers to compare with: the newest that are
 // enough.
-func (r *routeEvidence) lately(now time.Time) Counts {
-	for len(r.old) > 0 && now.Sub(r.old[0].at) > sameTime {
+func (r *routeEvidence) recent(now time.Time) Counts {
+	for len(r.old) > 0 && now.Sub(r.old[0].at) > compareWindow {
 		r.old = r.old[1:]
 	}
 	var out Counts
 	for _, m := range slices.Backward(r.old) {
-		if now.Sub(m.at) > atOnce && out.answers() >= fewAnswers {
+		if now.Sub(m.at) > recentWindow && out.answers() >= minAnswers {
 			return out
 		}
 		out.plus(&m.counts)
 	}
-	if out.answers() < fewAnswers {
+	if out.answers() < minAnswers {
 		return r.oldAll
 	}
 	return out
 }
 
-// compare returns the class of answer times above which an answer is slow, and which
+// baseline returns the class of answer times above which an answer is slow, and which
 // part of the old version's answers is bad now; pooled is that of all routes.
-func (r *routeEvidence) compare(now time.Time, pooled float64) (limit int, rate float64) {
-	old := r.lately(now)
-	limit, ok := old.slowFrom()
+func (r *routeEvidence) baseline(now time.Time, pooled float64) (limit int, rate float64) {
+	old := r.recent(now)
+	limit, ok := old.slowBucket()
 	if !ok {
 		return timeBuckets, pooled
 	}
-	bad := float64(int(old.Failed)+old.above(limit)) + likeOthers*pooled
-	return limit, max(leastRate, bad/(float64(old.answers())+likeOthers))
+	bad := float64(int(old.Failed)+old.above(limit)) + pooledWeight*pooled
+	return limit, max(minBadRate, bad/(float64(old.answers())+pooledWeight))
 }
 
-// slowFrom returns the class of answer times above which an answer is slow, false
+// slowBucket returns the class of answer times above which an answer is slow, false
 // where there is none to compare with.
-func (c *Counts) slowFrom() (limit int, ok bool) {
-	middle, ok := c.median()
+func (c *Counts) slowBucket() (limit int, ok bool) {
+	middle, ok := c.medianBucket()
 	limit = middle + slowBuckets
-	if c.answers() < fewForMedian {
+	if c.answers() < minForMedian {
 		limit++ // the median of few is off by a class
 	}
 	return limit, ok
 }
 
-// worst returns the least probability, over routes and windows, that the old
+// lowestPValue returns the least probability, over routes and windows, that the old
 // version's rate explains the new one's bad answers, and the route it is of, empty
 // for all together. alone says that the new version has one endpoint.
-func (e *evidence) worst(alone bool) (p float64, route string) {
-	p = chance(e.all, alone)
+func (e *evidence) lowestPValue(alone bool) (p float64, route string) {
+	p = lowestOverWindows(e.all, alone)
 	for name, r := range e.routes {
-		if q := chance(r.new, alone); q < p || q == p && name < route {
+		if q := lowestOverWindows(r.new, alone); q < p || q == p && name < route {
 			p, route = q, name
 		}
 	}
 	return p, route
 }
 
-func chance(all []seen, alone bool) float64 {
-	least := 1.0
+func lowestOverWindows(all []answer, alone bool) float64 {
+	lowest := 1.0
 	for _, n := range windows {
-		least = min(least, chanceOf(all[max(len(all)-n, 0):], alone))
+		lowest = min(lowest, pValue(all[max(len(all)-n, 0):], alone))
 		if n >= len(all) {
 			break
 		}
 	}
-	return least
+	return lowest
 }
 
 // tally is an endpoint's answers in a window.
 type tally struct {
-	bad  int
-	mean float64 // bad ones that the old version would have had
+	bad      int
+	expected float64 // bad ones that the old version would have had
 }
 
-// chanceOf returns the probability that chance alone makes as many answers bad. The
+// pValue returns the probability that chance alone makes as many answers bad. The
 // endpoint with the most bad answers counts for no more than the next one: one that
 // is broken says nothing of its version.
-func chanceOf(all []seen, alone bool) float64 {
+func pValue(all []answer, alone bool) float64 {
 	tallies := map[string]*tally{}
 	for i := range all {
 		s := &all[i]
@@ -201,7 +201,7 @@
 			t = &tally{}
 			tallies[s.endpoint] = t
 		}
-		t.mean += s.rate
+		t.expected += s.oldRate
 		if s.bad {
 			t.bad++
 		}
@@ -214,15 +214,15 @@
 		if !alone {
 			return 1
 		}
-		p := poissonTail(list[0].bad, list[0].mean)
+		p := poissonTail(list[0].bad, list[0].expected)
 		return p * p // it can't be told from its version: twice the evidence
 	case 2:
-		return poissonTail(list[1].bad, list[1].mean) // the better one of two speaks for both
+		return poissonTail(list[1].bad, list[1].expected) // the better one of two speaks for both
 	}
-	count, mean := list[1].bad, list[0].mean
+	count, mean := list[1].bad, list[0].expected
 	for _, t := range list[1:] {
 		count += t.bad
-		mean += t.mean
+		mean += t.expected
 	}
 	return poissonTail(count, mean)
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -42,6 +42,6 @@
 // On reports whether roll-outs are in use.
 func (b Bounds) On() bool { return b.Share > 0 }
 
-// WordAge is how old the decider's word may be for requests to be sent to a new
+// MaxSplitAge is how old the decider's word may be for requests to be sent to a new
 // version: with the time in which it is found bad, within the bound for its stop.
-func (b Bounds) WordAge() time.Duration { return b.Stop * 2 / 5 }
+func (b Bounds) MaxSplitAge() time.Duration { return b.Stop * 2 / 5 }
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -30,8 +30,8 @@
 	Counts   Counts
 }
 
-// place is what a row is about.
-type place struct{ route, endpoint string }
+// rowKey is what a row is about.
+type rowKey struct{ route, endpoint string }
 
 // Counter counts a daemon's part of a roll-out.
 type Counter struct {
@@ -41,7 +41,7 @@
 	exposed int
 	running int
 	moved   bool
-	rows    map[place]*Counts
+	rows    map[rowKey]*Counts
 }
 
 // maxRows bounds a daemon's rows: endpoints of the new version by routes.
@@ -49,25 +49,25 @@
 
 // NewCounter returns a counter of a roll-out.
 func NewCounter(service string, key Key) *Counter {
-	return &Counter{service: service, key: key, rows: map[place]*Counts{}}
+	return &Counter{service: service, key: key, rows: map[rowKey]*Counts{}}
 }
 
-// Asked counts a request for the service.
-func (c *Counter) Asked() { c.asked++ }
+// CountRequest counts a request for the service.
+func (c *Counter) CountRequest() { c.asked++ }
 
-// SentToNew counts a send to the new version.
-func (c *Counter) SentToNew() { c.exposed++ }
+// CountExposed counts a send to the new version.
+func (c *Counter) CountExposed() { c.exposed++ }
 
-// Runs adds to the requests at the old version that must not be sent again.
-func (c *Counter) Runs(n int) { c.running += n }
+// AddRunning adds to the requests at the old version that must not be sent again.
+func (c *Counter) AddRunning(n int) { c.running += n }
 
 // SetMoved notes whether the daemon follows a word by which all routes have moved.
 func (c *Counter) SetMoved(moved bool) { c.moved = moved }
 
-// Answered counts a whole answer: the endpoint's own failure, or one that took a
+// CountAnswer counts a whole answer: the endpoint's own failure, or one that took a
 // while. endpoint is empty for the old version.
-func (c *Counter) Answered(route, endpoint string, failed bool, took time.Duration) {
-	p := place{route, endpoint}
+func (c *Counter) CountAnswer(route, endpoint string, failed bool, took time.Duration) {
+	p := rowKey{route, endpoint}
 	counts := c.rows[p]
 	if counts == nil {
 		if len(c.rows) >= maxRows {
--- a/internal/rollout/word.go
+++ b/internal/rollout/split.go
@@ -1,8 +1,8 @@
 package rollout
 
-// Word is what the decider tells of one roll-out. The zero share sends nothing to the
+// Split is what the decider tells of one roll-out. The zero share sends nothing to the
 // new version.
-type Word struct {
+type Split struct {
 	Service string
 	Key     Key
 	Phase   Phase
@@ -13,20 +13,20 @@
 	// Spread is how many endpoints of the new version share these: few, so that each
 	// has the load of one of the old version.
 	Spread int
-	// Turn changes from time to time, and with it which endpoints these are.
-	Turn uint64
+	// Rotation changes from time to time, and with it which endpoints these are.
+	Rotation uint64
 }
 
 // ShareOf returns the part of a route's requests that goes to the new version.
-func (w *Word) ShareOf(route string) float64 {
-	if share, ok := w.Routes[route]; ok {
+func (s *Split) ShareOf(route string) float64 {
+	if share, ok := s.Routes[route]; ok {
 		return share
 	}
-	return w.Share
+	return s.Share
 }
 
-// All reports whether nothing is sent to the old version any more.
-func (w *Word) All() bool { return w.Share == 1 && len(w.Routes) == 0 }
+// AllNew reports whether nothing is sent to the old version any more.
+func (s *Split) AllNew() bool { return s.Share == 1 && len(s.Routes) == 0 }
 
 // Target returns the version that the service moves to.
-func (w *Word) Target() string { return w.Key.Target }
+func (s *Split) Target() string { return s.Key.Target }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -9,6 +9,6 @@
 	// endpoint when the old version's are stopped.
 	Routes map[string]bool
 	// Daemons serve, and report at an interval while a service moves.
-	Daemons  []string
-	Interval time.Duration
+	Daemons        []string
+	ReportInterval time.Duration
 }
