--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// timeBuckets are classes of answer times, each half as long again as the one
-	// before: from 5 ms to over a minute.
+	// timeBuckets is the number of buckets of answer times. The upper limit of each is
+	// bucketFactor times that of the one before: from 5 ms to over a minute.
 	timeBuckets  = 24
 	firstBucket  = 5 * time.Millisecond
 	bucketFactor = 1.5
 )
 
-// bucketOf returns the class of an answer time.
+// bucketOf returns the bucket of an answer time.
 func bucketOf(d time.Duration) int {
 	if d <= firstBucket {
 		return 0
@@ -22,13 +22,13 @@
 	return min(int(math.Ceil(n)), timeBuckets-1)
 }
 
-// Counts is the answers that were counted of one kind.
+// Counts counts the answers of one route from the old version or from one endpoint.
 type Counts struct {
 	Failed uint32
-	Times  [timeBuckets]uint32 // by answer time, without the failed ones
+	Times  [timeBuckets]uint32 // by bucket of the answer time, without the failed ones
 }
 
-// Trimmed returns the counts by answer time up to the last that isn't 0.
+// Trimmed returns the counts by answer time, without the zeros at the end.
 func (c *Counts) Trimmed() []uint32 {
 	n := timeBuckets
 	for n > 0 && c.Times[n-1] == 0 {
@@ -37,7 +37,6 @@
 	return c.Times[:n]
 }
 
-// add counts an answer.
 func (c *Counts) add(failed bool, took time.Duration) {
 	if failed {
 		c.Failed++
@@ -46,7 +45,7 @@
 	c.Times[bucketOf(took)]++
 }
 
-// answers returns how many answers there were.
+// answers returns the number of answers, failed ones included.
 func (c *Counts) answers() int {
 	n := int(c.Failed)
 	for _, v := range c.Times {
@@ -55,7 +54,7 @@
 	return n
 }
 
-// plus adds other counts.
+// plus adds the counts of o.
 func (c *Counts) plus(o *Counts) {
 	c.Failed += o.Failed
 	for i, v := range o.Times {
@@ -63,7 +62,7 @@
 	}
 }
 
-// minus returns what counts that only rise have gained since.
+// minus returns the increase since before. A count that fell counts as unchanged.
 func (c *Counts) minus(before *Counts) Counts {
 	out := Counts{Failed: c.Failed - min(before.Failed, c.Failed)}
 	for i, v := range c.Times {
@@ -72,7 +71,7 @@
 	return out
 }
 
-// medianBucket returns the class of the middle answer time, false without any.
+// medianBucket returns the bucket of the median answer time; false without answers.
 func (c *Counts) medianBucket() (int, bool) {
 	all := c.answers() - int(c.Failed)
 	if all == 0 {
@@ -88,7 +87,7 @@
 	return timeBuckets - 1, true
 }
 
-// above returns the answers of a class above one.
+// above returns the number of answers in the buckets above one.
 func (c *Counts) above(bucket int) int {
 	n := 0
 	for _, v := range c.Times[min(bucket+1, timeBuckets):] {
@@ -97,12 +96,13 @@
 	return n
 }
 
-// bucketLimit returns the longest answer time of a class.
+// bucketLimit returns the upper limit of a bucket.
 func bucketLimit(bucket int) time.Duration {
 	return time.Duration(float64(firstBucket) * math.Pow(bucketFactor, float64(bucket)))
 }
 
-// tailTime returns the time that all but rare answers took at most, 0 without any.
+// tailTime returns the answer time that a share of slowShare exceeds, as a bucket's
+// upper limit; 0 without answers.
 func (c *Counts) tailTime() time.Duration {
 	if c == nil {
 		return 0
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// falsePositiveRate is about the probability that a good version is found to be bad. Each of
-	// its answers is one more occasion for chance.
+	// falsePositiveRate is the approximate probability that a good version is found to be
+	// bad. It is divided by the number of answers, as each one repeats the test.
 	falsePositiveRate = 0.001
-	// minBad is how many bad answers that takes at least.
+	// minBad is the minimum of bad answers for a bad version.
 	minBad = 3
-	// rateTimeConstant is the time constant of the rate of requests.
+	// rateTimeConstant is the time constant of the smoothed rate of requests.
 	rateTimeConstant = 2 * time.Second
 )
 
@@ -22,18 +22,18 @@
 	record       Record
 	evidence     *evidence
 	reports      map[string]*lastReport // by daemon
-	asked        int                    // heard from them
+	asked        int                    // requests in all reports
 	exposed      int
-	restored     Record // what a decider before this one knew
-	rate         float64
-	rateAt       time.Time
-	rateRequests int
-	oldTimes     map[string]*Counts // the old version's answer times, by route
+	restored     Record             // the record to start from, of an earlier decider
+	rate         float64            // requests a second, smoothed
+	rateAt       time.Time          // when rate was last updated
+	rateRequests int                // value of asked at that time
+	oldCounts    map[string]*Counts // the old version's answers, by route
 	routeShares  map[string]float64
 	view         View
 }
 
-// lastReport is a daemon's last report.
+// lastReport is the last report of a daemon.
 type lastReport struct {
 	asked, exposed, running int
 	moved                   bool
@@ -41,18 +41,20 @@
 	rows                    map[rowKey]Counts
 }
 
-// NewDecider returns the decider of an order, or of what a decider before had recorded.
+// NewDecider returns a decider for a new order, or for one with the record of an earlier
+// decider.
 func NewDecider(bounds Bounds, r Record) *Decider {
 	return &Decider{
 		bounds: bounds, record: r, restored: r, evidence: newEvidence(), reports: map[string]*lastReport{}, rateAt: r.Started,
-		oldTimes: map[string]*Counts{},
+		oldCounts: map[string]*Counts{},
 	}
 }
 
-// Record returns what must last.
+// Record returns the state to persist.
 func (d *Decider) Record() Record { return d.record }
 
-// AddReport takes a daemon's report.
+// AddReport takes a daemon's report. It ignores those of another roll-out, and all once
+// the phase is final.
 func (d *Decider) AddReport(now time.Time, daemon string, r *Report) {
 	if r.Key != d.record.Key() || d.record.Phase.Final() {
 		return
@@ -69,7 +71,7 @@
 	d.addRows(now, last, r.Rows)
 }
 
-// addRows takes a report's answers, those of the old version first.
+// addRows adds the answers since the daemon's last report, those of the old version first.
 func (d *Decider) addRows(now time.Time, last *lastReport, rows []Row) {
 	for _, fromOld := range [...]bool{true, false} {
 		for i := range rows {
@@ -91,26 +93,26 @@
 		return
 	}
 	if row.Endpoint == "" {
-		if d.oldTimes[row.Route] == nil {
-			d.oldTimes[row.Route] = &Counts{}
+		if d.oldCounts[row.Route] == nil {
+			d.oldCounts[row.Route] = &Counts{}
 		}
-		d.oldTimes[row.Route].plus(gained)
+		d.oldCounts[row.Route].plus(gained)
 		d.evidence.addOld(now, row.Route, *gained)
 		return
 	}
 	d.evidence.addNew(now, row.Route, row.Endpoint, *gained)
 }
 
-// SetOrder takes an order with the same target and another duration.
+// SetOrder replaces the order by one with the same target and another duration.
 func (d *Decider) SetOrder(o Order) { d.record.Order = o }
 
-// SetFinal takes a final phase that the store has.
+// SetFinal takes over a final phase from the store.
 func (d *Decider) SetFinal(p Phase) {
 	d.record.Phase = p
 	d.record.Share, d.routeShares = d.share(d.record.Ended)
 }
 
-// pruneReports drops what is held of daemons that have gone; what they counted stays.
+// pruneReports drops the last reports of daemons that have left; their counts stay.
 func (d *Decider) pruneReports() {
 	if len(d.reports) <= 2*len(d.view.Daemons)+16 {
 		return
@@ -122,8 +124,7 @@
 	}
 }
 
-// Step decides at now, and returns whether the phase changed. The time is the
-// fleet's.
+// Step decides at now, the fleet's time, and returns whether the phase has changed.
 func (d *Decider) Step(now time.Time, v View) bool {
 	d.view = v
 	if d.record.Phase.Final() {
@@ -140,6 +141,7 @@
 	case before == Trial && !now.Before(d.moveAt()) && v.New > 0:
 		d.record.Phase = Moving
 	case before == Moving && (d.allMoved(now) || !now.Before(d.record.Deadline().Add(-minMargin/3)) && len(d.daemonsWithRunning()) == 0):
+		// Shortly before the deadline, only requests in progress prevent the completion.
 		d.end(now, Completed, "no bad answers beyond the old version's")
 	}
 	d.record.Share, d.routeShares = d.share(now)
@@ -150,7 +152,7 @@
 	d.record.Phase, d.record.Reason, d.record.Ended = p, reason, now
 }
 
-// updateRecord takes what was heard into the record.
+// updateRecord updates the record and the rate of requests from the reports.
 func (d *Decider) updateRecord(now time.Time) {
 	r := &d.record
 	r.Asked, r.Exposed = max(d.asked, d.restored.Asked), max(d.exposed, d.restored.Exposed)
@@ -172,7 +174,7 @@
 	}
 }
 
-// newIsBad reports whether the new version is found to be newIsBad.
+// newIsBad reports whether the new version is found to be bad.
 func (d *Decider) newIsBad() bool {
 	return d.record.Bad >= minBad && d.record.Chance < falsePositiveRate/float64(max(d.record.Answers, 10))
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// compareWindow is how far back the old version's answers are compared, and atOnce how
-	// far where these are enough: what strikes both versions must count for both.
+	// compareWindow is how far back the old version's answers are compared, and
+	// recentWindow how far if there are minAnswers within it: only answers of the same
+	// time show a disturbance that affects both versions.
 	compareWindow = 4 * time.Second
 	recentWindow  = time.Second
-	// minAnswers is how many of the old version's answers a comparison needs;
-	// below, all since the order are taken.
+	// minAnswers is how many of the old version's answers a comparison needs; with fewer
+	// in compareWindow, all since the order are taken.
 	minAnswers = 50
-	// minForMedian is how many it takes until their median is about right.
+	// minForMedian is how many answers make the median about right.
 	minForMedian = 10
-	// slowBuckets above the old version's median is slow: more than twice as long.
+	// slowBuckets is how many buckets above the old version's median an answer is slow:
+	// more than twice as long.
 	slowBuckets = 2
-	// minBadRate is taken for the old version's part of bad answers at least: a few
-	// endpoints may garble or fail one by chance.
+	// minBadRate is the lowest assumed rate of bad answers of the old version: a few
+	// endpoints may garble or fail an answer by chance.
 	minBadRate = 0.01
-	// priorBad is added to the old version's bad answers: few answers may lack the bad
-	// ones by chance.
+	// priorBad is added to the old version's bad answers: a small sample may lack them
+	// by chance.
 	priorBad = 1.0
-	// pooledWeight is how many answers a route's rate is taken to be like that of all
-	// routes together: its own few say little.
+	// pooledWeight is the weight, in answers, of the rate over all routes in the rate of
+	// one route: its own few answers are a weak estimate.
 	pooledWeight = 20.0
-	// maxAnswers bounds the answers of the new version that are looked at again.
+	// maxAnswers is the size of the largest window of the new version's answers.
 	maxAnswers = 400
 )
 
-// windows are how many of the new version's last answers are looked at together: a
-// version may turn bad late, and a long good record must not hide it.
+// windows are the numbers of the new version's last answers that are tested together: a
+// version may become bad late, and many good answers before must not hide it.
 var windows = [...]int{8, 16, 32, 64, 128, maxAnswers}
 
 // answer is an answer of the new version.
 type answer struct {
 	endpoint string
 	bad      bool
-	oldRate  float64 // the old version's part of bad answers at that time
+	oldRate  float64 // the old version's rate of bad answers at that time
 }
 
-// oldSample is the old version's answers that came in at a time.
-type oldSample struct {
+// oldAnswers is the old version's answers that were reported at one time.
+type oldAnswers struct {
 	at     time.Time
 	counts Counts
 }
 
-// routeEvidence is what is known of one route.
+// routeEvidence is the answers of both versions on one route.
 type routeEvidence struct {
-	old    []oldSample
+	old    []oldAnswers
 	oldAll Counts
 	new    []answer
 }
@@ -73,7 +75,7 @@
 	return r
 }
 
-// addOld takes answers of the old version.
+// addOld adds answers of the old version.
 func (e *evidence) addOld(now time.Time, route string, c Counts) {
 	r := e.route(route)
 	r.oldAll.plus(&c)
@@ -81,11 +83,11 @@
 		r.old[n-1].counts.plus(&c)
 		return
 	}
-	r.old = append(r.old, oldSample{now, c})
+	r.old = append(r.old, oldAnswers{now, c})
 }
 
-// addNew takes answers of an endpoint of the new version. Those of the old version
-// that came in with them are to be added before.
+// addNew adds answers of an endpoint of the new version. Those of the old version from
+// the same report must be added before.
 func (e *evidence) addNew(now time.Time, route, endpoint string, c Counts) {
 	r := e.route(route)
 	limit, rate := r.baseline(now, e.pooledRate(now))
@@ -97,6 +99,7 @@
 	}
 }
 
+// keepLast drops all but the last maxAnswers once there are more than twice as many.
 func keepLast(s []answer) []answer {
 	if over := len(s) - 2*maxAnswers; over > 0 {
 		return slices.Delete(s, 0, over+maxAnswers)
@@ -104,21 +107,21 @@
 	return s
 }
 
-// pooledRate returns which part of the old version's answers is bad now, over all routes.
+// pooledRate returns the old version's current rate of bad answers over all routes.
 func (e *evidence) pooledRate(now time.Time) float64 {
 	bad, all := float64(priorBad), 2*float64(priorBad)
 	for _, r := range e.routes {
-		lately := r.recent(now)
-		if limit, ok := lately.slowBucket(); ok {
-			bad += float64(int(lately.Failed) + lately.above(limit))
-			all += float64(lately.answers())
+		recent := r.recent(now)
+		if limit, ok := recent.slowBucket(); ok {
+			bad += float64(int(recent.Failed) + recent.above(limit))
+			all += float64(recent.answers())
 		}
 	}
 	return bad / all
 }
 
-// recent returns the old version's answers to compare with: the newest that are
-// enough.
+// recent returns the old version's answers to compare with: the newest ones that are
+// enough, or all since the order.
 func (r *routeEvidence) recent(now time.Time) Counts {
 	for len(r.old) > 0 && now.Sub(r.old[0].at) > compareWindow {
 		r.old = r.old[1:]
@@ -136,8 +139,8 @@
 	return out
 }
 
-// baseline returns the class of answer times above which an answer is slow, and which
-// part of the old version's answers is bad now; pooled is that of all routes.
+// baseline returns the bucket above which an answer is slow, and the old version's
+// current rate of bad answers. pooled is the rate over all routes.
 func (r *routeEvidence) baseline(now time.Time, pooled float64) (limit int, rate float64) {
 	old := r.recent(now)
 	limit, ok := old.slowBucket()
@@ -148,20 +151,20 @@
 	return limit, max(minBadRate, bad/(float64(old.answers())+pooledWeight))
 }
 
-// slowBucket returns the class of answer times above which an answer is slow, false
-// where there is none to compare with.
+// slowBucket returns the bucket above which an answer is slow; false without answers to
+// compare with.
 func (c *Counts) slowBucket() (limit int, ok bool) {
 	middle, ok := c.medianBucket()
 	limit = middle + slowBuckets
 	if c.answers() < minForMedian {
-		limit++ // the median of few is off by a class
+		limit++ // the median of few answers may be off by a bucket
 	}
 	return limit, ok
 }
 
-// lowestPValue returns the least probability, over routes and windows, that the old
-// version's rate explains the new one's bad answers, and the route it is of, empty
-// for all together. alone says that the new version has one endpoint.
+// lowestPValue returns the lowest p-value over routes and windows: the probability that
+// the old version's rate explains the new version's bad answers. The route is empty if
+// it is that of all routes together. alone says that the new version has one endpoint.
 func (e *evidence) lowestPValue(alone bool) (p float64, route string) {
 	p = lowestOverWindows(e.all, alone)
 	for name, r := range e.routes {
@@ -172,6 +175,7 @@
 	return p, route
 }
 
+// lowestOverWindows returns the lowest p-value over the windows of the answers.
 func lowestOverWindows(all []answer, alone bool) float64 {
 	lowest := 1.0
 	for _, n := range windows {
@@ -186,12 +190,12 @@
 // tally is an endpoint's answers in a window.
 type tally struct {
 	bad      int
-	expected float64 // bad ones that the old version would have had
+	expected float64 // expected bad answers at the old version's rate
 }
 
-// pValue returns the probability that chance alone makes as many answers bad. The
-// endpoint with the most bad answers counts for no more than the next one: one that
-// is broken says nothing of its version.
+// pValue returns the probability of as many bad answers at the old version's rate. The
+// endpoint with the most bad answers counts with no more than the next one, since one
+// broken endpoint doesn't make its version bad.
 func pValue(all []answer, alone bool) float64 {
 	tallies := map[string]*tally{}
 	for i := range all {
@@ -215,9 +219,9 @@
 			return 1
 		}
 		p := poissonTail(list[0].bad, list[0].expected)
-		return p * p // it can't be told from its version: twice the evidence
+		return p * p // a broken endpoint can't be told from a bad version: twice the evidence
 	case 2:
-		return poissonTail(list[1].bad, list[1].expected) // the better one of two speaks for both
+		return poissonTail(list[1].bad, list[1].expected) // the better one of two decides
 	}
 	count, mean := list[1].bad, list[0].expected
 	for _, t := range list[1:] {
@@ -227,7 +231,7 @@
 	return poissonTail(count, mean)
 }
 
-// poissonTail returns the probability of n or more where mean are expected.
+// poissonTail returns the probability of n or more events where mean are expected.
 func poissonTail(n int, mean float64) float64 {
 	if n <= 0 {
 		return 1
@@ -240,7 +244,7 @@
 	if below < 0.999 {
 		return max(1-below, 0)
 	}
-	sum := 0.0 // the tail itself, where 1-below has no digits left
+	sum := 0.0 // sums the tail itself, where 1-below would lose its precision
 	for k := n; k < n+50; k++ {
 		sum += term
 		term *= mean / float64(k+1)
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// Side says which endpoints of a service a request may be sent to.
+// Side is the set of a service's endpoints that a request may be sent to.
 type Side uint8
 
 // The sides.
 const (
-	Any Side = iota // no roll-out
-	Old             // all but the new version
-	New             // the new version
+	Any Side = iota // all endpoints: no roll-out
+	Old             // those that aren't of the new version
+	New             // those of the new version
 )
 
-// Gate is a daemon's view of the roll-outs. It is not safe for concurrent use.
+// Gate is a daemon's copy of the decider's splits, with their age. It is not safe for
+// concurrent use.
 type Gate struct {
-	maxAge       time.Duration // how old the word may be
+	maxAge       time.Duration // maximum age of an update to follow
 	rank         Rank
-	confirmedAt  time.Time // when the newest word was known to hold
-	ordersReadAt time.Time // when the decider was known to know all orders
+	confirmedAt  time.Time // when the decider sent the newest update
+	ordersReadAt time.Time // when the decider last read the orders
 	splits       map[string]Split
 }
 
-// Rank orders the words of deciders: a later decider's is higher.
+// Rank orders the updates of deciders: by the fencing token of the decider's lease, then
+// by a sequence number.
 type Rank struct {
-	Token uint64 // of the decider's lease
+	Token uint64 // fencing token of the decider's lease
 	Seq   uint64
 }
 
 // Below reports whether a rank is lower.
 func (r Rank) Below(o Rank) bool { return r.Token < o.Token || r.Token == o.Token && r.Seq < o.Seq }
 
-// Update is all that a decider tells, and how old it is.
+// Update is all splits of a decider, for the daemons. Daemons forward it, with its age.
 type Update struct {
 	Rank Rank
 	Age  time.Duration
-	// OrdersAge is how long ago the decider heard from the store, and so knew that
-	// there is no other order.
+	// OrdersAge is the age of the decider's last successful read of the orders in the
+	// store.
 	OrdersAge time.Duration
 	Splits    []Split
 }
 
-// NewGate returns a gate that has heard nothing.
+// NewGate returns a gate without an update.
 func NewGate(b Bounds) *Gate { return &Gate{maxAge: b.MaxSplitAge(), splits: map[string]Split{}} }
 
-// Apply takes news, unless newer ones are known.
+// Apply takes an update, unless the gate has one of a higher rank.
 func (g *Gate) Apply(now time.Time, u Update) {
 	if u.Rank.Token == 0 || u.Rank.Below(g.rank) {
 		return
@@ -61,7 +63,7 @@
 	}
 }
 
-// Update returns what this daemon tells others.
+// Update returns the gate's update, for other daemons.
 func (g *Gate) Update(now time.Time) Update {
 	out := Update{Rank: g.rank, Age: now.Sub(g.confirmedAt), OrdersAge: now.Sub(g.ordersReadAt)}
 	for _, s := range g.splits {
@@ -70,25 +72,28 @@
 	return out
 }
 
-// Fresh reports whether the word is known to hold.
+// Fresh reports whether the last update is recent enough to follow.
 func (g *Gate) Fresh(now time.Time) bool {
 	return g.rank.Token != 0 && now.Sub(g.confirmedAt) <= g.maxAge
 }
 
-// NoOrder reports whether a service for which there is no word is known to have had no
-// order some time after a moment. Failure: the decider can't reach the store.
-// Symptom: it tells of no order, and the new version gets as much as the old one.
+// NoOrder reports whether a service without a split is known to have no order: the
+// decider must have read the orders more than orderDelay after moment, when an endpoint
+// of another version appeared. A decider that can't reach the store has no split for a
+// service with an unread order, and the new version would get as many requests as the old
+// one.
 func (g *Gate) NoOrder(now, moment time.Time) bool {
 	return g.Fresh(now) && g.ordersReadAt.After(moment.Add(orderDelay))
 }
 
-// orderDelay is how much later than its first endpoint an order may be written.
+// orderDelay is how much later than the new version's first endpoint an order may be
+// written.
 const orderDelay = 1500 * time.Millisecond
 
-// Split returns what is to be done with a service. Where the word is too old, nothing
-// is sent to a new version, but for one that has taken over for good. Failure: a
-// daemon is cut off before a roll-back. Symptom: callers get bad answers from a
-// version that all others have left. known is false where there is no roll-out.
+// Split returns the split of a service; known is false if it has no roll-out. If the
+// gate isn't fresh, the new version gets no requests, unless the roll-out has completed:
+// a daemon that is cut off before a roll-back would go on sending requests to a version
+// that all others have left.
 func (g *Gate) Split(now time.Time, service string) (s Split, known bool) {
 	s, known = g.splits[service]
 	if known && !s.Phase.Final() && !g.Fresh(now) {
@@ -97,8 +102,8 @@
 	return s, known
 }
 
-// Side returns which endpoints a request of a route may be sent to, for a draw from
-// [0, 1).
+// Side returns the endpoints that a request of a route may be sent to, for a random
+// draw from [0, 1).
 func (s *Split) Side(route string, draw float64) Side {
 	if draw < s.ShareOf(route) {
 		return New
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, got.Side("r", 0), Old)
 }
 
-// Guards against a decider that can't reach the store and tells that there is no order.
+// Guards against a decider that can't reach the store and reports that there is no order.
 func TestNoOrderRequiresAFreshReadOfTheStore(t *testing.T) {
 	g := NewGate(Bounds{Share: 0.1, Stop: 5 * time.Second})
 	g.Apply(gateNow, Update{Rank: Rank{1, 1}})
@@ -29,7 +29,7 @@
 	assert.Assert(t, !g.NoOrder(gateNow.Add(4*time.Second), appeared))
 	g.Apply(gateNow.Add(5*time.Second), Update{Rank: Rank{1, 3}, OrdersAge: time.Second})
 	assert.Assert(t, g.NoOrder(gateNow.Add(5*time.Second), appeared))
-	assert.Assert(t, !g.NoOrder(gateNow.Add(8*time.Second), appeared)) // the decider is gone
+	assert.Assert(t, !g.NoOrder(gateNow.Add(8*time.Second), appeared)) // the update is no longer fresh
 }
 
 func TestCompletedSplitDoesNotExpire(t *testing.T) {
@@ -39,7 +39,7 @@
 	assert.Equal(t, s.Side("r", 0.99), New)
 }
 
-// Guards against a hub that tells an earlier decider's word after a later one's.
+// Guards against a hub that forwards an earlier decider's update after a later one's.
 func TestUpdateOfAnEarlierDeciderIsIgnored(t *testing.T) {
 	g := NewGate(Bounds{Share: 0.1, Stop: 5 * time.Second})
 	splits := func(p Phase) []Split { return []Split{{Service: "s", Key: Key{Target: "v2"}, Phase: p, Share: 0.5}} }
@@ -49,7 +49,7 @@
 	assert.Equal(t, s.Phase, RolledBack)
 }
 
-// Guards against a word that seems fresh since it was passed on lately.
+// Guards against an old update that counts as fresh because it was forwarded lately.
 func TestForwardedUpdateKeepsItsAge(t *testing.T) {
 	hub, leaf := NewGate(Bounds{Share: 0.1, Stop: 5 * time.Second}), NewGate(Bounds{Share: 0.1, Stop: 5 * time.Second})
 	hub.Apply(gateNow, Update{Rank: Rank{1, 1}})
--- a/internal/rollout/moving.go
+++ b/internal/rollout/moving.go
@@ -3,28 +3,30 @@
 import "time"
 
 const (
-	// marginShare of the duration is kept before the deadline for the last write and
-	// its answer.
+	// marginShare of the duration is kept before the deadline for the last write to the
+	// store and its answer.
 	marginShare = 0.02
 	minMargin   = 250 * time.Millisecond
 	maxMargin   = 2 * time.Second
-	// maxMovingShare of the duration bounds how long requests at the old version get
-	// to end, and mostAgain how long those that can be sent again.
+	// maxMovingShare of the duration limits how long requests at the old version get to
+	// end, and maxRetryableWait limits it for those that may be sent again.
 	maxMovingShare   = 0.35
 	maxRetryableWait = 300 * time.Millisecond
-	// prepareTime is how long before its first route moves a service is said to move:
-	// reports come often from then on.
+	// prepareTime is how long the phase Moving begins before the first route moves:
+	// daemons report at short intervals from then on.
 	prepareTime = 600 * time.Millisecond
-	// lateSlack is for requests that take longer than nearly all before them, and for
-	// the way of a word and of what follows it.
+	// lateSlack is added for the requests that exceed the tail time, and for the
+	// delivery of the split.
 	lateSlack = 100 * time.Millisecond
-	// staleReportAge is how long what runs at a daemon counts that is not heard any more.
+	// staleReportAge is the age up to which the last report of a daemon that has left
+	// counts as still having requests in progress.
 	staleReportAge = 2 * time.Second
-	// slowShare is the part of the answers that may take longer than the others.
+	// slowShare is the part of a route's answers that may take longer than its tail
+	// time.
 	slowShare = 0.003
 )
 
-// margin is kept before the deadline.
+// margin is the time kept before the deadline.
 func (d *Decider) margin() time.Duration {
 	m := time.Duration(marginShare * float64(d.record.Order.Duration))
 	return min(max(m, minMargin), maxMargin)
@@ -33,10 +35,10 @@
 // stopAt is when the old version's endpoints may be stopped.
 func (d *Decider) stopAt() time.Time { return d.record.Deadline().Add(-d.margin()) }
 
-// leadTime is how long before that a route moves: for as long as its requests take that
-// must not be cut off, and for the word's way to all daemons and back.
+// leadTime is how long before stopAt a route moves: the time for its requests that must
+// not be cut off to end, for the split to reach all daemons and for their reports.
 func (d *Decider) leadTime(route string) time.Duration {
-	expected := d.oldTimes[route].tailTime()
+	expected := d.oldCounts[route].tailTime()
 	if d.view.Routes[route] {
 		expected = min(expected, maxRetryableWait)
 	}
@@ -44,8 +46,8 @@
 	return min(expected+2*d.view.ReportInterval+lateSlack, limit)
 }
 
-// moveAt is when the first route moves, as late as possible: what the new version
-// gets from then on is not bounded.
+// moveAt is when the phase Moving begins, as late as possible: from then on, the
+// requests to the new version are unbounded.
 func (d *Decider) moveAt() time.Time {
 	first := d.routeMoveAt("")
 	for route := range d.view.Routes {
@@ -56,11 +58,12 @@
 	return first.Add(-prepareTime)
 }
 
-// routeMoveAt returns when a route has moved, of the empty name a route that is not known.
+// routeMoveAt returns when a route moves; the empty name stands for unknown routes.
 func (d *Decider) routeMoveAt(route string) time.Time { return d.stopAt().Add(-d.leadTime(route)) }
 
-// allMoved reports whether no daemon sends to the old version any more, and nothing
-// that must not be sent again runs there, also at daemons that leave.
+// allMoved reports whether no daemon sends requests to the old version any more, and no
+// request that must not be sent again runs there, including those of daemons that have
+// left lately.
 func (d *Decider) allMoved(now time.Time) bool {
 	if len(d.view.Daemons) == 0 {
 		return false
@@ -78,7 +81,8 @@
 	return true
 }
 
-// daemonsWithRunning returns the daemons at which something runs that would be lost.
+// daemonsWithRunning returns the daemons with requests in progress at the old version
+// that must not be sent again.
 func (d *Decider) daemonsWithRunning() []string {
 	var out []string
 	for _, name := range d.view.Daemons {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -13,10 +13,10 @@
 type Order struct {
 	Service  string
 	Target   string        // the version
-	Duration time.Duration // until the deadline
+	Duration time.Duration // from the start to the deadline
 }
 
-// Check returns an error that names what is wrong with an order.
+// Check returns an error that names the fault of an invalid order.
 func (o *Order) Check() error {
 	switch {
 	case o.Service == "":
@@ -29,19 +29,19 @@
 	return nil
 }
 
-// Bounds are what operators hold a roll-out to.
+// Bounds are the operators' limits on the harm of a bad version.
 type Bounds struct {
-	// Share and Slack bound the requests that a bad version may get: a share of all
-	// that reach its service until the deadline, and some more.
+	// Share and Slack bound the requests that a bad version may get: Share times the
+	// service's requests until the deadline, plus Slack. Share 0 disables roll-outs.
 	Share, Slack float64
-	// Stop is how long after the fiftieth bad answer the last request may be sent to
+	// Stop is the maximum time between the fiftieth bad answer and the last request to
 	// a bad version.
 	Stop time.Duration
 }
 
-// On reports whether roll-outs are in use.
+// On reports whether roll-outs are enabled.
 func (b Bounds) On() bool { return b.Share > 0 }
 
-// MaxSplitAge is how old the decider's word may be for requests to be sent to a new
-// version: with the time in which it is found bad, within the bound for its stop.
+// MaxSplitAge is the age up to which a daemon may send requests to a new version by a
+// split. It leaves the rest of Stop for the detection of a bad version.
 func (b Bounds) MaxSplitAge() time.Duration { return b.Stop * 2 / 5 }
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -1,14 +1,14 @@
 package rollout
 
-// Phase is where a roll-out stands.
+// Phase is the phase of a roll-out.
 type Phase uint8
 
 // The phases. Completed and RolledBack are final.
 const (
-	// Trial gives the new version a small share.
+	// Trial gives the new version a small share of the requests.
 	Trial Phase = iota
-	// Moving gives the new version all requests, while those that run at the old
-	// one end.
+	// Moving gives the new version all requests, route by route, while those in
+	// progress at the old one end.
 	Moving
 	Completed
 	RolledBack
@@ -18,7 +18,7 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// PhaseOf returns the phase of a number; one that is not known counts as the first.
+// PhaseOf returns the phase with a number. An unknown number counts as Trial.
 func PhaseOf(n uint32) Phase {
 	if n >= uint32(len(phaseNames)) {
 		return Trial
@@ -26,7 +26,7 @@
 	return Phase(n)
 }
 
-// Final reports whether a phase is never left.
+// Final reports whether a phase is the last of a roll-out.
 func (p Phase) Final() bool { return p >= Completed }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// The new version's share rises in trialSteps with the time until it must take over. What
-// a bad version gets until it is found grows with the share; what can be found of one
-// that is bad late, seldom or under load grows with it too.
+// trialSteps raise the new version's share during the trial. The requests that a bad
+// version gets before it is detected grow with the share; so does the chance to detect
+// one that is bad late, rarely or under load.
 var trialSteps = [...]struct {
-	until float64 // part of the time of the trial
+	until float64 // end of the step, as a part of the trial
 	share float64
-	least float64 // requests in the step at least, also where few come
+	least float64 // requests in the step at least, by a higher share if need be
 }{
 	{0.5, 0.02, 10},
 	{0.8, 0.05, 10},
 	{1, 0.1, 12},
 }
 
-// plannedShare returns the new version's share at a part of the trial, where a service
-// gets rate requests a second and the trial takes a time.
+// plannedShare returns the new version's share once the given part of the trial has
+// passed, for a service with rate requests a second and a trial of the given length.
 func plannedShare(part, rate float64, trial time.Duration) float64 {
 	from := 0.0
 	for _, s := range trialSteps {
@@ -29,5 +29,5 @@
 	return 0
 }
 
-// maxTrialShare leaves the old version half of the requests to compare with.
+// maxTrialShare leaves the old version half of the requests for the comparison.
 const maxTrialShare = 0.5
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Report is what one daemon has counted of a roll-out since its order, or since the
-// daemon's start. Its numbers only rise, but for Running and Moved.
+// Report is a daemon's counts of a roll-out since the order or the start of the daemon,
+// whichever is later. All but Running and Moved only rise.
 type Report struct {
 	Service string
 	Key     Key
-	Asked   int // requests that were sent to the service
-	Exposed int // sends to the new version
-	// Running is the requests at the old version now that must not be sent again.
+	Asked   int // requests for the service
+	Exposed int // requests sent to the new version
+	// Running is the number of requests in progress at the old version that must not be
+	// sent again.
 	Running int
-	// Moved says that the daemon sends no request to the old version any more.
+	// Moved says that the daemon sends no more requests to the old version.
 	Moved bool
 	Rows  []Row
 }
 
-// Key tells the roll-outs of a service apart.
+// Key identifies a roll-out among those of a service.
 type Key struct {
 	Target  string
 	Started int64 // Unix ms
 }
 
-// Row is a daemon's answers of one route, from the old version or from one endpoint
-// of the new one.
+// Row is a daemon's counts of one route, from the old version or from one endpoint of
+// the new one.
 type Row struct {
 	Route    string
-	Endpoint string // of the new version, empty for the old one
+	Endpoint string // of the new version; empty: all of the old one
 	Counts   Counts
 }
 
-// rowKey is what a row is about.
+// rowKey identifies a row.
 type rowKey struct{ route, endpoint string }
 
-// Counter counts a daemon's part of a roll-out.
+// Counter counts a daemon's requests and answers during a roll-out.
 type Counter struct {
 	service string
 	key     Key
@@ -44,7 +45,8 @@
 	rows    map[rowKey]*Counts
 }
 
-// maxRows bounds a daemon's rows: endpoints of the new version by routes.
+// maxRows limits a daemon's rows: routes times endpoints of the new version. Answers
+// beyond it aren't counted.
 const maxRows = 512
 
 // NewCounter returns a counter of a roll-out.
@@ -55,17 +57,18 @@
 // CountRequest counts a request for the service.
 func (c *Counter) CountRequest() { c.asked++ }
 
-// CountExposed counts a send to the new version.
+// CountExposed counts a request sent to the new version.
 func (c *Counter) CountExposed() { c.exposed++ }
 
-// AddRunning adds to the requests at the old version that must not be sent again.
+// AddRunning changes the number of requests in progress at the old version that must not
+// be sent again.
 func (c *Counter) AddRunning(n int) { c.running += n }
 
-// SetMoved notes whether the daemon follows a word by which all routes have moved.
+// SetMoved sets whether the daemon sends no more requests to the old version.
 func (c *Counter) SetMoved(moved bool) { c.moved = moved }
 
-// CountAnswer counts a whole answer: the endpoint's own failure, or one that took a
-// while. endpoint is empty for the old version.
+// CountAnswer counts a complete answer, or a failure of the endpoint. endpoint is empty
+// for the old version.
 func (c *Counter) CountAnswer(route, endpoint string, failed bool, took time.Duration) {
 	p := rowKey{route, endpoint}
 	counts := c.rows[p]
@@ -79,7 +82,7 @@
 	counts.add(failed, took)
 }
 
-// Report returns what was counted.
+// Report returns the counts.
 func (c *Counter) Report() Report {
 	out := Report{
 		Service: c.service, Key: c.key, Asked: c.asked, Exposed: c.exposed, Running: c.running, Moved: c.moved,
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,11 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// runs is how many roll-outs of each kind are played; -runs with more prints the
-// table of docs/design.
+// runs is how many roll-outs of each scenario are simulated; with more, -plays prints the
+// table that docs/design shows.
 var runs = flag.Int("plays", 1, "roll-outs of each kind")
 
-// scenario is a version with what strikes its service meanwhile.
+// scenario is a defect of the new version, nil for a good one, and a fault that strikes
+// endpoints meanwhile.
 type scenario struct {
 	name   string
 	defect *defect
@@ -39,7 +40,7 @@
 	{"good, all garble some", nil, &fault{share: 1, fails: 0.04, from: 0.3}},
 }
 
-// deployment is a service in a fleet.
+// deployment is a service's load, endpoints and daemons.
 type deployment struct {
 	name      string
 	rate      float64
@@ -67,7 +68,7 @@
 	return p
 }
 
-// summary is what came of a kind's plays.
+// summary sums up the simulations of a scenario.
 type summary struct {
 	violations, rolledBack, completed, underFifth, lost int
 	used                                                []float64
@@ -94,16 +95,18 @@
 	s.endedAt = append(s.endedAt, p.endedAt)
 }
 
-func (s *summary) log(t *testing.T, site, kind string) {
+func (s *summary) log(t *testing.T, deploymentName, scenarioName string) {
 	slices.Sort(s.used)
 	slices.Sort(s.badAnswers)
 	slices.Sort(s.endedAt)
 	n := len(s.used)
-	t.Logf("| %s | %s | %d | %d | %d | %d | %.2f, %.2f | %d | %d | %v, %v | %d |", site, kind, n, s.violations, s.rolledBack, s.completed,
+	t.Logf("| %s | %s | %d | %d | %d | %d | %.2f, %.2f | %d | %d | %v, %v | %d |", deploymentName, scenarioName, n, s.violations, s.rolledBack, s.completed,
 		s.used[n/2], s.used[n-1], s.underFifth, s.badAnswers[n-1], s.endedAt[n/2], s.endedAt[n-1], s.lost)
 }
 
-// Prints what comes of all kinds of versions; asserts only what holds of each play.
+// Prints the results of all scenarios, and checks what must hold in each: no request is
+// lost, and a bad version gets no requests later than Bounds.Stop after its fiftieth bad
+// answer.
 func TestRolloutsOfAllScenarios(t *testing.T) {
 	for _, s := range deployments {
 		for _, k := range scenarios {
@@ -113,7 +116,7 @@
 				all.add(p)
 				assert.Equal(t, p.lost, 0, "%s, %s, seed %d: requests were lost", s.name, k.name, seed)
 				if p.defect != nil {
-					late := p.lastSent - p.fiftiethBad
+					late := p.lastSentToNew - p.fiftiethBad
 					assert.Assert(t, p.fiftiethBad == 0 || late <= simBounds.Stop, "%s, %s, seed %d: sent %v after the fiftieth bad answer",
 						s.name, k.name, seed, late)
 				}
@@ -123,8 +126,8 @@
 	}
 }
 
-// Guards against a bad version that takes over: a third of its answers fail, or all
-// are three times as slow.
+// Guards against a bad version that takes over: a third of its answers fail, or all are
+// three times as slow.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for _, s := range deployments[:2] {
 		for _, k := range []scenario{scenarios[0], scenarios[4], scenarios[7]} {
@@ -137,7 +140,7 @@
 	}
 }
 
-// Guards against a good version that is blamed for an endpoint that is broken.
+// Guards against a good version that is rolled back because of broken endpoints.
 func TestGoodVersionIsNotRolledBackForOneBadEndpoint(t *testing.T) {
 	for _, s := range deployments[:3] {
 		for _, k := range scenarios[10:14] {
@@ -149,7 +152,8 @@
 	}
 }
 
-// Guards against a roll-back that daemons without the decider's word don't follow.
+// Guards against daemons that don't receive the decider's splits and go on sending
+// requests to a version that was rolled back.
 func TestIsolatedDaemonsSendNothingToTheNewVersion(t *testing.T) {
 	for seed := range uint64(6) {
 		p := &simulation{
@@ -162,7 +166,7 @@
 	}
 }
 
-// Guards against a successor that forgets what the decider before it knew.
+// Guards against a successor that ignores the counts in its predecessor's record.
 func TestSuccessorContinuesTheRollout(t *testing.T) {
 	for _, killed := range []time.Duration{3 * time.Second, 8 * time.Second, 14 * time.Second} {
 		for _, bad := range []*defect{nil, {share: 0.4, route: -1}} {
--- a/internal/rollout/shares.go
+++ b/internal/rollout/shares.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// trialExposureShare is the part of the bound on requests to a bad version that a trial may
-	// use up: the rest is for what is under way, and for the end of the roll-out.
+	// trialExposureShare is the part of the bound on requests to a bad version that a
+	// trial may use up. The rest is for requests sent before daemons receive a new
+	// split, and for the end of the roll-out.
 	trialExposureShare = 0.5
-	// maxWarmUp is how long the old version's answers are gathered at first.
+	// maxWarmUp limits the time at the start in which only answers of the old version are
+	// gathered.
 	maxWarmUp = 2 * time.Second
-	// rotationTime is how long the same endpoints are tried.
+	// rotationTime is how long the same endpoints of the new version get requests.
 	rotationTime = 1500 * time.Millisecond
 )
 
-// share returns the new version's share of the requests, and of each route's where it
-// differs. There is none until it is known how many requests come: of a few half would
-// be tried.
+// share returns the new version's share of the requests, and the shares of routes with
+// their own. It is zero until the rate of requests has been measured: with few requests,
+// the trial would take up to half of them.
 func (d *Decider) share(now time.Time) (share float64, routes map[string]float64) {
 	switch d.record.Phase {
 	case Completed:
@@ -47,29 +49,30 @@
 	return share, routes
 }
 
-// warmingUp reports whether the old version's answers are still gathered. Failure: the
-// first answers that come in are the fast ones. Symptom: the old version seems to be
-// faster than it is, and a good new one is rolled back for its slow answers.
+// warmingUp reports whether only answers of the old version are gathered yet. The first
+// answers to arrive are the fast ones: without the wait, the old version would seem
+// faster than it is, and a good new one would be rolled back as slow.
 func (d *Decider) warmingUp(now time.Time) bool {
 	return now.Sub(d.record.Started) < min(maxWarmUp, d.record.Order.Duration/10)
 }
 
-// exposureUsedUp reports whether a trial has used up what it may.
+// exposureUsedUp reports whether the new version got as many requests as a trial may
+// send to it.
 func (d *Decider) exposureUsedUp() bool {
 	return float64(d.record.Exposed) >= trialExposureShare*(d.bounds.Share*float64(d.record.Asked)+d.bounds.Slack)
 }
 
-// boost returns how many times the share a route gets that is asked for seldom: one
-// that is bad alone must be found as well.
+// boost returns the factor on the share of a route: above 1 for a route with fewer
+// answers than the mean, so that a version that is bad on this route alone is detected.
 func (d *Decider) boost(route string) float64 {
 	all, routes := 0, 0
 	for name := range d.view.Routes {
-		if c := d.oldTimes[name]; c != nil {
+		if c := d.oldCounts[name]; c != nil {
 			all += c.answers()
 			routes++
 		}
 	}
-	c := d.oldTimes[route]
+	c := d.oldCounts[route]
 	if c == nil || all == 0 {
 		return 1
 	}
@@ -77,7 +80,7 @@
 	return min(max(mean/float64(max(c.answers(), 1)), 1), maxBoost)
 }
 
-// Split returns what all daemons are to do.
+// Split returns the split for all daemons.
 func (d *Decider) Split(now time.Time) Split {
 	s := Split{
 		Service: d.record.Order.Service, Key: d.record.Key(), Phase: d.record.Phase, Share: d.record.Share,
@@ -85,14 +88,14 @@
 	}
 	s.Spread = max(int(s.Share*float64(max(d.view.Old, d.view.New))+0.999), minSpread)
 	if s.Phase >= Moving {
-		s.Spread = math.MaxInt32 // all
+		s.Spread = math.MaxInt32 // all endpoints
 	}
 	return s
 }
 
 const (
-	// minSpread is how many endpoints of the new version are tried at once: one
-	// that is broken must not stand for its version.
+	// minSpread is how many endpoints of the new version get requests at least, so that
+	// one broken endpoint isn't taken for a bad version.
 	minSpread = 4
 	maxBoost  = 5
 )
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -12,29 +12,29 @@
 
 var simBounds = Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second}
 
-// defect is what is wrong with a version.
+// defect is what is wrong with a bad version.
 type defect struct {
-	share  float64 // of its answers
-	slow   float64 // times as long, 0: they fail
-	from   float64 // part of the duration from which on
-	route  int     // the only one that is bad, -1: all
-	loaded bool    // only at an endpoint with the load of one of the old version
+	share  float64 // of its answers that are bad
+	slow   float64 // factor on the answer time; 0: bad answers fail
+	from   float64 // when it begins, as a part of the duration
+	route  int     // index of the only bad route; -1: all are bad
+	loaded bool    // only at endpoints with about the load of one of the old version
 }
 
-// fault is what strikes endpoints of both versions, whatever their version.
+// fault strikes endpoints regardless of their version, apart from newOnly.
 type fault struct {
-	share   float64 // of the endpoints of each version, one at least where above 0
-	fails   float64 // part of their answers that fails
-	slow    float64 // times as long
-	from    float64 // part of the duration
-	newOnly int     // strikes this many of the new version alone
+	share   float64 // of the endpoints of each version, rounded up
+	fails   float64 // part of their answers that fail
+	slow    float64 // factor on the answer time; 0: unchanged
+	from    float64 // when it begins, as a part of the duration
+	newOnly int     // further endpoints of the new version alone
 }
 
-// routes of the play: part of the requests and middle answer time.
+// simRoutes are the service's routes: part of the requests and median answer time.
 var simRoutes = []struct {
-	part      float64
+	share     float64
 	took      time.Duration
-	retryable bool // may be sent again
+	retryable bool // may be sent to another endpoint while it runs
 }{
 	{0.15, 900 * time.Millisecond, true}, {0.24, 600 * time.Millisecond, false}, {0.33, 120 * time.Millisecond, true},
 	{0.22, 40 * time.Millisecond, false}, {0.06, 40 * time.Millisecond, true},
@@ -82,14 +82,15 @@
 	endpoints int // of each version
 	rate      float64
 	duration  time.Duration
-	runAfter  time.Duration // how long it is played on after the deadline
+	runAfter  time.Duration // how long the simulation goes on after the deadline
 	interval  time.Duration // of reports
 	defect    *defect
 	fault     *fault
-	// killedAt is when the decider is killed; another one goes on from its record
-	// takeOver later.
+	// killedAt is when the decider is killed; simTakeoverTime later, another one continues
+	// from its record. 0: never.
 	killedAt time.Duration
-	// isolatedFrom, cutPart: daemons that hear nothing from then on, but serve.
+	// From isolatedFrom on, a share of the daemons receives no splits and sends no reports,
+	// but serves requests. 0: never.
 	isolatedFrom  time.Duration
 	isolatedShare float64
 
@@ -107,9 +108,9 @@
 	asked, exposed int
 	badAnswers     int
 	fiftiethBad    time.Duration
-	lastSent       time.Duration // to the new version
+	lastSentToNew  time.Duration // time of the last request to the new version
 	endedAt        time.Duration
-	lost           int // requests that ran at the old version when it was stopped
+	lost           int // requests at the old version that were cut off when it was stopped
 	askedByFinal   int
 	exposedAtEnd   int
 }
@@ -238,8 +239,8 @@
 
 func (p *simulation) startRequest(t time.Duration) {
 	now := simStart.Add(t)
-	until := t < p.duration
-	if until {
+	beforeDeadline := t < p.duration
+	if beforeDeadline {
 		p.asked++
 	}
 	route := p.drawRoute()
@@ -255,10 +256,10 @@
 	if side == New {
 		spread := min(s.Spread, len(p.new))
 		e = p.new[(int(s.Rotation)*7+p.rng.IntN(spread))%len(p.new)]
-		if until {
+		if beforeDeadline {
 			p.exposed++
 		}
-		p.lastSent = t
+		p.lastSentToNew = t
 	}
 	if side == New {
 		d.counter.CountExposed()
@@ -270,8 +271,8 @@
 
 func (p *simulation) drawRoute() int {
 	draw, route := p.rng.Float64(), 0
-	for draw >= simRoutes[route].part {
-		draw -= simRoutes[route].part
+	for draw >= simRoutes[route].share {
+		draw -= simRoutes[route].share
 		route++
 	}
 	return route
@@ -285,9 +286,9 @@
 	if p.rng.Float64() < 0.003 {
 		f.failed = true
 	}
-	wrong := false
+	isBad := false
 	if b := p.defect; b != nil && e.isNew && p.isDefective(b, e, part, route) {
-		wrong = true
+		isBad = true
 		if b.slow > 0 {
 			took = time.Duration(float64(took) * b.slow)
 		} else {
@@ -305,7 +306,7 @@
 	if f.failed {
 		took = took/4 + 5*time.Millisecond
 	}
-	if wrong {
+	if isBad {
 		p.badAnswers++
 		if p.badAnswers == 50 {
 			p.fiftiethBad = t + took
@@ -343,7 +344,7 @@
 	d.counter.CountAnswer(fmt.Sprint(f.route), name, f.failed, f.took)
 }
 
-// violation names what of the bound on a bad version's requests was violation.
+// violation says which bound on a bad version's requests was exceeded; empty: none.
 func (p *simulation) violation() string {
 	if p.defect == nil {
 		return ""
@@ -351,13 +352,14 @@
 	if allowed := simBounds.Share*float64(p.asked) + simBounds.Slack; float64(p.exposed) > allowed {
 		return fmt.Sprintf("%d requests, %.0f allowed", p.exposed, allowed)
 	}
-	if p.fiftiethBad > 0 && p.lastSent > p.fiftiethBad+simBounds.Stop {
-		return fmt.Sprintf("sent %v after the fiftieth bad answer", p.lastSent-p.fiftiethBad)
+	if p.fiftiethBad > 0 && p.lastSentToNew > p.fiftiethBad+simBounds.Stop {
+		return fmt.Sprintf("sent %v after the fiftieth bad answer", p.lastSentToNew-p.fiftiethBad)
 	}
 	return ""
 }
 
-// usedShare returns the part of the allowed requests that a bad version got by the verdict.
+// usedShare returns the new version's requests as a share of those that a bad one may
+// get.
 func (p *simulation) usedShare() float64 {
 	return float64(p.exposed) / (simBounds.Share*float64(p.asked) + simBounds.Slack)
 }
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -1,19 +1,19 @@
 package rollout
 
-// Split is what the decider tells of one roll-out. The zero share sends nothing to the
-// new version.
+// Split is the decider's current division of a service's requests between the
+// versions. With a share of zero, the new version gets none.
 type Split struct {
 	Service string
 	Key     Key
 	Phase   Phase
-	// Share is the part of the service's requests that goes to the new version, but
-	// for routes that have a share of their own.
+	// Share is the part of the service's requests that goes to the new version, except
+	// for the routes in Routes, which have their own shares.
 	Share  float64
 	Routes map[string]float64
-	// Spread is how many endpoints of the new version share these: few, so that each
-	// has the load of one of the old version.
+	// Spread is how many endpoints of the new version get these requests: few, so that
+	// each has the load of one of the old version.
 	Spread int
-	// Rotation changes from time to time, and with it which endpoints these are.
+	// Rotation changes with time and selects these endpoints.
 	Rotation uint64
 }
 
@@ -25,7 +25,7 @@
 	return s.Share
 }
 
-// AllNew reports whether nothing is sent to the old version any more.
+// AllNew reports whether all requests go to the new version.
 func (s *Split) AllNew() bool { return s.Share == 1 && len(s.Routes) == 0 }
 
 // Target returns the version that the service moves to.
