--- a/internal/placement/config.go
+++ b/internal/placement/config.go
@@ -42,7 +42,7 @@
 		LeadTime:     30 * time.Minute, // before that, the room is of more use to other models
 		RetryAfter:   10 * time.Second, // an engine reports the start of a load within seconds
 		LoadTimeout:  10 * time.Minute, // twenty times LoadTime
-		DrainDelay:   5 * time.Second,  // routing learns of it within a few seconds
+		DrainDelay:   5 * time.Second,  // routing is informed within a few seconds
 		AvoidFor:     time.Minute,
 		KeepUnwanted: 15 * time.Minute, // a template change reverted within minutes needs no load
 	}
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -54,7 +54,7 @@
 	p.storeFreeAt = now.Add(time.Duration(float64(n.Bytes) / p.cfg.WeightRate * float64(time.Second)))
 	v.planBy(now.Add(p.cfg.RetryAfter))
 	h := Held{Model: n.Model}
-	s.holds[n.Model] = h
+	s.models[n.Model] = h
 	s.free--
 	v.addReplica(s, h)
 }
@@ -106,7 +106,7 @@
 	if s.Leaving || n.Role != "" && s.role != "" && s.role != n.Role {
 		return false
 	}
-	if _, holds := s.holds[n.Model]; holds {
+	if _, holds := s.models[n.Model]; holds {
 		return false
 	}
 	_, avoid := p.avoid[Replica{s.ID, n.Model}]
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -18,7 +18,7 @@
 		if !p.fits(s, n) {
 			continue
 		}
-		for _, h := range s.sortedHolds() {
+		for _, h := range s.sortedModels() {
 			if v.canSpare(h.Model) && (from == nil || p.preferRemoval(s, h, from, spare)) {
 				from, spare = s, h
 			}
@@ -31,11 +31,11 @@
 	return true
 }
 
-// sortedHolds returns the engine's models in a fixed order, so that plans are
+// sortedModels returns the engine's models in a fixed order, so that plans are
 // deterministic.
-func (s *engineState) sortedHolds() []Held {
-	held := make([]Held, 0, len(s.holds))
-	for _, h := range s.holds {
+func (s *engineState) sortedModels() []Held {
+	held := make([]Held, 0, len(s.models))
+	for _, h := range s.models {
 		held = append(held, h)
 	}
 	slices.SortFunc(held, func(a, b Held) int {
@@ -77,11 +77,11 @@
 		n.held[s.DataCentre]--
 		n.ready--
 	}
-	delete(s.holds, h.Model)
-	drained := since(p.draining, r, now).Add(p.cfg.DrainDelay)
+	delete(s.models, h.Model)
+	drainedAt := since(p.draining, r, now).Add(p.cfg.DrainDelay)
 	v.result.Drain = append(v.result.Drain, r)
-	if now.Before(drained) {
-		v.planBy(drained)
+	if now.Before(drainedAt) {
+		v.planBy(drainedAt)
 		return
 	}
 	if h.Running == 0 {
@@ -93,17 +93,17 @@
 // the new one serve, all others after KeepUnwanted.
 func (p *Planner) removeUnwanted(now time.Time, v *view) {
 	for _, s := range v.engines {
-		for _, h := range s.sortedHolds() {
+		for _, h := range s.sortedModels() {
 			r := Replica{s.ID, h.Model}
 			if v.byModel[h.Model] != nil {
 				delete(p.unwanted, r)
 				continue
 			}
-			from := since(p.unwanted, r, now)
+			unwantedSince := since(p.unwanted, r, now)
 			if n := v.families[familyOf(h.Model)]; n != nil && n.ready < n.wanted {
 				continue
-			} else if n == nil && now.Sub(from) < p.cfg.KeepUnwanted {
-				v.planBy(from.Add(p.cfg.KeepUnwanted))
+			} else if n == nil && now.Sub(unwantedSince) < p.cfg.KeepUnwanted {
+				v.planBy(unwantedSince.Add(p.cfg.KeepUnwanted))
 				continue
 			}
 			p.remove(now, v, s, h)
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -21,10 +21,10 @@
 // engineState is an engine after the orders of the plan so far.
 type engineState struct {
 	*Engine
-	role  string
-	free  int     // models that it can still take
-	load  float64 // expected generated tokens a second
-	holds map[fleet.ModelRef]Held
+	role   string
+	free   int                     // models that it can still take
+	load   float64                 // expected generated tokens a second
+	models map[fleet.ModelRef]Held // held after the orders of the plan so far
 }
 
 // newView matches wants with the models that engines hold or were ordered to load.
@@ -38,7 +38,7 @@
 	dataCentres := make(map[fleet.DataCentre]bool)
 	for i := range engines {
 		e := &engines[i]
-		v.engines = append(v.engines, &engineState{Engine: e, role: e.Role, free: e.Capacity, holds: make(map[fleet.ModelRef]Held, e.Capacity)})
+		v.engines = append(v.engines, &engineState{Engine: e, role: e.Role, free: e.Capacity, models: make(map[fleet.ModelRef]Held, e.Capacity)})
 		if !e.Leaving {
 			dataCentres[e.DataCentre] = true
 		}
@@ -64,7 +64,7 @@
 	r := Replica{s.ID, h.Model}
 	v.reported[r] = true
 	delete(p.ordered, r)
-	s.holds[h.Model] = h
+	s.models[h.Model] = h
 	s.free--
 	if s.Leaving {
 		return
@@ -95,7 +95,7 @@
 				continue
 			}
 			h := Held{Model: n.Model}
-			s.holds[n.Model] = h
+			s.models[n.Model] = h
 			s.free--
 			v.addReplica(s, h)
 		}
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -154,8 +154,8 @@
 // slowBucket returns the bucket above which an answer is slow; false without answers to
 // compare with.
 func (c *Counts) slowBucket() (limit int, ok bool) {
-	middle, ok := c.medianBucket()
-	limit = middle + slowBuckets
+	median, ok := c.medianBucket()
+	limit = median + slowBuckets
 	if c.answers() < minForMedian {
 		limit++ // the median of few answers may be off by a bucket
 	}
@@ -164,7 +164,7 @@
 
 // lowestPValue returns the lowest p-value over routes and windows: the probability that
 // the old version's rate explains the new version's bad answers. The route is empty if
-// it is that of all routes together. alone says that the new version has one endpoint.
+// it is that of all routes together. alone means that the new version has one endpoint.
 func (e *evidence) lowestPValue(alone bool) (p float64, route string) {
 	p = lowestOverWindows(e.all, alone)
 	for name, r := range e.routes {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -12,7 +12,7 @@
 	// Running is the number of requests in progress at the old version that must not be
 	// sent again.
 	Running int
-	// Moved says that the daemon sends no more requests to the old version.
+	// Moved is true once the daemon sends no more requests to the old version.
 	Moved bool
 	Rows  []Row
 }
--- a/internal/scaling/config.go
+++ b/internal/scaling/config.go
@@ -49,8 +49,8 @@
 	scaleDownDelay = 5 * time.Second
 	// refusalRetryDelay is the time between a refused order and its retry.
 	refusalRetryDelay = 2 * time.Second
-	// refusalAvoidTime is how long no more endpoints are planned for a place that
-	// refused an order.
+	// refusalAvoidTime is how long a place that refused an order isn't chosen for
+	// further on-demand endpoints.
 	refusalAvoidTime = 6 * time.Second
 	// waveDuration is how long a wave counts as going on after the last loss or
 	// refusal: the reclaims of a wave are up to six seconds apart.
--- a/internal/scaling/hazard.go
+++ b/internal/scaling/hazard.go
@@ -28,8 +28,8 @@
 // expectedLosses returns the expected number of losses within the horizon: the
 // rate is the decayed count divided by the time constant of the decay.
 func (h *hazard) expectedLosses(now time.Time, horizon time.Duration) float64 {
-	meanAge := hazardHalfLife.Seconds() / math.Ln2
-	return h.decayed(now) * horizon.Seconds() / meanAge
+	timeConstant := hazardHalfLife.Seconds() / math.Ln2
+	return h.decayed(now) * horizon.Seconds() / timeConstant
 }
 
 // lossesToCover returns how many further losses on-demand endpoints should stand
@@ -40,7 +40,7 @@
 func (h *hazard) lossesToCover(now time.Time, horizon time.Duration, limit int) int {
 	mean := h.expectedLosses(now, horizon)
 	term := math.Exp(-mean)
-	atLeast := 1 - term // probability of more than k losses
+	atLeast := 1 - term // probability of at least k+1 losses
 	for k := range limit {
 		if atLeast*shortfallCost < 1 {
 			return k
--- a/internal/scaling/ondemand.go
+++ b/internal/scaling/ondemand.go
@@ -56,7 +56,8 @@
 }
 
 // reclaimableAfter returns how many reclaimable endpoints remain after the losses
-// of the data centres with the most of them. Starting ones count on request.
+// of the data centres with the most of them. starting says whether those that still
+// start count.
 func (p *Planner) reclaimableAfter(now time.Time, s *Sample, losses int, starting bool) int {
 	var counts []int
 	for dc := range s.Service.Scaling.DataCentre {
--- a/internal/scaling/supply.go
+++ b/internal/scaling/supply.go
@@ -25,11 +25,11 @@
 
 func newSupply() *supply { return &supply{places: map[Place]*placeState{}} }
 
-func (m *supply) state(p Place) *placeState {
-	st := m.places[p]
+func (sup *supply) state(p Place) *placeState {
+	st := sup.places[p]
 	if st == nil {
 		st = &placeState{}
-		m.places[p] = st
+		sup.places[p] = st
 	}
 	return st
 }
@@ -40,52 +40,52 @@
 // one that vanishes without notice has crashed. In the first sample, a data centre
 // whose endpoints are all leaving counts too: the previous planner may have failed
 // during a wave.
-func (m *supply) observe(now time.Time, s *Sample) {
+func (sup *supply) observe(now time.Time, s *Sample) {
 	for dc := range s.Service.Scaling.DataCentre {
 		place := Place{dc, true}
-		st := m.state(place)
+		st := sup.state(place)
 		serving, leaving := s.Serving[place], s.Leaving[place]
 		lost := st.serving - serving
 		announced := leaving > st.leaving
 		reclaimed := lost > 0 && serving < st.ordered && (announced || lost > 1 && 2*lost >= st.serving)
-		if reclaimed || !m.observed && leaving > 0 && serving == 0 {
-			m.hazard.recordLoss(now)
-			m.lastShortage = now
+		if reclaimed || !sup.observed && leaving > 0 && serving == 0 {
+			sup.hazard.recordLoss(now)
+			sup.lastShortage = now
 		}
 		st.serving, st.leaving = serving, leaving
 	}
-	m.observed = true
+	sup.observed = true
 }
 
 // recordOrder records an order as the last one for its place.
-func (m *supply) recordOrder(now time.Time, ord Order) {
-	st := m.state(ord.Place)
+func (sup *supply) recordOrder(now time.Time, ord Order) {
+	st := sup.state(ord.Place)
 	st.ordered, st.isOrdered, st.orderedAt, st.refusedAt = ord.Count, true, now, time.Time{}
 }
 
 // recordRefusal records that the last order was refused.
-func (m *supply) recordRefusal(now time.Time, ord Order) {
-	m.state(ord.Place).refusedAt = now
+func (sup *supply) recordRefusal(now time.Time, ord Order) {
+	sup.state(ord.Place).refusedAt = now
 	if ord.Spot {
-		m.lastShortage = now
+		sup.lastShortage = now
 	}
 }
 
 // forgetOrder drops the last order for a place, so that it can become due again.
-func (m *supply) forgetOrder(p Place) {
-	st := m.state(p)
+func (sup *supply) forgetOrder(p Place) {
+	st := sup.state(p)
 	st.isOrdered, st.refusedAt = false, time.Time{}
 }
 
 // inWave reports whether reclaimable endpoints were reclaimed or refused within the
 // last waveDuration.
-func (m *supply) inWave(now time.Time) bool {
-	return !m.lastShortage.IsZero() && now.Sub(m.lastShortage) < waveDuration
+func (sup *supply) inWave(now time.Time) bool {
+	return !sup.lastShortage.IsZero() && now.Sub(sup.lastShortage) < waveDuration
 }
 
 // starting returns how many endpoints of the last order may still be starting.
-func (m *supply) starting(now time.Time, s *Sample, p Place) int {
-	st := m.state(p)
+func (sup *supply) starting(now time.Time, s *Sample, p Place) int {
+	st := sup.state(p)
 	if !st.isOrdered || !st.refusedAt.IsZero() || now.Sub(st.orderedAt) >= s.Service.Scaling.BootTime+bootSlack {
 		return 0
 	}
@@ -94,7 +94,7 @@
 
 // recentlyRefused reports whether the last order for a place was refused within
 // refusalAvoidTime.
-func (m *supply) recentlyRefused(now time.Time, p Place) bool {
-	st := m.state(p)
+func (sup *supply) recentlyRefused(now time.Time, p Place) bool {
+	st := sup.state(p)
 	return !st.refusedAt.IsZero() && now.Sub(st.refusedAt) < refusalAvoidTime
 }
