--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -2,103 +2,110 @@
 
 import "time"
 
-// Side says which endpoints of a service a request may be sent to.
+// Side is the set of a service's endpoints that a request may be sent to.
 type Side uint8
 
 // The sides.
 const (
-	Any Side = iota // no roll-out
-	Old             // all but the new version
-	New             // the new version
+	Any Side = iota // all endpoints: no roll-out
+	Old             // those that aren't of the new version
+	New             // those of the new version
 )
 
-// Gate is a daemon's view of the roll-outs. It is not safe for concurrent use.
+// Gate is a daemon's copy of the decider's splits, with their age. It is not safe for
+// concurrent use.
 type Gate struct {
-	age   time.Duration // how old the word may be
-	rank  Rank
-	at    time.Time // when the newest word was known to hold
-	read  time.Time // when the decider was known to know all orders
-	words map[string]Word
+	maxAge       time.Duration // maximum age of an update to follow
+	rank         Rank
+	confirmedAt  time.Time // when the decider sent the newest update
+	ordersReadAt time.Time // when the decider last read the orders
+	splits       map[string]Split
 }
 
-// Rank orders the words of deciders: a later decider's is higher.
+// Rank orders the updates of deciders: by the fencing token of the decider's lease, then
+// by a sequence number.
 type Rank struct {
-	Token uint64 // of the decider's lease
+	Token uint64 // fencing token of the decider's lease
 	Seq   uint64
 }
 
 // Below reports whether a rank is lower.
 func (r Rank) Below(o Rank) bool { return r.Token < o.Token || r.Token == o.Token && r.Seq < o.Seq }
 
-// News is all that a decider tells, and how old it is.
-type News struct {
+// Update is all splits of a decider, for the daemons. Daemons forward it, with its age.
+type Update struct {
 	Rank Rank
 	Age  time.Duration
-	// OrdersAge is how long ago the decider heard from the store, and so knew that
-	// there is no other order.
+	// OrdersAge is the age of the decider's last successful read of the orders in the
+	// store.
 	OrdersAge time.Duration
-	Words     []Word
+	Splits    []Split
 }
 
-// NewGate returns a gate that has heard nothing.
-func NewGate(b Bounds) *Gate { return &Gate{age: b.WordAge(), words: map[string]Word{}} }
+// NewGate returns a gate without an update.
+func NewGate(b Bounds) *Gate { return &Gate{maxAge: b.MaxSplitAge(), splits: map[string]Split{}} }
 
-// Hear takes news, unless newer ones are known.
-func (g *Gate) Hear(now time.Time, n News) {
-	if n.Rank.Token == 0 || n.Rank.Below(g.rank) {
+// Apply takes an update, unless the gate has one of a higher rank.
+func (g *Gate) Apply(now time.Time, u Update) {
+	if u.Rank.Token == 0 || u.Rank.Below(g.rank) {
 		return
 	}
-	if at := now.Add(-n.Age); g.rank.Below(n.Rank) || at.After(g.at) {
-		g.at = at
+	if at := now.Add(-u.Age); g.rank.Below(u.Rank) || at.After(g.confirmedAt) {
+		g.confirmedAt = at
 	}
-	if read := now.Add(-n.OrdersAge); g.rank.Below(n.Rank) || read.After(g.read) {
-		g.read = read
+	if read := now.Add(-u.OrdersAge); g.rank.Below(u.Rank) || read.After(g.ordersReadAt) {
+		g.ordersReadAt = read
 	}
-	g.rank = n.Rank
-	clear(g.words)
-	for _, w := range n.Words {
-		g.words[w.Service] = w
+	g.rank = u.Rank
+	clear(g.splits)
+	for _, s := range u.Splits {
+		g.splits[s.Service] = s
 	}
 }
 
-// News returns what this daemon tells others.
-func (g *Gate) News(now time.Time) News {
-	out := News{Rank: g.rank, Age: now.Sub(g.at), OrdersAge: now.Sub(g.read)}
-	for _, w := range g.words {
-		out.Words = append(out.Words, w)
+// Update returns the gate's update, for other daemons.
+func (g *Gate) Update(now time.Time) Update {
+	out := Update{Rank: g.rank, Age: now.Sub(g.confirmedAt), OrdersAge: now.Sub(g.ordersReadAt)}
+	for _, s := range g.splits {
+		out.Splits = append(out.Splits, s)
 	}
 	return out
 }
 
-// Fresh reports whether the word is known to hold.
-func (g *Gate) Fresh(now time.Time) bool { return g.rank.Token != 0 && now.Sub(g.at) <= g.age }
+// Fresh reports whether the last update is recent enough to follow.
+func (g *Gate) Fresh(now time.Time) bool {
+	return g.rank.Token != 0 && now.Sub(g.confirmedAt) <= g.maxAge
+}
 
-// NoOrder reports whether a service for which there is no word is known to have had no
-// order some time after a moment. Failure: the decider can't reach the store.
-// Symptom: it tells of no order, and the new version gets as much as the old one.
+// NoOrder reports whether a service without a split is known to have no order: the
+// decider must have read the orders more than orderDelay after moment, when an endpoint
+// of another version appeared. A decider that can't reach the store has no split for a
+// service with an unread order, and the new version would get as many requests as the old
+// one.
 func (g *Gate) NoOrder(now, moment time.Time) bool {
-	return g.Fresh(now) && g.read.After(moment.Add(orderSlack))
+	return g.Fresh(now) && g.ordersReadAt.After(moment.Add(orderDelay))
 }
 
-// orderSlack is how much later than its first endpoint an order may be written.
-const orderSlack = 1500 * time.Millisecond
+// orderDelay is how much later than the new version's first endpoint an order may be
+// written.
+const orderDelay = 1500 * time.Millisecond
 
-// Word returns what is to be done with a service. Where the word is too old, nothing
-// is sent to a new version, but for one that has taken over for good. Failure: a
-// daemon is cut off before a roll-back. Symptom: callers get bad answers from a
-// version that all others have left. known is false where there is no roll-out.
-func (g *Gate) Word(now time.Time, service string) (w Word, known bool) {
-	w, known = g.words[service]
-	if known && !w.Phase.Final() && !g.Fresh(now) {
-		w.Phase, w.Share, w.Routes = Trial, 0, nil
+// Split returns the split of a service; known is false if it has no roll-out. If the
+// gate isn't fresh, the new version gets no requests, unless the roll-out has completed:
+// a daemon that is cut off before a roll-back would go on sending requests to a version
+// that all others have left.
+func (g *Gate) Split(now time.Time, service string) (s Split, known bool) {
+	s, known = g.splits[service]
+	if known && !s.Phase.Final() && !g.Fresh(now) {
+		s.Phase, s.Share, s.Routes = Trial, 0, nil
 	}
-	return w, known
+	return s, known
 }
 
-// Side returns which endpoints a request of a route may be sent to, for a draw from
-// [0, 1).
-func (w *Word) Side(route string, draw float64) Side {
-	if draw < w.ShareOf(route) {
+// Side returns the endpoints that a request of a route may be sent to, for a random
+// draw from [0, 1).
+func (s *Split) Side(route string, draw float64) Side {
+	if draw < s.ShareOf(route) {
 		return New
 	}
 	return Old
