--- a/internal/gossip/check.go
+++ b/internal/gossip/check.go
@@ -73,7 +73,7 @@
 			return Error.New("data centre %q is malformed", d.DataCentre)
 		}
 	}
-	for _, b := range p.Beats {
+	for _, b := range p.Heartbeats {
 		if !isName(string(b.Region)) || b.Count > maxIncarnation {
 			return Error.New("beat of %q is malformed", b.Region)
 		}
--- a/internal/gossip/codec_bench_test.go
+++ b/internal/gossip/codec_bench_test.go
@@ -17,7 +17,7 @@
 		Subject:   "i-0123456789abcdef1",
 		TableHash: 1 << 62,
 		Digest:    membership.Digest{Version: 1 << 20, Hash: 1 << 62},
-		Beats: []membership.Beat{
+		Heartbeats: []membership.Heartbeat{
 			{Region: "region-0", Count: 1 << 20}, {Region: "region-1", Count: 1 << 20}, {Region: "region-2", Count: 1 << 20},
 		},
 	}
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -55,8 +55,8 @@
 			Version:    rapid.Uint64Range(0, maxIncarnation).Draw(t, "version"),
 		}
 	})
-	genBeat = rapid.Custom(func(t *rapid.T) membership.Beat {
-		return membership.Beat{
+	genBeat = rapid.Custom(func(t *rapid.T) membership.Heartbeat {
+		return membership.Heartbeat{
 			Region: fleet.Region(genName.Draw(t, "region")),
 			Count:  rapid.Uint64Range(0, maxIncarnation).Draw(t, "count"),
 		}
@@ -78,7 +78,7 @@
 			Hash:    rapid.Uint64().Draw(t, "digest"),
 			Payload: string(rapid.SliceOfN(rapid.Byte(), 0, membership.MaxDigestPayload).Draw(t, "payload")),
 		},
-		Beats:       rapid.SliceOfN(genBeat, 0, 3).Draw(t, "beats"),
+		Heartbeats:  rapid.SliceOfN(genBeat, 0, 3).Draw(t, "beats"),
 		Updates:     rapid.SliceOfN(genUpdate, 0, 5).Draw(t, "updates"),
 		DataCentres: rapid.SliceOfN(genPlace, 0, 3).Draw(t, "data centres"),
 	}
@@ -113,10 +113,10 @@
 	for i := range want.Updates {
 		assert.DeepEqual(t, got.Updates[i], want.Updates[i])
 	}
-	assert.Equal(t, fmt.Sprint(got.Beats, got.DataCentres, got.Buckets), fmt.Sprint(want.Beats, want.DataCentres, want.Buckets))
+	assert.Equal(t, fmt.Sprint(got.Heartbeats, got.DataCentres, got.Buckets), fmt.Sprint(want.Heartbeats, want.DataCentres, want.Buckets))
 	a, b := *got, *want
-	a.Updates, a.Beats, a.DataCentres, a.Buckets = nil, nil, nil, nil
-	b.Updates, b.Beats, b.DataCentres, b.Buckets = nil, nil, nil, nil
+	a.Updates, a.Heartbeats, a.DataCentres, a.Buckets = nil, nil, nil, nil
+	b.Updates, b.Heartbeats, b.DataCentres, b.Buckets = nil, nil, nil, nil
 	assert.DeepEqual(t, a, b)
 }
 
@@ -137,7 +137,7 @@
 			p.Updates = []membership.Update{{Instance: "i", Incarnation: 1, Record: &r}}
 		},
 		"data centre": func(p *membership.Packet) { p.DataCentres = []membership.DataCentreUpdate{{Version: 1}} },
-		"beat":        func(p *membership.Packet) { p.Beats = []membership.Beat{{Count: 1}} },
+		"beat":        func(p *membership.Packet) { p.Heartbeats = []membership.Heartbeat{{Count: 1}} },
 	}
 	check := func(p *membership.Packet) error {
 		content, err := encode(nil, p)
--- a/internal/gossip/decode.go
+++ b/internal/gossip/decode.go
@@ -26,7 +26,7 @@
 		Buckets:    in.Buckets,
 	}
 	for _, b := range in.Beats {
-		p.Beats = append(p.Beats, membership.Beat{Region: fleet.Region(b.Region), Count: b.Count})
+		p.Heartbeats = append(p.Heartbeats, membership.Heartbeat{Region: fleet.Region(b.Region), Count: b.Count})
 	}
 	for _, u := range in.Updates {
 		p.Updates = append(p.Updates, updateFromProto(u))
--- a/internal/gossip/encode.go
+++ b/internal/gossip/encode.go
@@ -25,7 +25,7 @@
 		Digest:     digestToProto(p.Digest),
 		Buckets:    p.Buckets,
 	}
-	for _, b := range p.Beats {
+	for _, b := range p.Heartbeats {
 		out.Beats = append(out.Beats, &gossippb.Beat{Region: string(b.Region), Count: b.Count})
 	}
 	for i := range p.Updates {
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -95,7 +95,7 @@
 // Seeds adds hints from the settings or the instance list.
 func (n *Node) Seeds(members []membership.Member) {
 	n.do(context.Background(), func(now time.Time) []membership.Action {
-		n.members.Seeds(now, members)
+		n.members.AddSeeds(now, members)
 		return nil
 	})
 }
@@ -109,7 +109,7 @@
 			sound = append(sound, m)
 		}
 	}
-	n.do(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduced(now, sound) })
+	n.do(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduce(now, sound) })
 }
 
 // Leave tells the fleet that this daemon takes no new work. It returns when
--- a/internal/membership/bridge.go
+++ b/internal/membership/bridge.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// strayEvery is how often a bridge probes any daemon of a region instead of
+// randomTargetEvery is how often a bridge probes any daemon of a region instead of
 // one of its bridges: those it knows may all be gone after a long separation.
-const strayEvery = 4
+const randomTargetEvery = 4
 
 // tickRegions raises the own region's beat and probes the other regions, if
 // this daemon is a bridge, and notices when a region falls silent.
 func (m *Membership) tickRegions() {
-	lost := m.regions.lost(m.clock.now, m.cfg.RegionSilence)
-	if !slices.Equal(lost, m.view.lostRegions) {
+	unreachable := m.regions.unreachable(m.clock.now, m.cfg.RegionTimeout)
+	if !slices.Equal(unreachable, m.view.unreachableRegions) {
 		m.dirty = true
 	}
-	if !m.regions.isBridge || m.clock.now < m.regions.nextBeat {
+	if !m.regions.isBridge || m.clock.now < m.regions.nextHeartbeat {
 		return
 	}
-	m.regions.nextBeat = m.clock.now + m.cfg.BridgeInterval
-	m.regions.rotate++
+	m.regions.nextHeartbeat = m.clock.now + m.cfg.BridgeInterval
+	m.regions.rounds++
 	for _, x := range m.regions.list {
 		if x.name == m.regions.own {
-			x.count++
-			x.grewAt = m.clock.now
+			x.heartbeat++
+			x.heartbeatAt = m.clock.now
 			continue
 		}
 		if n := m.bridgeTarget(x); n != nil {
@@ -32,7 +32,7 @@
 
 // bridgeTarget chooses whom of a region to probe.
 func (m *Membership) bridgeTarget(x *region) *node {
-	if len(x.bridges) > 0 && m.regions.rotate%strayEvery != 0 {
+	if len(x.bridges) > 0 && m.regions.rounds%randomTargetEvery != 0 {
 		return x.bridges[m.rng.IntN(len(x.bridges))]
 	}
 	var chosen *node
--- a/internal/membership/buckets.go
+++ b/internal/membership/buckets.go
@@ -15,7 +15,7 @@
 // XOR. Gone members count nothing, so that forgetting one changes no hash, and
 // suspicion counts nothing, so that it causes no comparison of tables.
 type buckets struct {
-	parts [BucketCount]uint64
+	sums  [BucketCount]uint64
 	total uint64
 }
 
@@ -23,7 +23,7 @@
 
 // toggle adds or takes away a member's contribution.
 func (b *buckets) toggle(id fleet.InstanceID, hash uint64) {
-	b.parts[bucketOf(id)] ^= hash
+	b.sums[bucketOf(id)] ^= hash
 	b.total ^= hash
 }
 
@@ -31,9 +31,9 @@
 // with another salt for each comparison it will not be the same one again.
 func (b *buckets) hashes(salt uint32) []byte {
 	hashes := make([]byte, BucketCount)
-	for i, part := range b.parts {
-		if part != 0 {
-			hashes[i] = byte(mix(part ^ uint64(salt)))
+	for i, sum := range b.sums {
+		if sum != 0 {
+			hashes[i] = byte(mix(sum ^ uint64(salt)))
 		}
 	}
 	return hashes
@@ -42,7 +42,7 @@
 // contribution hashes what daemons must agree on for a live member; 0 when it
 // is gone, alone or with its data centre.
 func (n *node) contribution() uint64 {
-	if n.effective().Terminal() {
+	if n.effectiveState().Terminal() {
 		return 0
 	}
 	x := xxh3.HashString(string(n.instance))
--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -7,10 +7,10 @@
 // each. Whatever happens to the fleet, a daemon sends no more; changes then
 // only spread later. The burst lets one great change through at once.
 type budget struct {
-	perSecond float64
-	burst     float64
-	tokens    float64
-	at        time.Duration
+	perSecond  float64
+	burst      float64
+	tokens     float64
+	refilledAt time.Duration
 }
 
 func newBudget(perSecond, burst int) budget {
@@ -18,12 +18,12 @@
 }
 
 func (b *budget) refill(now time.Duration) {
-	b.tokens += (now - b.at).Seconds() * b.perSecond
+	b.tokens += (now - b.refilledAt).Seconds() * b.perSecond
 	b.tokens = min(b.tokens, b.burst)
-	b.at = now
+	b.refilledAt = now
 }
 
-// left reports whether anything may be sent. One packet may overdraw.
-func (b *budget) left() bool { return b.tokens > 0 }
+// available reports whether anything may be sent. One packet may overdraw.
+func (b *budget) available() bool { return b.tokens > 0 }
 
 func (b *budget) spend(bytes int) { b.tokens -= float64(bytes) }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -27,8 +27,8 @@
 	// SyncInterval is the time between two comparisons of member tables with a
 	// peer whose hash differs.
 	SyncInterval time.Duration
-	// RumourBytesPerSecond bounds what is sent to spread changes.
-	RumourBytesPerSecond int
+	// UpdateBytesPerSecond bounds what is sent to spread changes.
+	UpdateBytesPerSecond int
 	// SyncBytesPerSecond bounds what is sent to compare tables.
 	SyncBytesPerSecond int
 	// ReconnectInterval is the time between two probes of a daemon that is
@@ -39,16 +39,16 @@
 	// LossWindow is the time in which half of a data centre's daemons must
 	// fail for its loss to be looked into.
 	LossWindow time.Duration
-	// LossSettle is how long a data centre is lost before its daemons'
+	// LossApplyDelay is how long a data centre is lost before its daemons'
 	// own records become Dead.
-	LossSettle time.Duration
+	LossApplyDelay time.Duration
 	// Bridges is the number of daemons of a region that probe other regions.
 	Bridges int
 	// BridgeInterval is the time between two probes of one other region.
 	BridgeInterval time.Duration
-	// RegionSilence is how long nothing is heard from a region before it
+	// RegionTimeout is how long nothing is heard from a region before it
 	// counts as unreachable.
-	RegionSilence time.Duration
+	RegionTimeout time.Duration
 	// LocalHealthMax bounds the local health score; negative switches it off.
 	LocalHealthMax int
 }
@@ -60,7 +60,7 @@
 	defaultSuspicionMultiplier  = 4 // 4 s for 9 daemons, 8 s for 113
 	defaultRetransmitMultiplier = 2 // 14 times for 113 daemons
 	defaultMaxPacketBytes       = 1200
-	defaultRumourBytesPerSecond = 1250
+	defaultUpdateBytesPerSecond = 1250
 	defaultSyncBytesPerSecond   = 1250
 	defaultRetention            = 4 * time.Hour // four times the longest loss between regions
 	defaultBridges              = 3
@@ -69,19 +69,19 @@
 	// Daemons of a region are a few milliseconds apart, so nearly all of a
 	// timeout of 0.3 is allowance for a busy process. The rest of the interval
 	// is enough for the way through another daemon and its Nack.
-	probeTimeoutShare     = 0.3
-	gossipShare           = 0.25
-	bridgeIntervals       = 1
-	syncIntervals         = 5
-	reconnectIntervals    = 5
-	lossWindowIntervals   = 10
-	regionSilentIntervals = 15
-	lossSettleIntervals   = 30
+	probeTimeoutShare      = 0.3
+	gossipShare            = 0.25
+	bridgeIntervals        = 1
+	syncIntervals          = 5
+	reconnectIntervals     = 5
+	lossWindowIntervals    = 10
+	regionTimeoutIntervals = 15
+	lossApplyIntervals     = 30
 )
 
 // What may be sent at once after a quiet time, in bytes.
 const (
-	rumourBurst = 8 << 10  // a change of fifty daemons, told to four others
+	updateBurst = 8 << 10  // a change of fifty daemons, told to four others
 	syncBurst   = 64 << 10 // the table of 340 daemons and what is fetched twice
 )
 
@@ -94,14 +94,14 @@
 	orDefault(&c.SyncInterval, syncIntervals*interval)
 	orDefault(&c.ReconnectInterval, reconnectIntervals*interval)
 	orDefault(&c.LossWindow, lossWindowIntervals*interval)
-	orDefault(&c.RegionSilence, regionSilentIntervals*interval)
-	orDefault(&c.LossSettle, lossSettleIntervals*interval)
+	orDefault(&c.RegionTimeout, regionTimeoutIntervals*interval)
+	orDefault(&c.LossApplyDelay, lossApplyIntervals*interval)
 	orDefault(&c.Retention, defaultRetention)
 	orDefault(&c.IndirectProbes, defaultIndirectProbes)
 	orDefault(&c.SuspicionMultiplier, defaultSuspicionMultiplier)
 	orDefault(&c.RetransmitMultiplier, defaultRetransmitMultiplier)
 	orDefault(&c.MaxPacketBytes, defaultMaxPacketBytes)
-	orDefault(&c.RumourBytesPerSecond, defaultRumourBytesPerSecond)
+	orDefault(&c.UpdateBytesPerSecond, defaultUpdateBytesPerSecond)
 	orDefault(&c.SyncBytesPerSecond, defaultSyncBytesPerSecond)
 	orDefault(&c.Bridges, defaultBridges)
 	orDefault(&c.LocalHealthMax, defaultLocalHealthMax)
--- a/internal/membership/datacentre.go
+++ b/internal/membership/datacentre.go
@@ -8,15 +8,15 @@
 
 // dataCentre is what is known of a data centre as a whole.
 type dataCentre struct {
-	name    fleet.DataCentre
-	region  fleet.Region
-	version uint64 // odd: lost
-	heardAt time.Duration
-	lostAt  time.Duration
-	telling telling
-	settled bool // the loss was written into the members' records
+	name         fleet.DataCentre
+	region       fleet.Region
+	version      uint64 // odd: lost
+	lastPacketAt time.Duration
+	lostAt       time.Duration
+	queueState   queueState
+	lossApplied  bool // the loss was written into the members' records
 
-	claim          uint64 // version of a loss that is being verified, or 0
+	claimedVersion uint64 // version of a loss that is being verified, or 0
 	verifyFrom     time.Duration
 	verifyUntil    time.Duration
 	verifyReceived uint64 // packets received when it began
@@ -25,15 +25,15 @@
 
 func (d *dataCentre) lost() bool { return d.version%2 == 1 }
 
-func (d *dataCentre) verifying() bool { return d.claim != 0 }
+func (d *dataCentre) verifying() bool { return d.claimedVersion != 0 }
 
 // update returns the statement that others are told. A claim that is being
 // verified is passed on at once, for the receivers verify it for themselves;
 // not to other regions, which cannot.
-func (d *dataCentre) update(foreign bool) DataCentreUpdate {
+func (d *dataCentre) update(otherRegion bool) DataCentreUpdate {
 	version := d.version
-	if !foreign {
-		version = max(version, d.claim)
+	if !otherRegion {
+		version = max(version, d.claimedVersion)
 	}
 	return DataCentreUpdate{DataCentre: d.name, Region: d.region, Version: version}
 }
--- a/internal/membership/digests.go
+++ b/internal/membership/digests.go
@@ -8,21 +8,21 @@
 
 // newerDigest remembers what was reported last.
 type newerDigest struct {
-	digest Digest
-	at     time.Duration
+	digest     Digest
+	reportedAt time.Duration
 }
 
-func (m *Membership) hearDigest(n *node, d Digest) {
+func (m *Membership) receiveDigest(n *node, d Digest) {
 	if n.digest != d {
 		n.digest = d
-		m.digests = true
+		m.digestsChanged = true
 	}
 	if !m.self.digest.lacks(d) {
 		return
 	}
-	if m.newer.digest == d && m.clock.now < m.newer.at+newerDigestInterval {
+	if m.lastNewer.digest == d && m.clock.now < m.lastNewer.reportedAt+newerDigestInterval {
 		return
 	}
-	m.newer = newerDigest{digest: d, at: m.clock.now}
-	m.act(NewerDigest{Member: n.member()})
+	m.lastNewer = newerDigest{digest: d, reportedAt: m.clock.now}
+	m.emit(NewerDigest{Member: n.member()})
 }
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -85,7 +85,7 @@
 	for _, other := range g.daemons[:min(3, len(g.daemons))] {
 		hints = append(hints, Member{Peer: other.address})
 	}
-	m.Seeds(g.now, hints)
+	m.AddSeeds(g.now, hints)
 	g.daemons = append(g.daemons, d)
 	g.byAddr[d.address] = d
 	return d
@@ -100,7 +100,7 @@
 func (g *group) restartAs(i int, self Member) {
 	m := New(Config{}, self, rand.New(rand.NewPCG(g.rng.Uint64(), 2)))
 	n := len(g.daemons)
-	m.Seeds(g.now, []Member{{Peer: g.daemons[(i+1)%n].address}, {Peer: g.daemons[(i+2)%n].address}})
+	m.AddSeeds(g.now, []Member{{Peer: g.daemons[(i+1)%n].address}, {Peer: g.daemons[(i+2)%n].address}})
 	g.daemons[i] = &daemon{Membership: m, address: self.Peer, index: i, up: true}
 	g.byAddr[self.Peer] = g.daemons[i]
 }
--- a/internal/membership/introduced.go
+++ b/internal/membership/introduced.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Introduced takes daemons that another one or the platform's store vouches for, as of
+// Introduce takes daemons that another one or the platform's store vouches for, as of
 // a while ago. What is known of them that is newer stands; one that doesn't live is
 // found out by the probes. It isn't spread: the others are told in the same way.
-func (m *Membership) Introduced(now time.Time, members []Member) []Action {
+func (m *Membership) Introduce(now time.Time, members []Member) []Action {
 	m.clock.advance(now)
 	for i := range members {
 		r := recordOf(members[i])
@@ -13,5 +13,5 @@
 			Instance: members[i].Instance, Run: r.run(), State: Alive, Incarnation: members[i].Incarnation, Record: r,
 		}, false)
 	}
-	return m.take()
+	return m.takeActions()
 }
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -35,7 +35,7 @@
 	for seed := range uint64(64) {
 		now := time.Unix(1000, 0)
 		m := New(Config{}, Member{Instance: "a", Daemon: "a", Peer: "a:1"}, rand.New(rand.NewPCG(seed, 1)))
-		m.Seeds(now, []Member{{Peer: "b:1"}, {Peer: "c:1"}})
+		m.AddSeeds(now, []Member{{Peer: "b:1"}, {Peer: "c:1"}})
 		asked := map[string]int{}
 		for _, a := range m.Tick(now) {
 			if send, ok := a.(Send); ok {
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -47,14 +47,14 @@
 	// under way for long arrives.
 	g := settled(t, 9, 4, 1)
 	left, dead := g.daemons[1], g.daemons[2]
-	old := []*Packet{left.bare(Ping), dead.bare(Ping)}
+	old := []*Packet{left.newPacket(Ping), dead.newPacket(Ping)}
 	g.carryOut(left, left.Depart(g.now))
 	left.up, dead.up = false, false
 	g.run(20 * time.Second)
 	list := []Member{left.View().Self(), dead.View().Self()}
 	for range 60 {
 		for _, d := range g.daemons[3:] {
-			d.Seeds(g.now, list)
+			d.AddSeeds(g.now, list)
 			for _, p := range old {
 				d.Receive(g.now, p)
 			}
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -4,16 +4,16 @@
 
 // Bounds of the search for lost data centres.
 const (
-	// lossMinimum is the fewest failed daemons that speak for a loss: one
+	// minLossFailures is the fewest failed daemons that speak for a loss: one
 	// failed daemon is one failed daemon.
-	lossMinimum = 2
-	// verifyPings is how many daemons are probed before a loss is believed.
-	verifyPings = 3
-	// verifyPause is the time between two verifications of one data centre.
-	verifyPause = 2 * time.Second
-	// startTime is how long a new daemon takes statements about its data
+	minLossFailures = 2
+	// verifyProbes is how many daemons are probed before a loss is believed.
+	verifyProbes = 3
+	// verifyInterval is the time between two verifications of one data centre.
+	verifyInterval = 2 * time.Second
+	// startupPeriod is how long a new daemon takes statements about its data
 	// centre for old ones, which do not concern it.
-	startTime = 15 * time.Second
+	startupPeriod = 15 * time.Second
 )
 
 // checkLoss looks whether half of a data centre's daemons failed lately, and
@@ -23,7 +23,7 @@
 		return
 	}
 	failed, up := m.countFailed(d)
-	if failed < lossMinimum || failed < up {
+	if failed < minLossFailures || failed < up {
 		return
 	}
 	m.verifyLoss(d, d.version+1)
@@ -49,15 +49,15 @@
 // where none of them answers here, whoever claims it: a daemon that was cut
 // off and comes back claims the loss of all data centres but its own.
 func (m *Membership) verifyLoss(d *dataCentre, version uint64) {
-	d.claim = version
+	d.claimedVersion = version
 	d.verifyFrom = m.clock.now
 	d.verifyReceived = m.received
 	d.verifyUntil = m.clock.now + m.cfg.ProbeInterval
-	d.nextVerify = d.verifyUntil + verifyPause
+	d.nextVerify = d.verifyUntil + verifyInterval
 	for _, n := range m.verifyTargets(d) {
 		m.ping(n, m.nextSequence())
 	}
-	m.rumours.addDataCentre(d)
+	m.updates.addDataCentre(d)
 }
 
 // verifyTargets chooses daemons at random, those that are not suspect first.
@@ -75,7 +75,7 @@
 	m.shuffle(unsuspected)
 	m.shuffle(rest)
 	all := append(unsuspected, rest...)
-	return all[:min(len(all), verifyPings)]
+	return all[:min(len(all), verifyProbes)]
 }
 
 func (m *Membership) shuffle(nodes []*node) {
@@ -87,37 +87,37 @@
 		if d.verifying() && m.clock.now >= d.verifyUntil {
 			m.endVerification(d)
 		}
-		if d.lost() && !d.settled {
-			m.tickLost(d)
+		if d.lost() && !d.lossApplied {
+			m.tickLoss(d)
 		}
 	}
 }
 
 func (m *Membership) endVerification(d *dataCentre) {
-	version := d.claim
-	d.claim = 0
-	if d.heardAt >= d.verifyFrom || version <= d.version {
+	version := d.claimedVersion
+	d.claimedVersion = 0
+	if d.lastPacketAt >= d.verifyFrom || version <= d.version {
 		return
 	}
 	if m.received == d.verifyReceived {
 		return // this daemon is cut off itself
 	}
-	m.loseDataCentre(d, version)
+	m.markDataCentreLost(d, version)
 }
 
-func (m *Membership) loseDataCentre(d *dataCentre, version uint64) {
+func (m *Membership) markDataCentreLost(d *dataCentre, version uint64) {
 	d.version = version
-	d.claim = 0
+	d.claimedVersion = 0
 	d.lostAt = m.clock.now
-	d.settled = false
+	d.lossApplied = false
 	m.dirty = true
-	m.rehashAll(d)
-	m.rumours.addDataCentre(d)
-	m.act(DataCentreLost{DataCentre: d.name})
+	m.rehashDataCentre(d)
+	m.updates.addDataCentre(d)
+	m.emit(DataCentreLost{DataCentre: d.name})
 }
 
-// rehashAll brings the table hash up to date after d was lost or found.
-func (m *Membership) rehashAll(d *dataCentre) {
+// rehashDataCentre brings the table hash up to date after d was lost or found.
+func (m *Membership) rehashDataCentre(d *dataCentre) {
 	for _, n := range m.sorted {
 		if n.dc == d {
 			m.rehash(n)
@@ -125,13 +125,13 @@
 	}
 }
 
-func (m *Membership) recoverDataCentre(d *dataCentre, version uint64) {
+func (m *Membership) markDataCentreRecovered(d *dataCentre, version uint64) {
 	wasLost := d.lost()
 	d.version = version
-	d.claim = 0
+	d.claimedVersion = 0
 	m.dirty = true
-	m.rehashAll(d)
-	m.rumours.addDataCentre(d)
+	m.rehashDataCentre(d)
+	m.updates.addDataCentre(d)
 	if !wasLost {
 		return
 	}
@@ -140,19 +140,19 @@
 			n.deadline = m.clock.now + m.suspicionTimeout()
 		}
 	}
-	m.act(DataCentreRecovered{DataCentre: d.name})
+	m.emit(DataCentreRecovered{DataCentre: d.name})
 }
 
-// tickLost settles a loss that lasts. A side that sees less than half of its
+// tickLoss settles a loss that lasts. A side that sees less than half of its
 // region waits until it has seen more for as long: it is likely the one that is
 // cut off, and each daemon of the others would have to refute its own death.
-func (m *Membership) tickLost(d *dataCentre) {
-	if d.region == m.regionName() && !m.seesMajority() {
+func (m *Membership) tickLoss(d *dataCentre) {
+	if d.region == m.ownRegion() && !m.seesMajority() {
 		d.lostAt = m.clock.now
 		return
 	}
-	if m.clock.now >= d.lostAt+m.cfg.LossSettle {
-		m.settleLoss(d)
+	if m.clock.now >= d.lostAt+m.cfg.LossApplyDelay {
+		m.applyLoss(d)
 	}
 }
 
@@ -161,7 +161,7 @@
 func (m *Membership) seesMajority() bool {
 	up, all := 0, 0
 	for _, n := range m.sorted {
-		if n.record.Region != m.regionName() || n.state.Terminal() {
+		if n.record.Region != m.ownRegion() || n.state.Terminal() {
 			continue
 		}
 		all++
@@ -172,14 +172,14 @@
 	return 2*up >= all
 }
 
-// settleLoss writes a loss into the members' own records, without telling: all
+// applyLoss writes a loss into the members' own records, without telling: all
 // daemons do the same. Then an instance that later starts in the data centre
 // does not bring its dead back with it.
-func (m *Membership) settleLoss(d *dataCentre) {
-	d.settled = true
+func (m *Membership) applyLoss(d *dataCentre) {
+	d.lossApplied = true
 	for _, n := range m.sorted {
 		if n.dc == d && !n.state.Terminal() {
-			m.set(n, Dead, n.incarnation, false)
+			m.setState(n, Dead, n.incarnation, false)
 		}
 	}
 }
@@ -194,9 +194,9 @@
 	case d == m.self.dc:
 		m.refuteLoss(d, u)
 	case !u.Lost():
-		m.recoverDataCentre(d, u.Version)
-	case d.region != m.regionName():
-		m.loseDataCentre(d, u.Version)
+		m.markDataCentreRecovered(d, u.Version)
+	case d.region != m.ownRegion():
+		m.markDataCentreLost(d, u.Version)
 	case !d.verifying() && m.clock.now >= d.nextVerify:
 		m.verifyLoss(d, u.Version)
 	}
@@ -209,8 +209,8 @@
 	if u.Lost() {
 		version++
 	}
-	m.recoverDataCentre(d, version)
-	if u.Lost() || m.clock.now > startTime {
-		m.act(DeclaredDead{Incarnation: m.self.incarnation})
+	m.markDataCentreRecovered(d, version)
+	if u.Lost() || m.clock.now > startupPeriod {
+		m.emit(DeclaredDead{Incarnation: m.self.incarnation})
 	}
 }
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -72,7 +72,7 @@
 	viewer := d.self.record.Daemon
 	for _, seen := range d.View().All() {
 		key := deadKey{viewer: viewer, seen: seen.Daemon, incarnation: seen.Incarnation}
-		if n := d.nodes[seen.Instance]; n != nil && n.state.Terminal() && !n.quiet {
+		if n := d.nodes[seen.Instance]; n != nil && n.state.Terminal() && !n.provisional {
 			m.dead[key] = true
 		} else if m.dead[key] {
 			t.Fatalf("%s sees incarnation %d of %s again", viewer, seen.Incarnation, seen.Daemon)
@@ -132,7 +132,7 @@
 	}
 	list := m.g.list()
 	for _, d := range m.g.daemons {
-		d.Seeds(m.g.now, list)
+		d.AddSeeds(m.g.now, list)
 	}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,32 +23,32 @@
 	sorted      []*node // all nodes by instance
 	dataCentres []*dataCentre
 	buckets     buckets
-	rumours     rumours
+	updates     updateQueue
 	regions     regions
 
 	prober       prober
 	relays       relays
 	health       health
 	syncer       syncer
-	rumourBudget budget
+	updateBudget budget
 	syncBudget   budget
 	seeds        seeds
-	suspect      []*node // own region's suspects with a running deadline
+	suspects     []*node // own region's suspects with a running deadline
 
 	sequence   uint32
 	received   uint64 // packets from other daemons
 	regionSize int    // own region's daemons that are not gone
 	nextGossip time.Duration
-	nextForget time.Duration
-	newer      newerDigest
-
-	view          *View
-	dirty         bool // the view is out of date
-	digests       bool // only digests are out of date
-	viewAt        time.Duration
-	reportedDeath uint64 // incarnation of the last DeclaredDead
-	joined        bool
-	isolation     isolation
+	nextExpire time.Duration
+	lastNewer  newerDigest
+
+	view           *View
+	dirty          bool // the view is out of date
+	digestsChanged bool // only digests are out of date
+	viewBuiltAt    time.Duration
+	reportedDeath  uint64 // incarnation of the last DeclaredDead
+	joined         bool
+	isolation      isolation
 }
 
 // New returns the membership of a daemon that knows only itself. The state in
@@ -60,14 +60,14 @@
 		nodes:      map[fleet.InstanceID]*node{},
 		regionSize: 1,
 	}
-	m.rumourBudget = newBudget(m.cfg.RumourBytesPerSecond, rumourBurst)
+	m.updateBudget = newBudget(m.cfg.UpdateBytesPerSecond, updateBurst)
 	m.syncBudget = newBudget(m.cfg.SyncBytesPerSecond, syncBurst)
-	m.clock.maxStep = max(minStep, m.cfg.ProbeInterval/2)
-	m.self = m.add(self.Instance, recordOf(self), Alive, max(self.Incarnation, 1))
+	m.clock.stepLimit = max(minStepLimit, m.cfg.ProbeInterval/2)
+	m.self = m.addMember(self.Instance, recordOf(self), Alive, max(self.Incarnation, 1))
 	m.self.digest = self.Digest
 	m.regions.own = self.Region
-	m.regions.touch(self.Region, 0)
-	m.rumours.addNode(m.self)
+	m.regions.getOrAdd(self.Region, 0)
+	m.updates.addNode(m.self)
 	m.rebuildView()
 	return m
 }
@@ -79,11 +79,11 @@
 func (m *Membership) SetDigest(d Digest) {
 	d.Payload = d.Payload[:min(len(d.Payload), MaxDigestPayload)]
 	m.self.digest = d
-	m.digests = true
+	m.digestsChanged = true
 }
 
-// add enters a member that is not yet known.
-func (m *Membership) add(id fleet.InstanceID, r *Record, s State, incarnation uint64) *node {
+// addMember enters a member that is not yet known.
+func (m *Membership) addMember(id fleet.InstanceID, r *Record, s State, incarnation uint64) *node {
 	n := &node{
 		instance:    id,
 		record:      r,
@@ -91,7 +91,7 @@
 		state:       s,
 		incarnation: incarnation,
 		dc:          m.dataCentre(r.DataCentre, r.Region),
-		fresh:       true,
+		sendRecord:  true,
 	}
 	m.nodes[id] = n
 	at, _ := slices.BinarySearchFunc(m.sorted, id, func(n *node, id fleet.InstanceID) int {
@@ -99,7 +99,7 @@
 	})
 	m.sorted = slices.Insert(m.sorted, at, n)
 	m.rehash(n)
-	m.regions.touch(r.Region, m.clock.now)
+	m.regions.getOrAdd(r.Region, m.clock.now)
 	m.dirty = true
 	return n
 }
@@ -111,13 +111,13 @@
 			return d
 		}
 	}
-	d := &dataCentre{name: name, region: region, heardAt: m.clock.now}
+	d := &dataCentre{name: name, region: region, lastPacketAt: m.clock.now}
 	m.dataCentres = append(m.dataCentres, d)
 	return d
 }
 
-// set changes a member's state and says it on where spread is true.
-func (m *Membership) set(n *node, s State, incarnation uint64, spread bool) {
+// setState changes a member's state and says it on where spread is true.
+func (m *Membership) setState(n *node, s State, incarnation uint64, spread bool) {
 	wasFailed := n.state.IsSuspect() || n.state.Terminal()
 	isFailed := s.IsSuspect() || s.Terminal()
 	if isFailed && (!wasFailed || s.Terminal()) {
@@ -128,20 +128,20 @@
 	m.rehash(n)
 	m.dirty = true
 	if spread {
-		m.rumours.addNode(n)
+		m.updates.addNode(n)
 	}
 }
 
-func (m *Membership) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Membership) emit(a Action) { m.actions = append(m.actions, a) }
 
-// take returns the actions of one call. The slice is the caller's.
-func (m *Membership) take() []Action {
+// takeActions returns the actions of one call. The slice is the caller's.
+func (m *Membership) takeActions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-// local reports whether n is probed from here: another daemon of the region.
-func (m *Membership) local(n *node) bool {
+// isLocal reports whether n is probed from here: another daemon of the region.
+func (m *Membership) isLocal(n *node) bool {
 	return n != m.self && n.record.Region == m.self.record.Region
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -5,7 +5,7 @@
 // others will find it in the same way.
 func (m *Membership) merge(u *Update, spread bool) bool {
 	if u.Instance == m.self.instance {
-		m.claimed(u)
+		m.mergeSelf(u)
 		return true
 	}
 	n := m.nodes[u.Instance]
@@ -37,13 +37,13 @@
 	return u.State > n.state
 }
 
-// hearAgain counts a rumour that is heard from others as if it had been told:
+// countDuplicate counts a rumour that is heard from others as if it had been told:
 // who hears it often needs not repeat it as often. At a start of all daemons
 // this spares most of the repetitions.
-func (m *Membership) hearAgain(u *Update) {
+func (m *Membership) countDuplicate(u *Update) {
 	n := m.nodes[u.Instance]
-	if n != nil && n.telling.queued && u.Incarnation == n.incarnation && u.State == n.state {
-		n.telling.sends++
+	if n != nil && n.queueState.queued && u.Incarnation == n.incarnation && u.State == n.state {
+		n.queueState.sends++
 	}
 }
 
@@ -54,11 +54,11 @@
 	if u.Record == nil {
 		return false
 	}
-	n := m.add(u.Instance, u.Record, Alive, u.Incarnation)
+	n := m.addMember(u.Instance, u.Record, Alive, u.Incarnation)
 	m.seeds.remove(n)
-	m.enterRing(n)
+	m.addToRound(n)
 	if spread {
-		m.rumours.addNode(n)
+		m.updates.addNode(n)
 	}
 	m.mergeState(n, u, spread)
 	return true
@@ -70,24 +70,24 @@
 	n.run = r.run()
 	n.dc = m.dataCentre(r.DataCentre, r.Region)
 	n.digest = Digest{}
-	n.fresh = true
-	m.regions.touch(r.Region, m.clock.now)
+	n.sendRecord = true
+	m.regions.getOrAdd(r.Region, m.clock.now)
 }
 
 // mergeState applies a statement that overrides what is known.
 func (m *Membership) mergeState(n *node, u *Update, spread bool) {
-	state := m.believed(n, u)
+	state := m.acceptedState(n, u)
 	if state == n.state && u.Incarnation == n.incarnation {
 		return
 	}
 	wasGone := n.state.Terminal()
 	wasSuspect := n.state.IsSuspect() && u.Incarnation == n.incarnation
-	m.set(n, state, u.Incarnation, spread)
-	if !m.local(n) {
+	m.setState(n, state, u.Incarnation, spread)
+	if !m.isLocal(n) {
 		return
 	}
 	if wasGone && !state.Terminal() {
-		m.enterRing(n)
+		m.addToRound(n)
 	}
 	if state.IsSuspect() && !wasSuspect {
 		m.startSuspicion(n)
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -18,14 +18,14 @@
 	hash        uint64        // contribution to the table hash; 0 when terminal
 	failedAt    time.Duration // when it became suspect or terminal
 	deadline    time.Duration // of a suspect: when it becomes Dead
-	telling     telling
-	fresh       bool  // the rumour must carry the Record
-	quiet       bool  // judged while this daemon was cut off; told to nobody
-	before      State // of a quiet one: before it was judged
+	queueState  queueState
+	sendRecord  bool  // the rumour must carry the Record
+	provisional bool  // judged while this daemon was cut off; told to nobody
+	priorState  State // of a quiet one: before it was judged
 }
 
-// effective is the state with the data centre's loss laid over it.
-func (n *node) effective() State {
+// effectiveState is the state with the data centre's loss laid over it.
+func (n *node) effectiveState() State {
 	if n.dc.lost() && !n.state.Terminal() {
 		return Dead
 	}
@@ -41,7 +41,7 @@
 		Peer:        r.Peer,
 		DataCentre:  r.DataCentre,
 		Region:      r.Region,
-		State:       n.effective(),
+		State:       n.effectiveState(),
 		Incarnation: n.incarnation,
 		Digest:      n.digest,
 	}
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -37,7 +37,7 @@
 	NeedRecord  bool             // the sender lacks the receiver's Record
 	TableHash   uint64           // of the sender's member table
 	Digest      Digest
-	Beats       []Beat
+	Heartbeats  []Heartbeat
 	Updates     []Update
 	DataCentres []DataCentreUpdate
 	Buckets     []byte // in a SyncRequest, BucketCount of them, salted with Sequence
@@ -71,9 +71,9 @@
 // Lost reports whether the update says that the data centre is lost.
 func (u DataCentreUpdate) Lost() bool { return u.Version%2 == 1 }
 
-// Beat is a region's counter: its bridges raise it as long as they live, so
+// Heartbeat is a region's counter: its bridges raise it as long as they live, so
 // where it stops growing the region cannot be heard.
-type Beat struct {
+type Heartbeat struct {
 	Region fleet.Region
 	Count  uint64
 }
--- a/internal/membership/packet_test.go
+++ b/internal/membership/packet_test.go
@@ -13,11 +13,11 @@
 func pair() (*Membership, *node, *Packet) {
 	m := New(Config{}, memberAt(0, 0, "dc-00", "r"), rand.New(rand.NewPCG(1, 1)))
 	other := New(Config{}, memberAt(1, 0, "dc-01", "r"), rand.New(rand.NewPCG(1, 2)))
-	p := other.bare(Gossip)
+	p := other.newPacket(Gossip)
 	p.Updates = []Update{other.self.update(true)}
 	p.Source = "10.0.1.7:7946"
 	m.Receive(time.Unix(0, 0), p)
-	again := other.bare(Gossip)
+	again := other.newPacket(Gossip)
 	again.Source = p.Source
 	return m, m.nodes["i-00000000000000001"], again
 }
@@ -65,9 +65,9 @@
 	refuted, _, _ := pair()
 	refuted.self.incarnation++
 	death := Update{Instance: refuted.self.instance, Run: refuted.self.run, State: Dead, Incarnation: refuted.self.incarnation - 1}
-	refuted.claimed(&death)
-	refuted.claimed(&death)
-	assert.DeepEqual(t, refuted.take(), []Action{DeclaredDead{Incarnation: death.Incarnation}})
+	refuted.mergeSelf(&death)
+	refuted.mergeSelf(&death)
+	assert.DeepEqual(t, refuted.takeActions(), []Action{DeclaredDead{Incarnation: death.Incarnation}})
 }
 
 func TestUnknownSenderIsAskedForItsRecord(t *testing.T) {
@@ -113,10 +113,10 @@
 	gone := Update{Instance: "i-gone", State: Dead, Incarnation: 1, Record: n.record}
 	m.merge(&gone, true)
 	assert.Assert(t, m.nodes["i-gone"] == nil)
-	m.Seeds(time.Unix(0, 0), []Member{n.member(), m.self.member()})
+	m.AddSeeds(time.Unix(0, 0), []Member{n.member(), m.self.member()})
 	n.state = Left
-	m.Seeds(time.Unix(0, 0), []Member{n.member()})
-	assert.Equal(t, len(m.seeds.hints), 0)
+	m.AddSeeds(time.Unix(0, 0), []Member{n.member()})
+	assert.Equal(t, len(m.seeds.list), 0)
 }
 
 func TestPagesAndRumoursStayWithinTheirBudgets(t *testing.T) {
@@ -127,7 +127,7 @@
 	ping := *ask
 	ping.Kind, ping.Buckets, ping.Subject = Ping, nil, m.self.instance
 	for _, n := range m.sorted {
-		m.rumours.addNode(n)
+		m.updates.addNode(n)
 	}
 	pages, acks, answers := 0, 0, 0
 	for range 200 {
@@ -141,7 +141,7 @@
 	}
 	assert.Equal(t, answers, 200)
 	assert.Assert(t, pages < syncBurst+defaultMaxPacketBytes, "%d bytes of pages", pages)
-	assert.Assert(t, acks < rumourBurst+defaultMaxPacketBytes+200*300, "%d bytes of answers", acks)
+	assert.Assert(t, acks < updateBurst+defaultMaxPacketBytes+200*300, "%d bytes of answers", acks)
 }
 
 func (n *node) asSender() Sender {
@@ -163,7 +163,7 @@
 	m, n, p := pair()
 	now := time.Unix(1000, 0)
 	verify := func(hear *Packet) {
-		n.dc.heardAt = -time.Second
+		n.dc.lastPacketAt = -time.Second
 		m.verifyLoss(n.dc, 1)
 		for range 20 {
 			now = now.Add(tick)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -27,16 +27,16 @@
 	p.indirectAt = m.clock.now + m.health.scale(m.cfg.ProbeTimeout)
 	p.endAt = m.clock.now + interval
 	p.indirect = false
-	p.receivedAt = m.received
-	p.asked, p.nacks = 0, 0
+	p.receivedAtStart = m.received
+	p.requests, p.nacks = 0, 0
 	m.ping(n, p.sequence)
 }
 
 func (m *Membership) ping(n *node, sequence uint32) {
-	packet := m.bare(Ping)
+	packet := m.newPacket(Ping)
 	packet.Sequence = sequence
 	packet.Subject = n.instance
-	m.complete(packet, n)
+	m.piggyback(packet, n)
 	m.send(n.record.Peer, packet)
 }
 
@@ -46,13 +46,13 @@
 	p := &m.prober
 	p.indirect = true
 	for _, via := range m.proxies(p.target) {
-		packet := m.bare(PingRequest)
+		packet := m.newPacket(PingRequest)
 		packet.Sequence = p.sequence
 		packet.Subject = p.target.instance
 		packet.Address = p.target.record.Peer
-		m.complete(packet, via)
+		m.piggyback(packet, via)
 		m.send(via.record.Peer, packet)
-		p.asked++
+		p.requests++
 	}
 }
 
@@ -64,21 +64,21 @@
 	return m.addProxies(chosen, target, false)
 }
 
-func (m *Membership) addProxies(chosen []*node, target *node, elsewhere bool) []*node {
-	ring := m.prober.ring
-	if len(ring) == 0 {
+func (m *Membership) addProxies(chosen []*node, target *node, otherDataCentres bool) []*node {
+	round := m.prober.round
+	if len(round) == 0 {
 		return chosen
 	}
-	start := m.rng.IntN(len(ring))
-	for i := range ring {
+	start := m.rng.IntN(len(round))
+	for i := range round {
 		if len(chosen) == m.cfg.IndirectProbes {
 			break
 		}
-		n := ring[(start+i)%len(ring)]
+		n := round[(start+i)%len(round)]
 		if n == target || n.state != Alive || n.dc.lost() || contains(chosen, n) {
 			continue
 		}
-		if elsewhere && n.dc == m.self.dc {
+		if otherDataCentres && n.dc == m.self.dc {
 			continue
 		}
 		chosen = append(chosen, n)
@@ -106,14 +106,14 @@
 	p := &m.prober
 	n := p.target
 	p.target = nil
-	m.health.worsen(p.asked, p.nacks, m.cfg.LocalHealthMax)
-	if n.effective().Terminal() || n.state.IsSuspect() {
+	m.health.worsen(p.requests, p.nacks, m.cfg.LocalHealthMax)
+	if n.effectiveState().Terminal() || n.state.IsSuspect() {
 		return
 	}
-	if m.received == p.receivedAt && m.regionSize > 2 {
-		m.suspectQuietly(n)
+	if m.received == p.receivedAtStart && m.regionSize > 2 {
+		m.suspectProvisionally(n)
 		return
 	}
-	m.set(n, n.state.suspected(), n.incarnation, true)
+	m.setState(n, n.state.suspected(), n.incarnation, true)
 	m.startSuspicion(n)
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -7,37 +7,37 @@
 	m.clock.advance(now)
 	if p.From.Instance == m.self.instance {
 		m.receiveOwn(p)
-		return m.take()
+		return m.takeActions()
 	}
 	if m.self.state == Left {
-		return m.take()
+		return m.takeActions()
 	}
 	m.received++
 	m.endIsolation()
-	m.regions.merge(p.Beats, m.clock.now)
-	obituary := m.obituary(p)
+	m.regions.merge(p.Heartbeats, m.clock.now)
+	death := m.refutedDeath(p)
 	m.mergeAll(p)
 	known := m.merge(p.From.update(), true)
 	n := m.nodes[p.From.Instance]
 	if n != nil {
-		m.heard(n, p)
+		m.recordContact(n, p)
 	}
-	if obituary != nil {
-		reply := m.bare(Gossip)
-		reply.Updates = obituary
+	if death != nil {
+		reply := m.newPacket(Gossip)
+		reply.Updates = death
 		m.send(p.Source, reply)
 	}
 	m.dispatch(p, n, n == nil || !known)
-	return m.take()
+	return m.takeActions()
 }
 
 // mergeAll takes in what the packet says of others.
 func (m *Membership) mergeAll(p *Packet) {
-	spread := !m.isBulk() && (p.Kind != SyncPage || m.isForeign(p))
+	spread := !m.inBulkSync() && (p.Kind != SyncPage || m.isFromOtherRegion(p))
 	changes := 0
 	for i := range p.Updates {
 		before := m.buckets.total
-		m.hearAgain(&p.Updates[i])
+		m.countDuplicate(&p.Updates[i])
 		m.merge(&p.Updates[i], spread)
 		if m.buckets.total != before {
 			changes++
@@ -47,7 +47,7 @@
 		m.mergeDataCentre(p.DataCentres[i])
 	}
 	if p.Kind == SyncPage {
-		m.paged(changes)
+		m.scheduleNextSync(changes)
 	}
 }
 
@@ -60,26 +60,26 @@
 // another run of it that is still there.
 func (m *Membership) receiveOwn(p *Packet) {
 	if p.From.Run != m.self.run {
-		m.claimed(p.From.update())
+		m.mergeSelf(p.From.update())
 	}
 }
 
-// isForeign reports whether the packet comes from another region.
-func (m *Membership) isForeign(p *Packet) bool {
+// isFromOtherRegion reports whether the packet comes from another region.
+func (m *Membership) isFromOtherRegion(p *Packet) bool {
 	n := m.nodes[p.From.Instance]
-	return n != nil && n.record.Region != m.regionName()
+	return n != nil && n.record.Region != m.ownRegion()
 }
 
-// heard notes a sign of life.
-func (m *Membership) heard(n *node, p *Packet) {
-	n.dc.heardAt = m.clock.now
+// recordContact notes a sign of life.
+func (m *Membership) recordContact(n *node, p *Packet) {
+	n.dc.lastPacketAt = m.clock.now
 	if !m.joined {
 		m.joined = true
 		m.dirty = true
 	}
 	m.seeds.remove(n)
-	m.hearDigest(n, p.Digest)
-	m.syncer.compare(n, p.TableHash != m.tableHash())
+	m.receiveDigest(n, p.Digest)
+	m.syncer.updatePeer(n, p.TableHash != m.tableHash())
 }
 
 // dispatch answers the packet. Whoever is not known is asked for its Record,
@@ -102,45 +102,45 @@
 	case SyncRequest:
 		m.receiveSyncRequest(p, n)
 	}
-	accused := n != nil && m.isAccused(n)
+	accused := n != nil && m.isFailed(n)
 	if needRecord || accused || p.NeedRecord {
-		m.sendNeeded(p, n, needRecord)
+		m.replyWithGossip(p, n, needRecord)
 	}
 }
 
-func (m *Membership) isAccused(n *node) bool {
+func (m *Membership) isFailed(n *node) bool {
 	return n.state.IsSuspect() || n.state.Terminal() || n.dc.lost()
 }
 
-// sendNeeded sends what the sender of p must know or is asked for.
-func (m *Membership) sendNeeded(p *Packet, n *node, needRecord bool) {
-	reply := m.bare(Gossip)
+// replyWithGossip sends what the sender of p must know or is asked for.
+func (m *Membership) replyWithGossip(p *Packet, n *node, needRecord bool) {
+	reply := m.newPacket(Gossip)
 	reply.NeedRecord = needRecord
 	if p.NeedRecord {
-		m.introduce(reply)
+		m.addOwnRecord(reply)
 	}
 	if n != nil {
-		m.accuse(reply, n)
+		m.addFailedState(reply, n)
 	}
 	m.send(p.Source, reply)
 }
 
 func (m *Membership) sendAck(p *Packet, n *node, needRecord bool) {
-	ack := m.bare(Ack)
+	ack := m.newPacket(Ack)
 	ack.Sequence = p.Sequence
 	ack.Subject = m.self.instance
 	ack.NeedRecord = needRecord
 	if n != nil && (p.NeedRecord || p.Subject == "") {
-		m.introduce(ack) // complete does so where n is nil
+		m.addOwnRecord(ack) // complete does so where n is nil
 	}
-	m.complete(ack, n)
+	m.piggyback(ack, n)
 	m.send(p.Source, ack)
 }
 
 func (m *Membership) receiveAck(p *Packet) {
 	if x, ok := m.relays.remove(p.Sequence); ok {
 		if p.Subject == x.subject {
-			m.passOn(x, Ack)
+			m.answerRequester(x, Ack)
 		}
 		return
 	}
--- a/internal/membership/refute.go
+++ b/internal/membership/refute.go
@@ -1,9 +1,9 @@
 package membership
 
-// claimed answers a statement about this daemon's own instance. One that
+// mergeSelf answers a statement about this daemon's own instance. One that
 // accuses this run, or stems from another run with a number that is not
 // smaller, is refuted by a higher incarnation.
-func (m *Membership) claimed(u *Update) {
+func (m *Membership) mergeSelf(u *Update) {
 	s := m.self
 	if s.state == Left {
 		return
@@ -18,8 +18,8 @@
 	if sameRun && u.Incarnation == s.incarnation && u.State <= s.state {
 		return
 	}
-	s.fresh = s.fresh || !sameRun
-	m.set(s, s.state, u.Incarnation+1, true)
+	s.sendRecord = s.sendRecord || !sameRun
+	m.setState(s, s.state, u.Incarnation+1, true)
 }
 
 // reportDeath says once for each incarnation that it was held for dead, also
@@ -30,12 +30,12 @@
 		return
 	}
 	m.reportedDeath = incarnation
-	m.act(DeclaredDead{Incarnation: incarnation})
+	m.emit(DeclaredDead{Incarnation: incarnation})
 }
 
-// obituary returns what the sender of p must be told about itself: it was held
+// refutedDeath returns what the sender of p must be told about itself: it was held
 // for dead here until this packet, whose incarnation refutes it.
-func (m *Membership) obituary(p *Packet) []Update {
+func (m *Membership) refutedDeath(p *Packet) []Update {
 	n := m.nodes[p.From.Instance]
 	if n == nil || n.state != Dead || n.run != p.From.Run || p.From.Incarnation <= n.incarnation {
 		return nil
--- a/internal/membership/region_test.go
+++ b/internal/membership/region_test.go
@@ -82,8 +82,8 @@
 	d.merge(&u, true)
 	assert.Equal(t, d.nodes[u.Instance].state, Suspect)
 	assert.Equal(t, d.tableHash(), hash, "suspicion makes tables differ")
-	p := d.bare(Ping)
-	d.complete(p, d.nodes[foreign.self.instance])
+	p := d.newPacket(Ping)
+	d.piggyback(p, d.nodes[foreign.self.instance])
 	for _, told := range p.Updates {
 		assert.Assert(t, !told.State.IsSuspect())
 	}
--- a/internal/membership/regions.go
+++ b/internal/membership/regions.go
@@ -9,62 +9,62 @@
 
 // region is what is known of a region as a whole.
 type region struct {
-	name    fleet.Region
-	count   uint64        // its beat
-	grewAt  time.Duration // when the beat last grew
-	bridges []*node       // its daemons that probe other regions
+	name        fleet.Region
+	heartbeat   uint64        // its beat
+	heartbeatAt time.Duration // when the beat last grew
+	bridges     []*node       // its daemons that probe other regions
 }
 
 // regions holds all known regions; there are few, so a slice is enough.
 type regions struct {
-	own      fleet.Region
-	list     []*region
-	isBridge bool // this daemon is a bridge of its own region
-	nextBeat time.Duration
-	rotate   int
+	own           fleet.Region
+	list          []*region
+	isBridge      bool // this daemon is a bridge of its own region
+	nextHeartbeat time.Duration
+	rounds        int
 }
 
-// touch returns a region's entry, made on first use. It then counts as just heard.
-func (r *regions) touch(name fleet.Region, now time.Duration) *region {
+// getOrAdd returns a region's entry, made on first use. It then counts as just heard.
+func (r *regions) getOrAdd(name fleet.Region, now time.Duration) *region {
 	for _, x := range r.list {
 		if x.name == name {
 			return x
 		}
 	}
-	x := &region{name: name, grewAt: now}
+	x := &region{name: name, heartbeatAt: now}
 	r.list = append(r.list, x)
 	return x
 }
 
-// beats returns the counters as a packet carries them. With a single region
+// heartbeats returns the counters as a packet carries them. With a single region
 // there is nothing to tell.
-func (r *regions) beats() []Beat {
+func (r *regions) heartbeats() []Heartbeat {
 	if len(r.list) < 2 {
 		return nil
 	}
-	beats := make([]Beat, len(r.list))
+	heartbeats := make([]Heartbeat, len(r.list))
 	for i, x := range r.list {
-		beats[i] = Beat{Region: x.name, Count: x.count}
+		heartbeats[i] = Heartbeat{Region: x.name, Count: x.heartbeat}
 	}
-	return beats
+	return heartbeats
 }
 
 // merge takes in the greater counters.
-func (r *regions) merge(beats []Beat, now time.Duration) {
-	for _, b := range beats {
-		x := r.touch(b.Region, now)
-		if b.Count > x.count {
-			x.count = b.Count
-			x.grewAt = now
+func (r *regions) merge(heartbeats []Heartbeat, now time.Duration) {
+	for _, b := range heartbeats {
+		x := r.getOrAdd(b.Region, now)
+		if b.Count > x.heartbeat {
+			x.heartbeat = b.Count
+			x.heartbeatAt = now
 		}
 	}
 }
 
-// lost returns the other regions whose counters stand still.
-func (r *regions) lost(now, silence time.Duration) []fleet.Region {
+// unreachable returns the other regions whose counters stand still.
+func (r *regions) unreachable(now, timeout time.Duration) []fleet.Region {
 	var names []fleet.Region
 	for _, x := range r.list {
-		if x.name != r.own && now-x.grewAt > silence {
+		if x.name != r.own && now-x.heartbeatAt > timeout {
 			names = append(names, x.name)
 		}
 	}
@@ -78,7 +78,7 @@
 	for _, x := range m.regions.list {
 		x.bridges = m.bridgesOf(x)
 	}
-	own := m.regions.touch(m.regions.own, m.clock.now)
+	own := m.regions.getOrAdd(m.regions.own, m.clock.now)
 	m.regions.isBridge = contains(own.bridges, m.self)
 }
 
@@ -88,7 +88,7 @@
 	best := make([]*node, 0, m.cfg.Bridges+1)
 	scores := make([]uint64, 0, m.cfg.Bridges+1)
 	for _, n := range m.sorted {
-		if n.record.Region != x.name || n.effective() != Alive {
+		if n.record.Region != x.name || n.effectiveState() != Alive {
 			continue
 		}
 		score := rendezvous.Score(key, string(n.instance))
--- a/internal/membership/relays.go
+++ b/internal/membership/relays.go
@@ -12,11 +12,11 @@
 
 // relay is a probe on behalf of another daemon.
 type relay struct {
-	sequence uint32 // of our Ping
-	asked    uint32 // of the PingRequest
-	to       string // who asked
-	subject  fleet.InstanceID
-	deadline time.Duration
+	sequence        uint32 // of our Ping
+	requestSequence uint32 // of the PingRequest
+	requester       string // who asked
+	subject         fleet.InstanceID
+	deadline        time.Duration
 }
 
 type relays struct {
@@ -44,30 +44,30 @@
 // receivePingRequest probes the subject for the asker.
 func (m *Membership) receivePingRequest(p *Packet) {
 	x := relay{
-		sequence: m.nextSequence(),
-		asked:    p.Sequence,
-		to:       p.Source,
-		subject:  p.Subject,
+		sequence:        m.nextSequence(),
+		requestSequence: p.Sequence,
+		requester:       p.Source,
+		subject:         p.Subject,
 		// The asker waits for the rest of its interval; the Nack needs to be
 		// there before it ends.
 		deadline: m.clock.now + (m.cfg.ProbeInterval-m.cfg.ProbeTimeout)/2,
 	}
 	m.relays.add(x)
-	ping := m.bare(Ping)
+	ping := m.newPacket(Ping)
 	ping.Sequence = x.sequence
 	ping.Subject = p.Subject
 	if n := m.nodes[p.Subject]; n != nil {
-		m.accuse(ping, n)
+		m.addFailedState(ping, n)
 	}
 	m.send(p.Address, ping)
 }
 
-// passOn sends the subject's answer to the daemon that asked.
-func (m *Membership) passOn(x relay, k Kind) {
-	p := m.bare(k)
-	p.Sequence = x.asked
+// answerRequester sends the subject's answer to the daemon that asked.
+func (m *Membership) answerRequester(x relay, k Kind) {
+	p := m.newPacket(k)
+	p.Sequence = x.requestSequence
 	p.Subject = x.subject
-	m.send(x.to, p)
+	m.send(x.requester, p)
 }
 
 func (m *Membership) tickRelays() {
@@ -77,7 +77,7 @@
 			kept = append(kept, x)
 			continue
 		}
-		m.passOn(x, Nack)
+		m.answerRequester(x, Nack)
 	}
 	m.relays.list = kept
 }
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -80,7 +80,7 @@
 func (r *scaleReport) join(b *testing.B, g *group, n int) {
 	g.start(n, scaleDataCentres, scaleRegions)
 	for _, d := range g.daemons {
-		d.Seeds(g.now, g.list())
+		d.AddSeeds(g.now, g.list())
 	}
 	r.add("rounds-join", mustUntil(b, g, "the start of all", g.converged))
 	r.add("B/s-join-max", g.busiest(mustSeconds(g)))
@@ -288,7 +288,7 @@
 func BenchmarkReceive(b *testing.B) {
 	m := filled(340)
 	from := m.nodes["i-00000000000000003"]
-	p := m.bare(Ping)
+	p := m.newPacket(Ping)
 	p.From = Sender{Instance: from.instance, Run: from.run, Incarnation: from.incarnation}
 	p.Subject = m.self.instance
 	p.Source = from.record.Peer
@@ -305,7 +305,7 @@
 	now := time.Unix(0, 0)
 	for b.Loop() {
 		m.joined = true
-		m.isolation.on = false
+		m.isolation.active = false
 		m.Tick(now)
 	}
 }
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -9,46 +9,46 @@
 
 // Bounds of hints.
 const (
-	// maxHints bounds the addresses that are remembered without being members:
+	// maxSeeds bounds the addresses that are remembered without being members:
 	// more than the largest fleet has daemons.
-	maxHints = 512
-	// hintTries is how often a hint is probed before it is dropped; the next
+	maxSeeds = 512
+	// seedTries is how often a hint is probed before it is dropped; the next
 	// call of Seeds brings it back if it is still listed.
-	hintTries = 8
+	seedTries = 8
 	// joinProbes is how many hints are probed at once before anyone answered.
 	joinProbes = 3
 )
 
-// hint is an address at which a daemon may be.
-type hint struct {
+// seed is an address at which a daemon may be.
+type seed struct {
 	instance fleet.InstanceID // empty where only the address is known
 	peer     string
 	tries    int
 }
 
 type seeds struct {
-	hints  []hint
+	list   []seed
 	nextAt time.Duration
 }
 
-// Seeds adds members from the settings or the instance list, which lags: they
+// AddSeeds adds members from the settings or the instance list, which lags: they
 // are addresses to probe, and become members only when they answer, so a list
 // that still shows a gone daemon does not bring it back. Only Instance, which
 // may be empty, and Peer are used.
-func (m *Membership) Seeds(now time.Time, members []Member) {
+func (m *Membership) AddSeeds(now time.Time, members []Member) {
 	m.clock.advance(now)
 	for _, s := range members {
-		if m.wantsHint(s) {
-			m.seeds.hints = append(m.seeds.hints, hint{instance: s.Instance, peer: s.Peer})
+		if m.wantsSeed(s) {
+			m.seeds.list = append(m.seeds.list, seed{instance: s.Instance, peer: s.Peer})
 		}
 	}
 }
 
-func (m *Membership) wantsHint(s Member) bool {
+func (m *Membership) wantsSeed(s Member) bool {
 	if s.Peer == "" || s.Peer == m.self.record.Peer || s.Instance == m.self.instance {
 		return false
 	}
-	if len(m.seeds.hints) == maxHints || m.seeds.has(s.Peer) {
+	if len(m.seeds.list) == maxSeeds || m.seeds.has(s.Peer) {
 		return false
 	}
 	if n := m.nodes[s.Instance]; n != nil && (n.state != Dead || n.record.Peer == s.Peer) {
@@ -65,16 +65,16 @@
 }
 
 func (s *seeds) has(peer string) bool {
-	return slices.ContainsFunc(s.hints, func(h hint) bool { return h.peer == peer })
+	return slices.ContainsFunc(s.list, func(known seed) bool { return known.peer == peer })
 }
 
 // remove drops the hints that became the member n.
-func (s *seeds) remove(n *node) {
-	if len(s.hints) == 0 {
+func (known *seeds) remove(n *node) {
+	if len(known.list) == 0 {
 		return
 	}
-	s.hints = slices.DeleteFunc(s.hints, func(h hint) bool {
-		return h.peer == n.record.Peer || h.instance != "" && h.instance == n.instance
+	known.list = slices.DeleteFunc(known.list, func(s seed) bool {
+		return s.peer == n.record.Peer || s.instance != "" && s.instance == n.instance
 	})
 }
 
@@ -87,12 +87,12 @@
 	}
 	if !m.joined {
 		m.seeds.nextAt = m.clock.now + m.cfg.ProbeInterval
-		m.probeHints(joinProbes)
+		m.probeSeeds(joinProbes)
 		return
 	}
 	m.seeds.nextAt = m.clock.now + m.cfg.ReconnectInterval
 	gone := m.reconnectable()
-	total := len(gone) + len(m.seeds.hints)
+	total := len(gone) + len(m.seeds.list)
 	if total == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 		m.ping(gone[choice], m.nextSequence())
 		return
 	}
-	m.probeHints(1)
+	m.probeSeeds(1)
 }
 
 // reconnectable returns the region's daemons that did not say that they leave
@@ -108,41 +108,41 @@
 func (m *Membership) reconnectable() []*node {
 	var gone []*node
 	for _, n := range m.sorted {
-		if m.local(n) && n.effective() == Dead {
+		if m.isLocal(n) && n.effectiveState() == Dead {
 			gone = append(gone, n)
 		}
 	}
 	return gone
 }
 
-// probeHints probes some hints, each once.
-func (m *Membership) probeHints(count int) {
-	hints := m.seeds.hints
-	probed := make([]bool, len(hints))
-	for range min(count, len(hints)) {
-		at := m.rng.IntN(len(hints))
+// probeSeeds probes some hints, each once.
+func (m *Membership) probeSeeds(count int) {
+	list := m.seeds.list
+	probed := make([]bool, len(list))
+	for range min(count, len(list)) {
+		at := m.rng.IntN(len(list))
 		for probed[at] {
-			at = (at + 1) % len(hints)
+			at = (at + 1) % len(list)
 		}
 		probed[at] = true
-		m.probeHint(&hints[at])
+		m.probeSeed(&list[at])
 	}
 	if !m.joined {
 		return
 	}
-	left := hints[:0]
-	for i, h := range hints {
-		if !probed[i] || h.tries < hintTries {
-			left = append(left, h)
+	kept := list[:0]
+	for i, s := range list {
+		if !probed[i] || s.tries < seedTries {
+			kept = append(kept, s)
 		}
 	}
-	m.seeds.hints = left
+	m.seeds.list = kept
 }
 
-func (m *Membership) probeHint(h *hint) {
-	p := m.bare(Ping)
+func (m *Membership) probeSeed(s *seed) {
+	p := m.newPacket(Ping)
 	p.Sequence = m.nextSequence()
-	m.complete(p, nil)
-	m.send(h.peer, p)
-	h.tries++
+	m.piggyback(p, nil)
+	m.send(s.peer, p)
+	s.tries++
 }
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -1,41 +1,41 @@
 package membership
 
-// bare makes a packet with what every packet carries.
-func (m *Membership) bare(k Kind) *Packet {
+// newPacket makes a packet with what every packet carries.
+func (m *Membership) newPacket(k Kind) *Packet {
 	return &Packet{
-		Kind:      k,
-		From:      m.sender(),
-		TableHash: m.tableHash(),
-		Digest:    m.self.digest,
-		Beats:     m.regions.beats(),
+		Kind:       k,
+		From:       m.sender(),
+		TableHash:  m.tableHash(),
+		Digest:     m.self.digest,
+		Heartbeats: m.regions.heartbeats(),
 	}
 }
 
-// complete adds what n must know before all, then rumours. A nil n is a
+// piggyback adds what n must know before all, then rumours. A nil n is a
 // receiver that is not known yet.
-func (m *Membership) complete(p *Packet, n *node) {
+func (m *Membership) piggyback(p *Packet, n *node) {
 	if n == nil {
-		m.introduce(p)
+		m.addOwnRecord(p)
 	} else {
-		m.accuse(p, n)
+		m.addFailedState(p, n)
 	}
-	if !m.rumourBudget.left() {
+	if !m.updateBudget.available() {
 		return
 	}
-	foreign := n == nil || !m.local(n)
-	transmits := transmitLimit(m.cfg.RetransmitMultiplier, m.regionSize)
-	m.rumourBudget.spend(m.rumours.fill(p, m.cfg.MaxPacketBytes, transmits, foreign))
+	otherRegion := n == nil || !m.isLocal(n)
+	maxSends := transmitLimit(m.cfg.RetransmitMultiplier, m.regionSize)
+	m.updateBudget.spend(m.updates.fill(p, m.cfg.MaxPacketBytes, maxSends, otherRegion))
 }
 
-// introduce adds the own Record.
-func (m *Membership) introduce(p *Packet) {
+// addOwnRecord adds the own Record.
+func (m *Membership) addOwnRecord(p *Packet) {
 	p.Updates = append(p.Updates, m.self.update(true))
 }
 
-// accuse tells n that it is held for suspect or gone. Without this a daemon
+// addFailedState tells n that it is held for suspect or gone. Without this a daemon
 // that was paused or cut off might wait for a rumour that is no longer told.
-func (m *Membership) accuse(p *Packet, n *node) {
-	if !n.quiet && (n.state.IsSuspect() || n.state.Terminal()) {
+func (m *Membership) addFailedState(p *Packet, n *node) {
+	if !n.provisional && (n.state.IsSuspect() || n.state.Terminal()) {
 		p.Updates = append(p.Updates, n.update(false))
 	}
 	if n.dc.lost() {
@@ -43,11 +43,11 @@
 	}
 }
 
-// gossip sends updates alone.
-func (m *Membership) gossip(to string, n *node) {
-	p := m.bare(Gossip)
-	m.rumourBudget.spend(p.Size())
-	m.complete(p, n)
+// sendGossip sends updates alone.
+func (m *Membership) sendGossip(to string, n *node) {
+	p := m.newPacket(Gossip)
+	m.updateBudget.spend(p.Size())
+	m.piggyback(p, n)
 	m.send(to, p)
 }
 
@@ -57,7 +57,7 @@
 }
 
 func (m *Membership) send(to string, p *Packet) {
-	m.act(Send{To: to, Packet: p})
+	m.emit(Send{To: to, Packet: p})
 }
 
 // nextSequence returns a number that is never 0.
--- a/internal/membership/size.go
+++ b/internal/membership/size.go
@@ -31,7 +31,7 @@
 	return messageOverhead + varintBound + fixed64Bound + messageOverhead + len(d.Payload)
 }
 
-func (b *Beat) size() int {
+func (b *Heartbeat) size() int {
 	return messageOverhead + stringOverhead + len(b.Region) + varintBound
 }
 
@@ -41,8 +41,8 @@
 	n += messageOverhead + stringOverhead + len(p.From.Instance) + fixed32Bound + flagBound + varintBound
 	n += 2*stringOverhead + len(p.Subject) + len(p.Address)
 	n += p.Digest.size()
-	for i := range p.Beats {
-		n += p.Beats[i].size()
+	for i := range p.Heartbeats {
+		n += p.Heartbeats[i].size()
 	}
 	for i := range p.Updates {
 		n += p.Updates[i].size()
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -13,22 +13,22 @@
 const digestViewInterval = time.Second
 
 func (m *Membership) tickView() {
-	if !m.dirty && (!m.digests || m.clock.now < m.viewAt+digestViewInterval) {
+	if !m.dirty && (!m.digestsChanged || m.clock.now < m.viewBuiltAt+digestViewInterval) {
 		return
 	}
 	m.rebuildView()
-	m.act(Changed{View: m.view})
+	m.emit(Changed{View: m.view})
 }
 
 // rebuildView makes a new snapshot and what is derived from it.
 func (m *Membership) rebuildView() {
-	m.dirty, m.digests = false, false
-	m.viewAt = m.clock.now
-	v := &View{self: m.self.instance, joined: m.joined, lostRegions: m.regions.lost(m.clock.now, m.cfg.RegionSilence)}
+	m.dirty, m.digestsChanged = false, false
+	m.viewBuiltAt = m.clock.now
+	v := &View{self: m.self.instance, joined: m.joined, unreachableRegions: m.regions.unreachable(m.clock.now, m.cfg.RegionTimeout)}
 	v.members = make([]Member, 0, len(m.sorted))
-	v.serving = m.appendMembers(v, isServing)
-	v.alive = m.appendMembers(v, isReserve)
-	m.appendMembers(v, isGone)
+	v.serving = m.appendMembers(v, classServing)
+	v.alive = m.appendMembers(v, classNotServing)
+	m.appendMembers(v, classGone)
 	v.dataCentres = m.dataCentreViews(v)
 	m.view = v
 	m.regionSize = m.countRegion()
@@ -37,23 +37,23 @@
 
 // class sorts a member into one of a View's three runs.
 func (v *View) class(n *node) memberClass {
-	s := n.effective()
+	s := n.effectiveState()
 	switch {
 	case s.Terminal():
-		return isGone
+		return classGone
 	case s.IsLeaving() || !v.RegionReachable(n.record.Region):
-		return isReserve
+		return classNotServing
 	default:
-		return isServing
+		return classServing
 	}
 }
 
 type memberClass uint8
 
 const (
-	isServing memberClass = iota
-	isReserve
-	isGone
+	classServing memberClass = iota
+	classNotServing
+	classGone
 )
 
 // appendMembers adds the members of one class and returns the length reached.
@@ -90,11 +90,11 @@
 func (m *Membership) countRegion() int {
 	count := 0
 	for _, n := range m.sorted {
-		if n.record.Region == m.regionName() && !n.effective().Terminal() {
+		if n.record.Region == m.ownRegion() && !n.effectiveState().Terminal() {
 			count++
 		}
 	}
 	return count
 }
 
-func (m *Membership) regionName() fleet.Region { return m.self.record.Region }
+func (m *Membership) ownRegion() fleet.Region { return m.self.record.Region }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -66,7 +66,7 @@
 		deaf.waiting = nil
 	}
 	for _, d := range g.daemons {
-		d.rumours.queue = nil
+		d.updates.queue = nil
 	}
 	assert.Assert(t, !g.converged())
 	pages := 0
@@ -89,7 +89,7 @@
 	g := newGroup(1)
 	g.start(170, 11, 3)
 	for _, d := range g.daemons {
-		d.Seeds(g.now, g.list())
+		d.AddSeeds(g.now, g.list())
 	}
 	g.assertConverged(t, time.Minute)
 	g.run(time.Minute - g.now.Sub(time.Unix(1_700_000_000, 0)))
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -15,32 +15,32 @@
 // startSuspicion gives a suspect its deadline.
 func (m *Membership) startSuspicion(n *node) {
 	n.deadline = m.clock.now + m.suspicionTimeout()
-	m.suspect = append(m.suspect, n)
+	m.suspects = append(m.suspects, n)
 	m.checkLoss(n.dc)
 }
 
 // tickSuspects holds suspects for dead whose time to refute is over.
 func (m *Membership) tickSuspects() {
-	kept := m.suspect[:0]
-	for _, n := range m.suspect {
+	kept := m.suspects[:0]
+	for _, n := range m.suspects {
 		if !n.state.IsSuspect() {
 			continue
 		}
-		if m.isolation.on || n.dc.lost() || n.dc.verifying() || m.clock.now < n.deadline {
+		if m.isolation.active || n.dc.lost() || n.dc.verifying() || m.clock.now < n.deadline {
 			kept = append(kept, n)
 			continue
 		}
-		m.set(n, Dead, n.incarnation, true)
+		m.setState(n, Dead, n.incarnation, true)
 	}
-	m.suspect = kept
+	m.suspects = kept
 }
 
-// believed is the state that a statement of others about n leads to. A death
+// acceptedState is the state that a statement of others about n leads to. A death
 // of which no suspicion was heard here for some time is only suspected: it may
 // come from a daemon or a data centre that was cut off and held all others for
 // dead. The one who is meant then has time to refute, and serves on meanwhile.
-func (m *Membership) believed(n *node, u *Update) State {
-	if !m.local(n) {
+func (m *Membership) acceptedState(n *node, u *Update) State {
+	if !m.isLocal(n) {
 		return u.State.cleared()
 	}
 	if u.State != Dead || n.state.Terminal() {
--- a/internal/membership/syncer.go
+++ b/internal/membership/syncer.go
@@ -7,13 +7,13 @@
 	// bulkSyncInterval is the time between comparisons while a daemon learns
 	// many members: it has them all within seconds.
 	bulkSyncInterval = 300 * time.Millisecond
-	// syncRetry is the time to the next comparison where no page came: the
+	// syncRetryInterval is the time to the next comparison where no page came: the
 	// peer's budget was spent, or the packet was lost.
-	syncRetry = time.Second
-	// bulkMinimum is how many changes one page must bring to count as bulk.
-	bulkMinimum = 4
-	// bulkTime is how long a daemon is taken to be learning after such a page.
-	bulkTime = 2 * time.Second
+	syncRetryInterval = time.Second
+	// minBulkChanges is how many changes one page must bring to count as bulk.
+	minBulkChanges = 4
+	// bulkDuration is how long a daemon is taken to be learning after such a page.
+	bulkDuration = 2 * time.Second
 	// pagesPerRequest bounds the answer to one SyncRequest.
 	pagesPerRequest = 8
 )
@@ -26,8 +26,8 @@
 	bulkUntil time.Duration
 }
 
-// compare notes whether n's table differs from ours.
-func (s *syncer) compare(n *node, differs bool) {
+// updatePeer notes whether n's table differs from ours.
+func (s *syncer) updatePeer(n *node, differs bool) {
 	switch {
 	case differs:
 		s.peer = n
@@ -36,10 +36,10 @@
 	}
 }
 
-// isBulk reports whether this daemon is learning many members from pages. It
+// inBulkSync reports whether this daemon is learning many members from pages. It
 // does not pass on rumours then: when all daemons start at once, rumours about
 // all of them would cost each many times the table's size.
-func (m *Membership) isBulk() bool { return m.clock.now < m.syncer.bulkUntil }
+func (m *Membership) inBulkSync() bool { return m.clock.now < m.syncer.bulkUntil }
 
 // tickSync asks the peer whose hash differed last for what differs.
 func (m *Membership) tickSync() {
@@ -49,14 +49,14 @@
 	}
 	n := s.peer
 	s.peer = nil
-	s.nextAt = m.clock.now + syncRetry
-	if m.isBulk() {
+	s.nextAt = m.clock.now + syncRetryInterval
+	if m.inBulkSync() {
 		n = m.bulkPeer(n)
 	}
-	p := m.bare(SyncRequest)
+	p := m.newPacket(SyncRequest)
 	p.Sequence = m.nextSequence()
 	p.Buckets = m.buckets.hashes(p.Sequence)
-	m.accuse(p, n)
+	m.addFailedState(p, n)
 	m.sendSync(n.record.Peer, p)
 }
 
@@ -68,23 +68,23 @@
 // bulkPeer chooses another peer each time, so that when all daemons start at
 // once none is asked by many.
 func (m *Membership) bulkPeer(n *node) *node {
-	if other := m.prober.random(m.rng); other != nil {
+	if other := m.prober.randomPeer(m.rng); other != nil {
 		return other
 	}
 	return n
 }
 
-// paged is called for each page with the changes that it brought. Where it
+// scheduleNextSync is called for each page with the changes that it brought. Where it
 // brought any there may be more.
-func (m *Membership) paged(changes int) {
+func (m *Membership) scheduleNextSync(changes int) {
 	s := &m.syncer
 	if changes == 0 {
 		s.nextAt = max(s.nextAt, m.clock.now+m.cfg.SyncInterval)
 		return
 	}
 	s.nextAt = m.clock.now + bulkSyncInterval
-	if changes >= bulkMinimum {
-		s.bulkUntil = m.clock.now + bulkTime
+	if changes >= minBulkChanges {
+		s.bulkUntil = m.clock.now + bulkDuration
 	}
 }
 
@@ -94,9 +94,9 @@
 	if len(p.Buckets) != BucketCount {
 		return
 	}
-	differ := m.differing(p.Buckets, p.Sequence)
+	differ := m.differingMembers(p.Buckets, p.Sequence)
 	for range pagesPerRequest {
-		if !m.syncBudget.left() {
+		if !m.syncBudget.available() {
 			return
 		}
 		page := m.newPage(n)
@@ -110,9 +110,9 @@
 
 // newPage makes a page that tells the state of all data centres.
 func (m *Membership) newPage(n *node) *Packet {
-	page := m.bare(SyncPage)
+	page := m.newPacket(SyncPage)
 	if n == nil {
-		m.introduce(page)
+		m.addOwnRecord(page)
 	}
 	for _, d := range m.dataCentres {
 		if d.version > 0 {
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// differing returns the members of the buckets that differ, from another
+// differingMembers returns the members of the buckets that differ, from another
 // bucket on each time, so that all get their turn where not all fit.
-func (m *Membership) differing(theirs []byte, salt uint32) []*node {
+func (m *Membership) differingMembers(theirs []byte, salt uint32) []*node {
 	first := m.rng.IntN(BucketCount)
 	var before, after []*node
 	ours := m.buckets.hashes(salt)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -6,18 +6,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// forgetInterval is the time between two searches for members to forget; a
+// expireInterval is the time between two searches for members to forget; a
 // minute more or less does not matter to a Retention of hours.
-const forgetInterval = time.Minute
+const expireInterval = time.Minute
 
 // Tick does what is due. It should be called every 100 ms; the protocol's own
 // time advances by at most half a ProbeInterval for each call, or two ticks.
 func (m *Membership) Tick(now time.Time) []Action {
 	m.clock.advance(now)
 	if m.self.state == Left {
-		return m.take()
+		return m.takeActions()
 	}
-	m.rumourBudget.refill(m.clock.now)
+	m.updateBudget.refill(m.clock.now)
 	m.syncBudget.refill(m.clock.now)
 	m.tickProbe()
 	m.tickRelays()
@@ -28,9 +28,9 @@
 	m.tickSync()
 	m.tickSeeds()
 	m.tickGossip()
-	m.tickForget()
+	m.tickExpire()
 	m.tickView()
-	return m.take()
+	return m.takeActions()
 }
 
 // tickGossip sends updates alone while there are any, so that they spread
@@ -40,24 +40,24 @@
 		return
 	}
 	m.nextGossip = m.clock.now + m.cfg.GossipInterval
-	if m.rumours.empty() || !m.rumourBudget.left() {
+	if m.updates.empty() || !m.updateBudget.available() {
 		return
 	}
-	if n := m.prober.random(m.rng); n != nil {
-		m.gossip(n.record.Peer, n)
+	if n := m.prober.randomPeer(m.rng); n != nil {
+		m.sendGossip(n.record.Peer, n)
 	}
 }
 
-// tickForget drops members that have been gone for Retention, alone or with
+// tickExpire drops members that have been gone for Retention, alone or with
 // their whole region.
-func (m *Membership) tickForget() {
-	if m.clock.now < m.nextForget {
+func (m *Membership) tickExpire() {
+	if m.clock.now < m.nextExpire {
 		return
 	}
-	m.nextForget = m.clock.now + forgetInterval
+	m.nextExpire = m.clock.now + expireInterval
 	kept := m.sorted[:0]
 	for _, n := range m.sorted {
-		if n == m.self || !m.isForgettable(n) {
+		if n == m.self || !m.isExpired(n) {
 			kept = append(kept, n)
 			continue
 		}
@@ -69,16 +69,16 @@
 	m.sorted = kept
 }
 
-func (m *Membership) isForgettable(n *node) bool {
+func (m *Membership) isExpired(n *node) bool {
 	if n.state.Terminal() {
 		return m.clock.now-n.failedAt > m.cfg.Retention
 	}
-	return m.isRegionGone(n.record.Region)
+	return m.isRegionExpired(n.record.Region)
 }
 
-// isRegionGone reports whether a region has been silent for so long that its
+// isRegionExpired reports whether a region has been silent for so long that its
 // members are not worth knowing.
-func (m *Membership) isRegionGone(name fleet.Region) bool {
-	x := m.regions.touch(name, m.clock.now)
-	return x.name != m.regions.own && m.clock.now-x.grewAt > m.cfg.Retention
+func (m *Membership) isRegionExpired(name fleet.Region) bool {
+	x := m.regions.getOrAdd(name, m.clock.now)
+	return x.name != m.regions.own && m.clock.now-x.heartbeatAt > m.cfg.Retention
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -11,13 +11,13 @@
 // It is kept in three runs, each sorted by instance: serving, otherwise alive,
 // gone. The methods return parts of it, which must not be changed.
 type View struct {
-	members     []Member
-	serving     int // members[:serving] take new work
-	alive       int // members[:alive] are not gone
-	dataCentres []DataCentreView
-	self        fleet.InstanceID
-	lostRegions []fleet.Region
-	joined      bool
+	members            []Member
+	serving            int // members[:serving] take new work
+	alive              int // members[:alive] are not gone
+	dataCentres        []DataCentreView
+	self               fleet.InstanceID
+	unreachableRegions []fleet.Region
+	joined             bool
 }
 
 // DataCentreView counts a data centre's members.
@@ -42,12 +42,12 @@
 
 // ByInstance returns the member of an instance.
 func (v *View) ByInstance(id fleet.InstanceID) (Member, bool) {
-	for _, run := range [][]Member{v.members[:v.serving], v.members[v.serving:v.alive], v.members[v.alive:]} {
-		at, found := slices.BinarySearchFunc(run, id, func(m Member, id fleet.InstanceID) int {
+	for _, part := range [][]Member{v.members[:v.serving], v.members[v.serving:v.alive], v.members[v.alive:]} {
+		at, found := slices.BinarySearchFunc(part, id, func(m Member, id fleet.InstanceID) int {
 			return cmp.Compare(m.Instance, id)
 		})
 		if found {
-			return run[at], true
+			return part[at], true
 		}
 	}
 	return Member{}, false
@@ -64,7 +64,7 @@
 
 // RegionReachable reports whether the region is the daemon's own or its
 // bridges have been heard from lately.
-func (v *View) RegionReachable(r fleet.Region) bool { return !slices.Contains(v.lostRegions, r) }
+func (v *View) RegionReachable(r fleet.Region) bool { return !slices.Contains(v.unreachableRegions, r) }
 
 // Joined reports whether another daemon has answered since the start.
 func (v *View) Joined() bool { return v.joined }
