--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// settled returns a group in which all see each other and all is quiet.
-func settled(t *testing.T, n, dcs, regions int) *group {
+// newConvergedGroup returns a group in which all see each other and all is quiet.
+func newConvergedGroup(t *testing.T, n, dcs, regions int) *group {
 	t.Helper()
 	g := newGroup(uint64(n))
 	g.start(n, dcs, regions)
@@ -21,8 +21,8 @@
 	return g
 }
 
-// raised sums up by how much the daemons raised their incarnations.
-func (g *group) raised() uint64 {
+// incarnationRaises sums up by how much the daemons incarnationRaises their incarnations.
+func (g *group) incarnationRaises() uint64 {
 	var sum uint64
 	for _, d := range g.daemons {
 		sum += d.self.incarnation - 1_700_000_000_000
@@ -36,23 +36,23 @@
 	assert.Assert(t, ok, "the daemons do not see each other after %v", took)
 }
 
-func TestOneDeathIsSeenByAllAndNobodyElseDies(t *testing.T) {
+func TestCrashedDaemonIsDeclaredDeadByAllAndNoOtherIs(t *testing.T) {
 	// A daemon's machine is gone at once. The others stop getting answers to
 	// their probes, suspect it, and hold it for dead when it does not refute.
-	g := settled(t, 18, 4, 2)
+	g := newConvergedGroup(t, 18, 4, 2)
 	victim := g.daemons[5]
 	victim.up = false
 	_, ok := g.until(30*time.Second, g.converged)
 	assert.Assert(t, ok)
 	assert.Assert(t, g.everyone(func(d *daemon) bool { return d.stateOf(victim) == Dead }))
-	assert.Equal(t, g.raised(), uint64(0))
+	assert.Equal(t, g.incarnationRaises(), uint64(0))
 }
 
-func TestOneWayLossKillsNobody(t *testing.T) {
+func TestOneWayPacketLossCausesNoSuspicion(t *testing.T) {
 	// Packets from one daemon to another are lost, the other way they arrive,
 	// and all else is well. Its own probes of that one fail for good; the
 	// answers come by others, so nobody is suspected.
-	g := settled(t, 9, 4, 1)
+	g := newConvergedGroup(t, 9, 4, 1)
 	g.drop = func(from, to *daemon) bool { return from.index == 0 && to.index == 1 }
 	for range 600 {
 		g.step()
@@ -63,12 +63,12 @@
 	}
 }
 
-func TestPausedDaemonLearnsThatItWasDeadAndKillsNobody(t *testing.T) {
+func TestResumedDaemonRefutesItsDeathAndDeclaresNobodyDead(t *testing.T) {
 	// A process stands still for a minute and is held for dead. When it goes
 	// on, all its deadlines lie in the past and its socket is full of old
 	// packets. It must not hold others for dead, must learn what was said of
 	// it, and be alive for all within seconds.
-	g := settled(t, 9, 4, 1)
+	g := newConvergedGroup(t, 9, 4, 1)
 	slow := g.daemons[3]
 	slow.paused = true
 	g.run(time.Minute)
@@ -81,13 +81,13 @@
 	assert.Assert(t, g.converged())
 	assert.Assert(t, count[DeclaredDead](slow) >= 1)
 	assert.Assert(t, slow.self.incarnation > 1_700_000_000_000)
-	assert.Equal(t, g.raised(), slow.self.incarnation-1_700_000_000_000)
+	assert.Equal(t, g.incarnationRaises(), slow.self.incarnation-1_700_000_000_000)
 }
 
-func TestSocketOfPausedDaemonIsEmptyAndItStillKillsNobody(t *testing.T) {
+func TestResumedDaemonWithEmptySocketDeclaresNobodyDead(t *testing.T) {
 	// As above, but what waited was dropped, so nothing tells the daemon on its
 	// first tick that others live, and the probe that ran has had its time.
-	g := settled(t, 9, 4, 1)
+	g := newConvergedGroup(t, 9, 4, 1)
 	slow := g.daemons[3]
 	g.until(5*time.Second, func() bool { return slow.prober.target != nil })
 	slow.paused = true
@@ -96,14 +96,14 @@
 	g.resume(slow)
 	g.run(3 * time.Second)
 	assert.Equal(t, len(slow.View().Alive()), 9)
-	assert.Equal(t, g.raised(), slow.self.incarnation-1_700_000_000_000)
+	assert.Equal(t, g.incarnationRaises(), slow.self.incarnation-1_700_000_000_000)
 }
 
 func TestRestartReplacesTheOlderRunAtOnce(t *testing.T) {
 	// A process dies and is started again on the same instance and address
 	// before its death is known. Callers must be shown the new run, and no
 	// suspicion of the old one may hit it.
-	g := settled(t, 9, 4, 1)
+	g := newConvergedGroup(t, 9, 4, 1)
 	g.restart(2, 7)
 	want := memberAt(2, 7, "", "").Daemon
 	_, ok := g.until(5*time.Second, func() bool { return g.everyoneSeesRun(2, want) })
@@ -116,7 +116,7 @@
 	// As above, but the clock was set back, so the new run begins with a lower
 	// incarnation than the older one had. Its peers answer with what they
 	// know, and it raises its own.
-	g := settled(t, 9, 4, 1)
+	g := newConvergedGroup(t, 9, 4, 1)
 	g.daemons[2].up = false
 	self := memberAt(2, 7, g.daemons[2].self.record.DataCentre, "region-0")
 	self.Incarnation = 1
@@ -127,29 +127,29 @@
 	assert.Assert(t, g.converged())
 }
 
-func TestCutOffDaemonComesBackQuietly(t *testing.T) {
+func TestIsolatedDaemonReconnectsWithoutSpreadingSuspicion(t *testing.T) {
 	// A daemon hears nobody for five minutes. On its return it must not tell
 	// what it thought of the others, or each of them would have to refute.
-	g := settled(t, 18, 4, 1)
-	alone := g.daemons[4]
-	g.drop = func(from, to *daemon) bool { return from == alone || to == alone }
+	g := newConvergedGroup(t, 18, 4, 1)
+	isolated := g.daemons[4]
+	g.drop = func(from, to *daemon) bool { return from == isolated || to == isolated }
 	g.run(5 * time.Minute)
-	assert.Equal(t, len(alone.View().Alive()), 1)
-	assert.Equal(t, count[DataCentreLost](alone), 0)
+	assert.Equal(t, len(isolated.View().Alive()), 1)
+	assert.Equal(t, count[DataCentreLost](isolated), 0)
 	g.drop = nil
 	for range 20 * time.Second / tick {
 		g.step()
-		assert.Assert(t, g.everyone(func(d *daemon) bool { return d == alone || len(d.View().Alive()) >= 17 }))
+		assert.Assert(t, g.everyone(func(d *daemon) bool { return d == isolated || len(d.View().Alive()) >= 17 }))
 	}
 	assert.Assert(t, g.converged())
-	assert.Equal(t, g.raised(), alone.self.incarnation-1_700_000_000_000)
+	assert.Equal(t, g.incarnationRaises(), isolated.self.incarnation-1_700_000_000_000)
 }
 
-func TestTwoDeadOfThreeAreSuspectForTheLast(t *testing.T) {
+func TestLastOfThreeDaemonsSuspectsBeforeItDeclaresDead(t *testing.T) {
 	// Of three daemons two die at once. The last hears nobody and cannot tell
 	// whether it is cut off itself, so it suspects them for a minute before it
 	// holds them for dead. When a new daemon comes, all see the same.
-	g := settled(t, 3, 3, 1)
+	g := newConvergedGroup(t, 3, 3, 1)
 	g.daemons[1].up, g.daemons[2].up = false, false
 	g.run(20 * time.Second)
 	last := g.daemons[0]
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -14,13 +14,13 @@
 // group drives daemons by plain calls: what one sends in a tick, the others
 // receive in the next.
 type group struct {
-	now     time.Time
-	rng     *rand.Rand
-	daemons []*daemon
-	byAddr  map[string]*daemon
-	flying  []flight
-	drop    func(from, to *daemon) bool // nil loses nothing
-	packets int
+	now      time.Time
+	rng      *rand.Rand
+	daemons  []*daemon
+	byAddr   map[string]*daemon
+	inFlight []sentPacket
+	drop     func(from, to *daemon) bool // nil loses nothing
+	packets  int
 }
 
 type daemon struct {
@@ -35,7 +35,7 @@
 	sentSize int       // bytes with IP and UDP headers, upper bound
 }
 
-type flight struct {
+type sentPacket struct {
 	from *daemon
 	to   string
 	p    *Packet
@@ -116,8 +116,8 @@
 // step advances by one tick.
 func (g *group) step() {
 	g.now = g.now.Add(tick)
-	flying := g.flying
-	g.flying = nil
+	flying := g.inFlight
+	g.inFlight = nil
 	for _, f := range flying {
 		g.deliver(f)
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (g *group) deliver(f flight) {
+func (g *group) deliver(f sentPacket) {
 	d := g.byAddr[f.to]
 	if d == nil || !d.up || g.drop != nil && g.drop(f.from, d) {
 		return
@@ -165,7 +165,7 @@
 		g.packets++
 		d.sent++
 		d.sentSize += size + udpHeaders
-		g.flying = append(g.flying, flight{from: d, to: s.To, p: s.Packet})
+		g.inFlight = append(g.inFlight, sentPacket{from: d, to: s.To, p: s.Packet})
 	}
 }
 
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -20,10 +20,10 @@
 	}
 }
 
-func TestNewDaemonIsKnownToAllWithinSeconds(t *testing.T) {
+func TestNewDaemonIsInAllViewsWithinSeconds(t *testing.T) {
 	// A daemon joins a running fleet. Others must not have to find it by
 	// comparing tables, which takes a multiple of the time.
-	g := settled(t, 80, 4, 2)
+	g := newConvergedGroup(t, 80, 4, 2)
 	g.add(Config{}, memberAt(100, 0, "dc-00", "region-0"))
 	took, ok := g.until(6*time.Second, g.converged)
 	t.Log(took)
@@ -31,7 +31,7 @@
 }
 
 // Guards against a daemon that asks one of two others twice and knows nothing of the other for seconds.
-func TestFirstProbesGoToAllOfAFew(t *testing.T) {
+func TestFirstProbesGoToDifferentSeeds(t *testing.T) {
 	for seed := range uint64(64) {
 		now := time.Unix(1000, 0)
 		m := New(Config{}, Member{Instance: "a", Daemon: "a", Peer: "a:1"}, rand.New(rand.NewPCG(seed, 1)))
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLeavingDaemonIsKnownWithinSecondsAndNeverServesAgain(t *testing.T) {
+func TestLeavingDaemonStopsServingWithinSecondsForGood(t *testing.T) {
 	// A daemon says that it leaves, goes on for ten seconds, and is gone.
 	// Callers must not be sent to it from a few seconds on, not even when it
 	// is suspected and refutes in between.
-	g := settled(t, 40, 4, 2)
+	g := newConvergedGroup(t, 40, 4, 2)
 	leaver := g.daemons[7]
 	g.carryOut(leaver, leaver.Leave(g.now))
 	notServing := func(d *daemon) bool { return !serves(d.View(), leaver) }
 	_, ok := g.until(4*time.Second, func() bool { return g.everyone(notServing) })
 	assert.Assert(t, ok)
-	accusation := Update{Instance: leaver.self.instance, Run: leaver.self.run, State: leaver.self.state.suspected(), Incarnation: leaver.self.incarnation}
-	g.daemons[8].merge(&accusation, true)
+	suspicion := Update{Instance: leaver.self.instance, Run: leaver.self.run, State: leaver.self.state.suspected(), Incarnation: leaver.self.incarnation}
+	g.daemons[8].merge(&suspicion, true)
 	for range 10 * time.Second / tick {
 		g.step()
 		assert.Assert(t, g.everyone(notServing))
@@ -41,11 +41,11 @@
 	return false
 }
 
-func TestInstanceListDoesNotBringGoneDaemonsBack(t *testing.T) {
+func TestStaleInstanceListDoesNotRestoreGoneDaemons(t *testing.T) {
 	// The instance list lags and still shows a daemon that left and one that
 	// died. Both stay gone, and so they do when a packet of theirs that was
 	// under way for long arrives.
-	g := settled(t, 9, 4, 1)
+	g := newConvergedGroup(t, 9, 4, 1)
 	left, dead := g.daemons[1], g.daemons[2]
 	old := []*Packet{left.newPacket(Ping), dead.newPacket(Ping)}
 	g.carryOut(left, left.Depart(g.now))
@@ -64,8 +64,8 @@
 	}
 }
 
-func TestGoneDaemonIsForgotten(t *testing.T) {
-	g := settled(t, 9, 4, 1)
+func TestGoneDaemonIsRemovedAfterRetention(t *testing.T) {
+	g := newConvergedGroup(t, 9, 4, 1)
 	g.daemons[1].up = false
 	g.run(time.Minute)
 	watcher := g.daemons[0]
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -14,13 +14,13 @@
 // live must see each other, and an incarnation that was seen gone by its own
 // word, or a run that was replaced, must not be seen again.
 type machine struct {
-	g    *group
-	runs int
-	lose int // percent of packets
-	twin int // percent of packets that arrive twice, once late
-	late []flight
-	left map[fleet.DaemonID]bool // runs that departed, on instances that are not used again
-	dead map[deadKey]bool        // seen dead by a daemon: it may not see that incarnation alive again
+	g                *group
+	runs             int
+	lossPercent      int // percent of packets
+	duplicatePercent int // percent of packets that arrive twice, once late
+	delayed          []sentPacket
+	left             map[fleet.DaemonID]bool // runs that departed, on instances that are not used again
+	dead             map[deadKey]bool        // seen dead by a daemon: it may not see that incarnation alive again
 }
 
 type deadKey struct {
@@ -35,7 +35,7 @@
 		dead: map[deadKey]bool{},
 	}
 	m.g.start(rapid.IntRange(4, 10).Draw(t, "daemons"), 4, rapid.IntRange(1, 2).Draw(t, "regions"))
-	m.g.drop = func(_, _ *daemon) bool { return m.g.rng.IntN(100) < m.lose }
+	m.g.drop = func(_, _ *daemon) bool { return m.g.rng.IntN(100) < m.lossPercent }
 	return m
 }
 
@@ -46,7 +46,7 @@
 // run steps, doubles and delays packets, and checks each View.
 func (m *machine) run(t *rapid.T, d time.Duration) {
 	for range d / tick {
-		m.disturb()
+		m.deliverDuplicates()
 		m.g.step()
 		for _, d := range m.g.daemons {
 			if d.up && !d.paused {
@@ -56,15 +56,15 @@
 	}
 }
 
-func (m *machine) disturb() {
-	for _, f := range m.g.flying {
-		if m.g.rng.IntN(100) < m.twin {
-			m.late = append(m.late, f)
+func (m *machine) deliverDuplicates() {
+	for _, f := range m.g.inFlight {
+		if m.g.rng.IntN(100) < m.duplicatePercent {
+			m.delayed = append(m.delayed, f)
 		}
 	}
-	if len(m.late) > 20 {
-		m.g.flying = append(m.g.flying, m.late[:10]...)
-		m.late = m.late[10:]
+	if len(m.delayed) > 20 {
+		m.g.inFlight = append(m.g.inFlight, m.delayed[:10]...)
+		m.delayed = m.delayed[10:]
 	}
 }
 
@@ -92,7 +92,7 @@
 	return m.dead[key]
 }
 
-func TestAnyFaultsEndInAgreement(t *testing.T) {
+func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		m.run(t, 5*time.Second)
@@ -100,8 +100,8 @@
 			"run": func(t *rapid.T) {
 				m.run(t, time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds"))*time.Second)
 			},
-			"lose":    func(t *rapid.T) { m.lose = rapid.IntRange(0, 60).Draw(t, "percent") },
-			"double":  func(t *rapid.T) { m.twin = rapid.IntRange(0, 30).Draw(t, "percent") },
+			"lose":    func(t *rapid.T) { m.lossPercent = rapid.IntRange(0, 60).Draw(t, "percent") },
+			"double":  func(t *rapid.T) { m.duplicatePercent = rapid.IntRange(0, 30).Draw(t, "percent") },
 			"pause":   func(t *rapid.T) { m.pick(t).paused = true },
 			"resume":  func(t *rapid.T) { m.g.resume(m.pick(t)) },
 			"crash":   m.crash,
@@ -109,16 +109,16 @@
 			"depart":  m.depart,
 			"start":   m.start,
 		})
-		m.calm()
+		m.endFaults()
 		m.run(t, 2*time.Minute)
 		assert.Assert(t, m.g.converged())
 	})
 }
 
-// calm ends all faults and sees to it that each region has a daemon: one that
+// endFaults ends all faults and sees to it that each region has a daemon: one that
 // is gone as a whole is told from one that cannot be reached only after hours.
-func (m *machine) calm() {
-	m.lose, m.twin = 0, 0
+func (m *machine) endFaults() {
+	m.lossPercent, m.duplicatePercent = 0, 0
 	for _, d := range m.g.daemons {
 		if d.paused {
 			m.g.resume(d)
--- a/internal/membership/packet_test.go
+++ b/internal/membership/packet_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-func TestWhoeverIsHeldForGoneIsTold(t *testing.T) {
+func TestFailedSenderIsSentItsState(t *testing.T) {
 	// A daemon that is held for suspect or dead, alone or with its data
 	// centre, sends a packet that asks for no answer. It must be told, for the
 	// rumour may have died out before it could be reached.
@@ -50,7 +50,7 @@
 	assert.DeepEqual(t, sent[0].DataCentres, []DataCentreUpdate{n.dc.update(false)})
 }
 
-func TestWhoeverRefutesUnawareIsToldOfItsDeath(t *testing.T) {
+func TestDeathRefutedUnknowinglyIsReportedOnce(t *testing.T) {
 	// A paused daemon refutes a suspicion that it finds in its socket and has
 	// not yet heard that it was dead since. It is told, once, though the
 	// refutation stands: what it owned may have been taken over.
@@ -93,7 +93,7 @@
 	assert.Equal(t, replies(m.Receive(time.Unix(0, 0), p))[0].Kind, Ack)
 }
 
-func TestGoneRunDoesNotCountForTheNewOne(t *testing.T) {
+func TestEndOfAnOlderRunDoesNotEndTheNewOne(t *testing.T) {
 	// A new run is known, then the end of the one before with a higher
 	// incarnation, for the clock was set back. When the new run has raised its
 	// own it must be taken for the new run, not for the gone one.
@@ -108,7 +108,7 @@
 	assert.Equal(t, n.state, Alive)
 }
 
-func TestUnknownGoneMembersAndKnownHintsAreIgnored(t *testing.T) {
+func TestUnknownGoneMembersAndKnownSeedsAreIgnored(t *testing.T) {
 	m, n, _ := pair()
 	gone := Update{Instance: "i-gone", State: Dead, Incarnation: 1, Record: n.record}
 	m.merge(&gone, true)
@@ -119,7 +119,7 @@
 	assert.Equal(t, len(m.seeds.list), 0)
 }
 
-func TestPagesAndRumoursStayWithinTheirBudgets(t *testing.T) {
+func TestPagesAndUpdatesStayWithinTheirBudgets(t *testing.T) {
 	// Many peers ask for the whole table at once, and there is much to tell.
 	// The daemon sends what its budgets allow, and probes still get answers.
 	m := filled(340)
@@ -157,18 +157,18 @@
 	assert.Equal(t, len(m.Receive(time.Unix(0, 0), p)), 1)
 }
 
-func TestWhoeverHearsNobodyBelievesNoLoss(t *testing.T) {
+func TestIsolatedDaemonAcceptsNoDataCentreLoss(t *testing.T) {
 	// While a daemon verifies the loss of a data centre, its own link fails.
 	// That nobody answers then proves nothing.
 	m, n, p := pair()
 	now := time.Unix(1000, 0)
-	verify := func(hear *Packet) {
+	verify := func(received *Packet) {
 		n.dc.lastPacketAt = -time.Second
 		m.verifyLoss(n.dc, 1)
 		for range 20 {
 			now = now.Add(tick)
-			if hear != nil {
-				m.Receive(now, hear)
+			if received != nil {
+				m.Receive(now, received)
 			}
 			m.Tick(now)
 		}
--- a/internal/membership/region_test.go
+++ b/internal/membership/region_test.go
@@ -9,12 +9,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-func TestRegionsThatLoseEachOtherForAnHourKillNobody(t *testing.T) {
+func TestPartitionOfRegionsForAnHourDeclaresNobodyDead(t *testing.T) {
 	// The links between regions fail for an hour, in which each region loses a
 	// daemon and gets a new one. Neither may hold the other's daemons for
 	// dead, both must see that the other cannot be reached, and afterwards
 	// each learns what changed in the other.
-	g := settled(t, 18, 6, 2)
+	g := newConvergedGroup(t, 18, 6, 2)
 	g.drop = func(from, to *daemon) bool { return from.self.record.Region != to.self.record.Region }
 	g.daemons[2].up, g.daemons[3].up = false, false
 	g.run(time.Minute)
@@ -25,21 +25,21 @@
 		if !d.up {
 			continue
 		}
-		assert.Assert(t, !d.View().RegionReachable(other(d)))
+		assert.Assert(t, !d.View().RegionReachable(otherRegion(d)))
 		assert.Assert(t, d.View().RegionReachable(d.self.record.Region))
 		assert.Equal(t, len(d.View().Serving()), 9)
 		assert.Equal(t, count[DataCentreLost](d), 0)
 	}
 	g.drop = nil
 	g.assertConverged(t, time.Minute)
-	reachable := func(d *daemon) bool { return d.View().RegionReachable(other(d)) }
+	reachable := func(d *daemon) bool { return d.View().RegionReachable(otherRegion(d)) }
 	_, ok := g.until(20*time.Second, func() bool { return g.everyone(reachable) })
 	assert.Assert(t, ok)
-	assert.Equal(t, g.raised(), uint64(0))
+	assert.Equal(t, g.incarnationRaises(), uint64(0))
 }
 
-func TestRegionThatIsGoneForGoodIsForgotten(t *testing.T) {
-	g := settled(t, 6, 4, 2)
+func TestMembersOfAnUnreachableRegionAreRemovedAfterRetention(t *testing.T) {
+	g := newConvergedGroup(t, 6, 4, 2)
 	for _, d := range g.daemons {
 		d.cfg.Retention = 2 * time.Minute
 		d.up = d.self.record.Region == "region-0"
@@ -50,17 +50,17 @@
 	assert.Assert(t, g.converged())
 }
 
-func other(d *daemon) fleet.Region {
+func otherRegion(d *daemon) fleet.Region {
 	if d.self.record.Region == "region-0" {
 		return "region-1"
 	}
 	return "region-0"
 }
 
-func TestRegionsMeetAgainThoughTheirBridgesWereReplaced(t *testing.T) {
+func TestRegionsReconnectAfterAllBridgesWereReplaced(t *testing.T) {
 	// While two regions cannot reach each other, each loses all bridges that
 	// the other knows. Bridges that only probed bridges would find nobody.
-	g := settled(t, 24, 6, 2)
+	g := newConvergedGroup(t, 24, 6, 2)
 	g.drop = func(from, to *daemon) bool { return from.self.record.Region != to.self.record.Region }
 	for _, d := range g.daemons {
 		d.up = !d.regions.isBridge
@@ -72,7 +72,7 @@
 
 func TestSuspicionStaysInItsRegion(t *testing.T) {
 	// Only a region's own daemons can tell whether one of them answers.
-	g := settled(t, 6, 2, 2)
+	g := newConvergedGroup(t, 6, 2, 2)
 	d, foreign, local := g.daemons[0], g.daemons[1], g.daemons[2]
 	u := Update{Instance: foreign.self.instance, Run: foreign.self.run, State: Suspect, Incarnation: foreign.self.incarnation}
 	d.merge(&u, true)
@@ -84,15 +84,15 @@
 	assert.Equal(t, d.tableHash(), hash, "suspicion makes tables differ")
 	p := d.newPacket(Ping)
 	d.piggyback(p, d.nodes[foreign.self.instance])
-	for _, told := range p.Updates {
-		assert.Assert(t, !told.State.IsSuspect())
+	for _, u := range p.Updates {
+		assert.Assert(t, !u.State.IsSuspect())
 	}
 }
 
-func TestBridgesAreReplacedWhenTheyDie(t *testing.T) {
+func TestFailedBridgesAreReplaced(t *testing.T) {
 	// All bridges of a region die at once. The next in rank take over, before
 	// the other region holds this one for unreachable for long.
-	g := settled(t, 40, 4, 2)
+	g := newConvergedGroup(t, 40, 4, 2)
 	for _, d := range g.daemons {
 		if d.regions.isBridge && d.self.record.Region == "region-0" {
 			d.up = false
@@ -100,22 +100,22 @@
 	}
 	g.assertConverged(t, time.Minute)
 	g.run(20 * time.Second)
-	assert.Assert(t, g.everyone(func(d *daemon) bool { return d.View().RegionReachable(other(d)) }))
+	assert.Assert(t, g.everyone(func(d *daemon) bool { return d.View().RegionReachable(otherRegion(d)) }))
 }
 
-func TestOnlyFewDaemonsTalkToOtherRegions(t *testing.T) {
+func TestOnlyBridgesProbeOtherRegions(t *testing.T) {
 	// With every daemon probing everywhere, the loss of a link between regions
 	// would make each suspect all daemons of the other.
-	g := settled(t, 60, 6, 3)
-	talkers := map[int]bool{}
+	g := newConvergedGroup(t, 60, 6, 3)
+	probers := map[int]bool{}
 	for range time.Minute / tick {
 		g.step()
-		for _, f := range g.flying {
+		for _, f := range g.inFlight {
 			to := g.byAddr[f.to]
 			if f.p.Kind == Ping && to.self.record.Region != f.from.self.record.Region {
-				talkers[f.from.index] = true
+				probers[f.from.index] = true
 			}
 		}
 	}
-	assert.Equal(t, len(talkers), 3*defaultBridges)
+	assert.Equal(t, len(probers), 3*defaultBridges)
 }
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -60,10 +60,10 @@
 func (r *scaleReport) measure(b *testing.B, n int, seed uint64) {
 	g := newGroup(seed)
 	r.join(b, g, n)
-	r.quiet(g)
-	r.single(b, g)
-	r.dataCentre(b, g)
-	r.loss(g)
+	r.idle(g)
+	r.daemonLoss(b, g)
+	r.dataCentreLoss(b, g)
+	r.packetLoss(g)
 }
 
 // mustUntil returns the rounds until ok holds.
@@ -83,12 +83,12 @@
 		d.AddSeeds(g.now, g.list())
 	}
 	r.add("rounds-join", mustUntil(b, g, "the start of all", g.converged))
-	r.add("B/s-join-max", g.busiest(mustSeconds(g)))
+	r.add("B/s-join-max", g.busiest(secondsSinceStart(g)))
 	g.run(30 * time.Second)
 }
 
-// mustSeconds returns the seconds since the group began.
-func mustSeconds(g *group) float64 { return g.now.Sub(time.Unix(1_700_000_000, 0)).Seconds() }
+// secondsSinceStart returns the seconds since the group began.
+func secondsSinceStart(g *group) float64 { return g.now.Sub(time.Unix(1_700_000_000, 0)).Seconds() }
 
 func (g *group) list() []Member {
 	var list []Member
@@ -113,9 +113,9 @@
 	return float64(most) / seconds
 }
 
-// quiet measures a minute in which nothing happens. Sent and received are
+// idle measures a minute in which nothing happens. Sent and received are
 // equal on average; what is reported is sent.
-func (r *scaleReport) quiet(g *group) {
+func (r *scaleReport) idle(g *group) {
 	const seconds = 60
 	g.clearCounts()
 	packets := g.packets
@@ -166,8 +166,8 @@
 	return m
 }
 
-// single kills one daemon.
-func (r *scaleReport) single(b *testing.B, g *group) {
+// daemonLoss kills one daemon.
+func (r *scaleReport) daemonLoss(b *testing.B, g *group) {
 	victim := g.daemons[len(g.daemons)-1]
 	victim.up = false
 	dead := func() bool {
@@ -177,9 +177,9 @@
 	g.run(30 * time.Second)
 }
 
-// dataCentre kills a whole data centre. Nine daemons have none with two, so
+// dataCentreLoss kills a whole data centre. Nine daemons have none with two, so
 // there it is known when the members are dead.
-func (r *scaleReport) dataCentre(b *testing.B, g *group) {
+func (r *scaleReport) dataCentreLoss(b *testing.B, g *group) {
 	g.clearCounts()
 	lost := g.daemons[0].self.record.DataCentre
 	for _, d := range g.daemons {
@@ -207,9 +207,9 @@
 	return false
 }
 
-// loss runs a minute in which two packets in a hundred are lost and one daemon
+// packetLoss runs a minute in which two packets in a hundred are lost and one daemon
 // is paused for three seconds in every six, and counts those held for dead.
-func (r *scaleReport) loss(g *group) {
+func (r *scaleReport) packetLoss(g *group) {
 	g.drop = func(_, _ *daemon) bool { return g.rng.IntN(100) < 2 }
 	slow := g.daemons[1]
 	dead, suspect := 0.0, 0.0
@@ -221,17 +221,17 @@
 			g.resume(slow)
 		}
 		g.run(time.Second)
-		dead += g.held(Dead, slow)
-		suspect += g.held(Suspect, slow)
+		dead += g.countSeenAs(Dead, slow)
+		suspect += g.countSeenAs(Suspect, slow)
 	}
 	pairs := float64(len(g.daemons)*len(g.daemons)) * 60
 	r.add("false-dead-ppm", dead/pairs*1e6)
 	r.add("false-suspect-ppm", suspect/pairs*1e6)
 }
 
-// held counts the pairs in which a daemon that is up holds another one that is
+// countSeenAs counts the pairs in which a daemon that is up holds another one that is
 // up, and not the slow one, for s.
-func (g *group) held(s State, slow *daemon) float64 {
+func (g *group) countSeenAs(s State, slow *daemon) float64 {
 	count := 0
 	for _, d := range g.daemons {
 		if !d.up || d.paused {
@@ -274,8 +274,8 @@
 		}
 		for range 120 {
 			g.run(time.Second)
-			suspect += g.held(Suspect, bad)
-			dead += g.held(Dead, bad)
+			suspect += g.countSeenAs(Suspect, bad)
+			dead += g.countSeenAs(Dead, bad)
 		}
 	}
 	b.ReportMetric(suspect/float64(b.N), "pair-s-suspect")
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -11,7 +11,7 @@
 	// One daemon applies a change of configuration. The others hear of its
 	// digest by probes, fetch from whoever they heard it from, and are heard
 	// in turn; nobody is sent to a daemon that has nothing newer.
-	g := settled(t, 40, 4, 2)
+	g := newConvergedGroup(t, 40, 4, 2)
 	for _, d := range g.daemons {
 		d.SetDigest(Digest{Version: 7, Hash: 1})
 	}
@@ -46,24 +46,24 @@
 	}
 }
 
-func TestEqualSumsOfDifferentVersionsLackEachOther(t *testing.T) {
+func TestDigestsWithEqualVersionsAndDifferentHashesLackEachOther(t *testing.T) {
 	a, b := Digest{Version: 5, Hash: 1}, Digest{Version: 5, Hash: 2}
 	assert.Assert(t, a.lacks(b) && b.lacks(a))
 	assert.Assert(t, !a.lacks(a))
 	assert.Assert(t, !a.lacks(Digest{Version: 4, Hash: 9}))
 }
 
-func TestGapsInTheTableAreHealed(t *testing.T) {
+func TestMissingMemberIsFetchedByTableSync(t *testing.T) {
 	// A daemon joins while no packet with updates reaches another one. When
 	// the rumours have died out that one lacks the new daemon; the hashes of
 	// their tables differ, and it fetches what it lacks, not the whole table.
-	g := settled(t, 40, 4, 1)
-	deaf := g.daemons[9]
+	g := newConvergedGroup(t, 40, 4, 1)
+	incomplete := g.daemons[9]
 	g.add(Config{}, memberAt(90, 0, "dc-00", "region-0"))
 	for range 30 * time.Second / tick {
 		g.step()
-		deaf.forget("i-0000000000000005a")
-		deaf.waiting = nil
+		incomplete.forget("i-0000000000000005a")
+		incomplete.waiting = nil
 	}
 	for _, d := range g.daemons {
 		d.updates.queue = nil
@@ -72,8 +72,8 @@
 	pages := 0
 	for range 15 * time.Second / tick {
 		g.step()
-		for _, f := range g.flying {
-			if f.p.Kind == SyncPage && f.to == deaf.address {
+		for _, f := range g.inFlight {
+			if f.p.Kind == SyncPage && f.to == incomplete.address {
 				pages += len(f.p.Updates)
 			}
 		}
@@ -82,7 +82,7 @@
 	assert.Assert(t, pages < 10, "fetched %d records for one", pages)
 }
 
-func TestStartOfAllStaysWithinTheBudget(t *testing.T) {
+func TestTrafficIsBoundedWhenAllDaemonsStartAtOnce(t *testing.T) {
 	// All daemons start at once. Each learns the others by fetching tables; if
 	// each also spread all that it learns, the packets would grow with the
 	// square of the number of daemons.
