--- a/internal/membership/action.go
+++ b/internal/membership/action.go
@@ -2,11 +2,11 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// Action is what the caller of a Membership has to do or may want to know.
-// One of Send, Changed, DataCentreLost, DataCentreRecovered, NewerDigest, DeclaredDead.
+// Action is a request or a notification for the caller of a Membership: one of
+// Send, Changed, DataCentreLost, DataCentreRecovered, NewerDigest, DeclaredDead.
 type Action interface{ action() }
 
-// Send asks for a packet to be sent to a peer address.
+// Send requests that a packet be sent to a peer address.
 type Send struct {
 	To     string // host:port
 	Packet *Packet
@@ -15,18 +15,20 @@
 // Changed carries a new snapshot.
 type Changed struct{ View *View }
 
-// DataCentreLost says that a whole data centre stopped answering. Its members
+// DataCentreLost reports that no daemon of a data centre answers. Its members
 // are Dead in the next View.
 type DataCentreLost struct{ DataCentre fleet.DataCentre }
 
-// DataCentreRecovered takes a DataCentreLost back: a member answered.
+// DataCentreRecovered revokes a DataCentreLost: a member of the data centre is up.
 type DataCentreRecovered struct{ DataCentre fleet.DataCentre }
 
-// NewerDigest names a member whose configuration has something that ours lacks.
+// NewerDigest reports a member whose configuration has changes that this
+// daemon's lacks.
 type NewerDigest struct{ Member Member }
 
-// DeclaredDead says that peers held this daemon for dead, alone or with its
-// data centre. What it owned may have been taken over. It has refuted it.
+// DeclaredDead reports that peers declared this daemon dead, alone or with its
+// data centre, and that it has refuted this. Other daemons may have taken over
+// what it owned.
 type DeclaredDead struct{ Incarnation uint64 }
 
 func (Send) action()                {}
--- a/internal/membership/bridge.go
+++ b/internal/membership/bridge.go
@@ -2,12 +2,14 @@
 
 import "slices"
 
-// randomTargetEvery is how often a bridge probes any daemon of a region instead of
-// one of its bridges: those it knows may all be gone after a long separation.
+// randomTargetEvery is the number of rounds in one of which a bridge probes any
+// daemon of a region instead of one of its bridges: after a long partition all
+// bridges in its table may be gone.
 const randomTargetEvery = 4
 
-// tickRegions raises the own region's beat and probes the other regions, if
-// this daemon is a bridge, and notices when a region falls silent.
+// tickRegions marks the view as stale when the set of unreachable regions has
+// changed. A bridge also increments its region's heartbeat and probes the other
+// regions.
 func (m *Membership) tickRegions() {
 	unreachable := m.regions.unreachable(m.clock.now, m.cfg.RegionTimeout)
 	if !slices.Equal(unreachable, m.view.unreachableRegions) {
@@ -30,7 +32,7 @@
 	}
 }
 
-// bridgeTarget chooses whom of a region to probe.
+// bridgeTarget returns the daemon of a region to probe, or nil if there is none.
 func (m *Membership) bridgeTarget(x *region) *node {
 	if len(x.bridges) > 0 && m.regions.rounds%randomTargetEvery != 0 {
 		return x.bridges[m.rng.IntN(len(x.bridges))]
--- a/internal/membership/buckets.go
+++ b/internal/membership/buckets.go
@@ -6,14 +6,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// BucketCount is the number of parts in which two member tables are compared:
-// with 340 members most parts have one or none, so little more is fetched than
-// what differs, and a byte for each part's hash leaves half of a packet free.
+// BucketCount is the number of buckets in which two member tables are compared.
+// With 340 members most buckets hold one member or none, so little more is
+// fetched than what differs, and hashes of one byte leave half of a packet free.
 const BucketCount = 512
 
-// buckets are hashes of the live part of the member table, kept up to date by
-// XOR. Gone members count nothing, so that forgetting one changes no hash, and
-// suspicion counts nothing, so that it causes no comparison of tables.
+// buckets holds hashes of the members that are not gone, updated incrementally
+// by XOR. Gone members are left out, so that removing them from the table changes
+// no hash. Suspicion is left out, so that it triggers no comparison of tables.
 type buckets struct {
 	sums  [BucketCount]uint64
 	total uint64
@@ -21,14 +21,15 @@
 
 func bucketOf(id fleet.InstanceID) int { return int(xxh3.HashString(string(id)) % BucketCount) }
 
-// toggle adds or takes away a member's contribution.
+// toggle adds a member's contribution, or removes it if it was added before.
 func (b *buckets) toggle(id fleet.InstanceID, hash uint64) {
 	b.sums[bucketOf(id)] ^= hash
 	b.total ^= hash
 }
 
-// hashes returns a byte for each part. Of 256 parts that differ one seems equal;
-// with another salt for each comparison it will not be the same one again.
+// hashes returns a hash of one byte for each bucket; 0 if it is empty. One in 256
+// buckets that differ compares as equal; a new salt for each comparison keeps it
+// from being the same bucket each time.
 func (b *buckets) hashes(salt uint32) []byte {
 	hashes := make([]byte, BucketCount)
 	for i, sum := range b.sums {
@@ -39,8 +40,8 @@
 	return hashes
 }
 
-// contribution hashes what daemons must agree on for a live member; 0 when it
-// is gone, alone or with its data centre.
+// contribution returns the hash of what daemons must agree on about a member; 0
+// if it is gone, alone or with its data centre.
 func (n *node) contribution() uint64 {
 	if n.effectiveState().Terminal() {
 		return 0
@@ -59,14 +60,15 @@
 	return x ^ x>>31
 }
 
-// rehash brings the buckets up to date after a change of n.
+// rehash updates the buckets after a change of n.
 func (m *Membership) rehash(n *node) {
 	m.buckets.toggle(n.instance, n.hash)
 	n.hash = n.contribution()
 	m.buckets.toggle(n.instance, n.hash)
 }
 
-// tableHash covers members and data centres.
+// tableHash returns the hash of all members that are not gone and of the
+// versions of the data centres.
 func (m *Membership) tableHash() uint64 {
 	h := m.buckets.total
 	for _, d := range m.dataCentres {
--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// budget bounds the bytes a second that are sent beside the probes and their
-// answers, which are few and small. Rumours and comparisons of tables have one
-// each. Whatever happens to the fleet, a daemon sends no more; changes then
-// only spread later. The burst lets one great change through at once.
+// budget is a token bucket in bytes. Queued updates and table synchronisation
+// have one each; probes and their answers, which are few and small, are not
+// limited. During large changes of the fleet a daemon sends no more than this, and
+// updates spread more slowly. The burst allows one large change at once.
 type budget struct {
 	perSecond  float64
 	burst      float64
@@ -23,7 +23,8 @@
 	b.refilledAt = now
 }
 
-// available reports whether anything may be sent. One packet may overdraw.
+// available reports whether anything may be sent. The last packet may exceed
+// the budget.
 func (b *budget) available() bool { return b.tokens > 0 }
 
 func (b *budget) spend(bytes int) { b.tokens -= float64(bytes) }
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minStepLimit is the least that maxStep may be: two ticks, so that a late one does
-// not slow the protocol down.
+// minStepLimit is the lower bound of clock.stepLimit: two ticks, so that a late
+// tick does not slow the protocol down.
 const minStepLimit = 200 * time.Millisecond
 
-// clock is the protocol's time since the start. It advances by at most maxStep
-// for each event, so a paused process does not find all its deadlines passed
-// when it comes back: without this it would declare its peers dead for answers
-// that wait in its own socket.
+// clock is the protocol's time since the start. It advances by at most stepLimit
+// for each event. Otherwise, after a pause of the process, all its deadlines
+// would have passed at once and it would declare peers dead although their
+// answers are waiting in its own socket.
 type clock struct {
 	now       time.Duration
 	last      time.Time
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,73 +2,76 @@
 
 import "time"
 
-// Config holds the protocol's times and sizes. A zero field takes its default.
-// ProbeInterval should be 200 ms at least, twice the time between ticks.
+// Config holds the protocol's intervals and limits. A zero field takes its
+// default. ProbeInterval should be at least 200 ms, which is two ticks.
 type Config struct {
-	// ProbeInterval is the time between two probes; each daemon probes one
-	// other at a time.
+	// ProbeInterval is the time between two probes; a daemon probes one peer
+	// at a time.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct answer may take before others are
-	// asked to probe as well.
+	// ProbeTimeout is how long a direct answer may take before other daemons
+	// are asked to probe the target as well.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many others are asked.
+	// IndirectProbes is how many daemons are asked to probe a target that did
+	// not answer.
 	IndirectProbes int
-	// SuspicionMultiplier times log10 of the region's daemons times
-	// ProbeInterval is how long a suspect has to refute.
+	// SuspicionMultiplier sets the time that a suspect has to refute:
+	// SuspicionMultiplier * log10(daemons of the region) * ProbeInterval.
 	SuspicionMultiplier int
-	// RetransmitMultiplier times log2 of the region's daemons is how often a
-	// daemon repeats an update.
+	// RetransmitMultiplier sets how many times a daemon sends an update:
+	// RetransmitMultiplier * log2(daemons of the region).
 	RetransmitMultiplier int
-	// MaxPacketBytes bounds a sealed packet, without IP and UDP headers.
+	// MaxPacketBytes bounds an encrypted packet, without IP and UDP headers.
 	MaxPacketBytes int
-	// GossipInterval is the time between two packets that carry updates alone;
-	// they are sent only while there are updates.
+	// GossipInterval is the time between two Gossip packets, which carry only
+	// updates and are sent only while updates are queued.
 	GossipInterval time.Duration
-	// SyncInterval is the time between two comparisons of member tables with a
-	// peer whose hash differs.
+	// SyncInterval is the time between two comparisons of member tables with
+	// peers whose table hash differs.
 	SyncInterval time.Duration
-	// UpdateBytesPerSecond bounds what is sent to spread changes.
+	// UpdateBytesPerSecond bounds what is sent to spread updates.
 	UpdateBytesPerSecond int
 	// SyncBytesPerSecond bounds what is sent to compare tables.
 	SyncBytesPerSecond int
-	// ReconnectInterval is the time between two probes of a daemon that is
-	// believed dead or only hinted at.
+	// ReconnectInterval is the time between two probes of Dead daemons or seed
+	// addresses.
 	ReconnectInterval time.Duration
-	// Retention is how long a Dead or Left daemon is remembered.
+	// Retention is how long a Dead or Left daemon stays in the table.
 	Retention time.Duration
-	// LossWindow is the time in which half of a data centre's daemons must
-	// fail for its loss to be looked into.
+	// LossWindow is the time within which half of a data centre's daemons must
+	// fail for its loss to be verified.
 	LossWindow time.Duration
-	// LossApplyDelay is how long a data centre is lost before its daemons'
-	// own records become Dead.
+	// LossApplyDelay is how long a data centre must be lost before its members'
+	// own states become Dead.
 	LossApplyDelay time.Duration
-	// Bridges is the number of daemons of a region that probe other regions.
+	// Bridges is the number of daemons per region that probe other regions.
 	Bridges int
-	// BridgeInterval is the time between two probes of one other region.
+	// BridgeInterval is the time between two probes of another region by a
+	// bridge.
 	BridgeInterval time.Duration
-	// RegionTimeout is how long nothing is heard from a region before it
-	// counts as unreachable.
+	// RegionTimeout is how long a region's heartbeat must stand still before
+	// the region counts as unreachable.
 	RegionTimeout time.Duration
-	// LocalHealthMax bounds the local health score; negative switches it off.
+	// LocalHealthMax bounds the local health score; negative disables it.
 	LocalHealthMax int
 }
 
-// The defaults. Times but ProbeInterval are given as multiples of it.
+// The defaults. Intervals other than ProbeInterval and Retention are multiples
+// of ProbeInterval.
 const (
 	defaultProbeInterval        = time.Second
 	defaultIndirectProbes       = 3
-	defaultSuspicionMultiplier  = 4 // 4 s for 9 daemons, 8 s for 113
-	defaultRetransmitMultiplier = 2 // 14 times for 113 daemons
+	defaultSuspicionMultiplier  = 4 // 4 s with 9 daemons, 8 s with 113
+	defaultRetransmitMultiplier = 2 // 14 times with 113 daemons
 	defaultMaxPacketBytes       = 1200
 	defaultUpdateBytesPerSecond = 1250
 	defaultSyncBytesPerSecond   = 1250
-	defaultRetention            = 4 * time.Hour // four times the longest loss between regions
+	defaultRetention            = 4 * time.Hour // four times the longest partition between regions
 	defaultBridges              = 3
 	defaultLocalHealthMax       = 4
 
-	// Daemons of a region are a few milliseconds apart, so nearly all of a
-	// timeout of 0.3 is allowance for a busy process. The rest of the interval
-	// is enough for the way through another daemon and its Nack.
+	// Round trips inside a region take a few milliseconds, so nearly all of a
+	// timeout of 0.3 intervals is allowance for a busy process. The rest of the
+	// interval is enough for an indirect probe and its Nack.
 	probeTimeoutShare      = 0.3
 	gossipShare            = 0.25
 	bridgeIntervals        = 1
@@ -79,10 +82,10 @@
 	lossApplyIntervals     = 30
 )
 
-// What may be sent at once after a quiet time, in bytes.
+// Bursts of the two budgets, in bytes.
 const (
-	updateBurst = 8 << 10  // a change of fifty daemons, told to four others
-	syncBurst   = 64 << 10 // the table of 340 daemons and what is fetched twice
+	updateBurst = 8 << 10  // updates of fifty daemons, sent to four peers
+	syncBurst   = 64 << 10 // the table of 340 daemons, and records that are fetched twice
 )
 
 func (c Config) withDefaults() Config {
--- a/internal/membership/datacentre.go
+++ b/internal/membership/datacentre.go
@@ -6,20 +6,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// dataCentre is what is known of a data centre as a whole.
+// dataCentre is the state of a data centre as a whole.
 type dataCentre struct {
 	name         fleet.DataCentre
 	region       fleet.Region
-	version      uint64 // odd: lost
-	lastPacketAt time.Duration
+	version      uint64        // odd if lost
+	lastPacketAt time.Duration // from any of its members
 	lostAt       time.Duration
 	queueState   queueState
-	lossApplied  bool // the loss was written into the members' records
+	lossApplied  bool // the members' own states were set to Dead
 
-	claimedVersion uint64 // version of a loss that is being verified, or 0
+	claimedVersion uint64 // version of a reported loss that is being verified, or 0
 	verifyFrom     time.Duration
 	verifyUntil    time.Duration
-	verifyReceived uint64 // packets received when it began
+	verifyReceived uint64 // Membership.received when the verification began
 	nextVerify     time.Duration
 }
 
@@ -27,9 +27,9 @@
 
 func (d *dataCentre) verifying() bool { return d.claimedVersion != 0 }
 
-// update returns the statement that others are told. A claim that is being
-// verified is passed on at once, for the receivers verify it for themselves;
-// not to other regions, which cannot.
+// update returns the update to send. A loss that is still being verified is
+// included, since each receiver verifies it for itself; not for other regions,
+// whose daemons cannot verify it.
 func (d *dataCentre) update(otherRegion bool) DataCentreUpdate {
 	version := d.version
 	if !otherRegion {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,15 +1,15 @@
 package membership
 
-// MaxDigestPayload bounds Digest.Payload in bytes: it travels on every probe,
-// so at 128 bytes it stays below the cost of the rest of the packet.
+// MaxDigestPayload bounds Digest.Payload in bytes. Every packet carries it; at
+// 128 bytes it is smaller than the rest of a probe.
 const MaxDigestPayload = 128
 
-// Digest says how new a daemon's configuration is. Versions only ever rise, so
-// a daemon whose sum is lower lacks something, and of two daemons with equal
-// sums but different hashes each lacks something.
+// Digest summarises a daemon's configuration. Versions only increase, so a
+// daemon with a lower sum lacks some change, and of two daemons with equal sums
+// and different hashes each lacks a change of the other.
 type Digest struct {
 	Version uint64 // sum of the versions of all templates and tombstones
-	Hash    uint64 // of all names and versions
+	Hash    uint64 // hash of all names and versions
 	Payload string // opaque to this package, at most MaxDigestPayload bytes
 }
 
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// health is a score of how badly this daemon itself does: probes that fail
-// though others could be heard speak against the target, missing Nacks speak
-// against ourselves. Its timeouts stretch with the score (Lifeguard's local
-// health; Dadgar, Phillips and Currey, 2018).
+// health is a score of how likely this daemon itself is slow or badly connected;
+// 0 is healthy. A daemon that was asked for an indirect probe sends a Nack if the
+// target does not answer, so missing Nacks point to a fault of this daemon. Its
+// timeouts grow with the score (Lifeguard's local health; Dadgar, Phillips and
+// Currey, 2018).
 type health struct {
 	score int
 }
--- a/internal/membership/introduce.go
+++ b/internal/membership/introduce.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Introduce takes daemons that another one or the platform's store vouches for, as of
-// a while ago. What is known of them that is newer stands; one that doesn't live is
-// found out by the probes. It isn't spread: the others are told in the same way.
+// Introduce adds members that another daemon or the platform's store reported
+// as alive some time ago. Newer information in the table is kept, and probes
+// detect the ones that are gone. The members are not gossiped, since the other
+// daemons get them in the same way.
 func (m *Membership) Introduce(now time.Time, members []Member) []Action {
 	m.clock.advance(now)
 	for i := range members {
--- a/internal/membership/isolation.go
+++ b/internal/membership/isolation.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// isolationTimeout is how long a daemon that hears nobody only suspects the
-// others. After that it is likely enough that they are gone.
+// isolationTimeout is how long a daemon that receives no packets only suspects
+// its peers. After that it declares them Dead: by then they are likely gone.
 const isolationTimeout = time.Minute
 
-// isolation is the time in which nothing at all is heard from others.
+// isolation is a period in which no packets are received from other daemons.
 type isolation struct {
 	active bool
 	since  time.Duration
 }
 
-// suspectProvisionally marks a member that did not answer while nothing at all was
-// heard from others. It is then most likely this daemon that is cut off; its
-// suspicions would be wrong for all others, and told on its return they would
-// make each of them refute. So nobody is told, and the first packet from anyone
-// takes them all back.
+// suspectProvisionally suspects a member that did not answer while no packets
+// were received from any daemon. Most likely this daemon itself is isolated, and
+// if it sent its suspicions after reconnecting, all the others would have to
+// refute them. Provisional states are therefore not sent, and the first packet
+// from another daemon reverts them.
 func (m *Membership) suspectProvisionally(n *node) {
 	if !m.isolation.active {
 		m.isolation = isolation{active: true, since: m.clock.now}
@@ -32,7 +32,7 @@
 	m.setState(n, s, n.incarnation, false)
 }
 
-// tickIsolation holds the suspects for dead when it has lasted.
+// tickIsolation declares the suspects Dead after isolationTimeout.
 func (m *Membership) tickIsolation() {
 	if !m.isolation.active || m.clock.now < m.isolation.since+isolationTimeout {
 		return
@@ -44,7 +44,8 @@
 	}
 }
 
-// endIsolation takes quiet judgements back, and gives suspects new time.
+// endIsolation reverts provisional states and restarts the deadlines of the
+// other suspects.
 func (m *Membership) endIsolation() {
 	if !m.isolation.active {
 		return
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// announceFanout is how many peers are told at once of leaving; from them it
-// spreads as any update does. Six of them are lost together only where this
-// daemon's own network is down.
+// announceFanout is how many peers a leaving daemon notifies directly; from them
+// the update spreads by gossip. If all six packets are lost, this daemon's own
+// network is down.
 const announceFanout = 6
 
-// Leave says that this daemon takes no new work. It goes on answering.
+// Leave announces that this daemon takes no new work. It continues to answer
+// probes.
 func (m *Membership) Leave(now time.Time) []Action {
 	m.clock.advance(now)
 	if m.self.state == Alive {
@@ -16,7 +17,7 @@
 	return m.takeActions()
 }
 
-// Depart says that this daemon is gone. It answers nothing afterwards.
+// Depart announces that this daemon is gone. Afterwards it answers nothing.
 func (m *Membership) Depart(now time.Time) []Action {
 	m.clock.advance(now)
 	if m.self.state != Left {
@@ -34,7 +35,7 @@
 	}
 }
 
-// announceTargets chooses peers of the region at random.
+// announceTargets returns random peers of the region.
 func (m *Membership) announceTargets() []*node {
 	var peers []*node
 	for range 4 * announceFanout {
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Bounds of the search for lost data centres.
+// Limits for detecting lost data centres.
 const (
-	// minLossFailures is the fewest failed daemons that speak for a loss: one
-	// failed daemon is one failed daemon.
+	// minLossFailures is the least number of failed daemons that indicates a
+	// loss: with one it is only the failure of that daemon.
 	minLossFailures = 2
-	// verifyProbes is how many daemons are probed before a loss is believed.
+	// verifyProbes is how many daemons are probed to verify a loss.
 	verifyProbes = 3
-	// verifyInterval is the time between two verifications of one data centre.
+	// verifyInterval is the time between the end of a verification and the next
+	// one of the same data centre.
 	verifyInterval = 2 * time.Second
-	// startupPeriod is how long a new daemon takes statements about its data
-	// centre for old ones, which do not concern it.
+	// startupPeriod is how long after its start a daemon assumes that a revoked
+	// loss of its data centre happened before it started.
 	startupPeriod = 15 * time.Second
 )
 
-// checkLoss looks whether half of a data centre's daemons failed lately, and
-// begins to verify its loss if so.
+// checkLoss starts to verify the loss of a data centre if half of its daemons
+// failed within LossWindow.
 func (m *Membership) checkLoss(d *dataCentre) {
 	if d == m.self.dc || d.lost() || d.verifying() || m.clock.now < d.nextVerify {
 		return
@@ -29,8 +30,8 @@
 	m.verifyLoss(d, d.version+1)
 }
 
-// countFailed counts a data centre's daemons that are suspect or died within
-// the window, and those that are up.
+// countFailed counts a data centre's daemons that are suspect or became Dead
+// within LossWindow, and those that are up.
 func (m *Membership) countFailed(d *dataCentre) (failed, up int) {
 	since := m.clock.now - m.cfg.LossWindow
 	for _, n := range m.sorted {
@@ -45,9 +46,10 @@
 	return failed, up
 }
 
-// verifyLoss probes some of the data centre's daemons. A loss is believed only
-// where none of them answers here, whoever claims it: a daemon that was cut
-// off and comes back claims the loss of all data centres but its own.
+// verifyLoss probes some of the data centre's daemons. A daemon accepts a loss
+// that others report only if none of the data centre's daemons answers it: a
+// daemon that was partitioned reports the loss of all data centres but its own
+// when it reconnects.
 func (m *Membership) verifyLoss(d *dataCentre, version uint64) {
 	d.claimedVersion = version
 	d.verifyFrom = m.clock.now
@@ -60,7 +62,8 @@
 	m.updates.addDataCentre(d)
 }
 
-// verifyTargets chooses daemons at random, those that are not suspect first.
+// verifyTargets returns random daemons of the data centre, preferring those that
+// are neither suspect nor Dead.
 func (m *Membership) verifyTargets(d *dataCentre) []*node {
 	var unsuspected, rest []*node
 	for _, n := range m.sorted {
@@ -100,7 +103,7 @@
 		return
 	}
 	if m.received == d.verifyReceived {
-		return // this daemon is cut off itself
+		return // this daemon itself is isolated
 	}
 	m.markDataCentreLost(d, version)
 }
@@ -116,7 +119,7 @@
 	m.emit(DataCentreLost{DataCentre: d.name})
 }
 
-// rehashDataCentre brings the table hash up to date after d was lost or found.
+// rehashDataCentre updates the buckets after d was lost or has recovered.
 func (m *Membership) rehashDataCentre(d *dataCentre) {
 	for _, n := range m.sorted {
 		if n.dc == d {
@@ -143,9 +146,10 @@
 	m.emit(DataCentreRecovered{DataCentre: d.name})
 }
 
-// tickLoss settles a loss that lasts. A side that sees less than half of its
-// region waits until it has seen more for as long: it is likely the one that is
-// cut off, and each daemon of the others would have to refute its own death.
+// tickLoss applies a loss that has lasted for LossApplyDelay. The delay does not
+// start while less than half of the region can be reached: this daemon is then
+// likely on the smaller side of a partition, and each daemon of the larger side
+// would have to refute its own death.
 func (m *Membership) tickLoss(d *dataCentre) {
 	if d.region == m.ownRegion() && !m.seesMajority() {
 		d.lostAt = m.clock.now
@@ -172,9 +176,9 @@
 	return 2*up >= all
 }
 
-// applyLoss writes a loss into the members' own records, without telling: all
-// daemons do the same. Then an instance that later starts in the data centre
-// does not bring its dead back with it.
+// applyLoss sets the members' own states to Dead. Nothing is sent, since all
+// daemons do the same. When a new instance later starts in the data centre and
+// revokes the loss, the members that are gone stay Dead.
 func (m *Membership) applyLoss(d *dataCentre) {
 	d.lossApplied = true
 	for _, n := range m.sorted {
@@ -184,7 +188,7 @@
 	}
 }
 
-// mergeDataCentre takes in a statement about a data centre.
+// mergeDataCentre applies an update about a data centre.
 func (m *Membership) mergeDataCentre(u DataCentreUpdate) {
 	d := m.dataCentre(u.DataCentre, u.Region)
 	if u.Version <= d.version {
@@ -202,8 +206,8 @@
 	}
 }
 
-// refuteLoss takes back the loss of the own data centre on behalf of all its
-// daemons, or learns that another one has done so.
+// refuteLoss revokes the loss of this daemon's data centre on behalf of all its
+// daemons, or accepts that another of them has done so.
 func (m *Membership) refuteLoss(d *dataCentre, u DataCentreUpdate) {
 	version := u.Version
 	if u.Lost() {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Membership is one daemon's part of the protocol. It is not safe for
+// Membership is one daemon's instance of the protocol. It is not safe for
 // concurrent use; Views are.
 type Membership struct {
 	cfg  Config
@@ -33,26 +33,26 @@
 	updateBudget budget
 	syncBudget   budget
 	seeds        seeds
-	suspects     []*node // own region's suspects with a running deadline
+	suspects     []*node // of this region, with a running deadline
 
 	sequence   uint32
 	received   uint64 // packets from other daemons
-	regionSize int    // own region's daemons that are not gone
+	regionSize int    // daemons of this region that are not gone
 	nextGossip time.Duration
 	nextExpire time.Duration
 	lastNewer  newerDigest
 
 	view           *View
 	dirty          bool // the view is out of date
-	digestsChanged bool // only digests are out of date
+	digestsChanged bool // digests in the view are out of date
 	viewBuiltAt    time.Duration
 	reportedDeath  uint64 // incarnation of the last DeclaredDead
 	joined         bool
 	isolation      isolation
 }
 
-// New returns the membership of a daemon that knows only itself. The state in
-// self is ignored; its incarnation should be the start time in Unix ms.
+// New returns a Membership whose only member is self. Its State is ignored; its
+// Incarnation should be the start time in Unix milliseconds.
 func New(cfg Config, self Member, rng *rand.Rand) *Membership {
 	m := &Membership{
 		cfg:        cfg.withDefaults(),
@@ -75,14 +75,15 @@
 // View returns the newest snapshot. It changes in Tick, Leave and Depart.
 func (m *Membership) View() *View { return m.view }
 
-// SetDigest sets what other daemons are told about the configuration here.
+// SetDigest sets the digest of this daemon's configuration, which every packet
+// carries. Payload is cut to MaxDigestPayload bytes.
 func (m *Membership) SetDigest(d Digest) {
 	d.Payload = d.Payload[:min(len(d.Payload), MaxDigestPayload)]
 	m.self.digest = d
 	m.digestsChanged = true
 }
 
-// addMember enters a member that is not yet known.
+// addMember adds a member that is not in the table yet.
 func (m *Membership) addMember(id fleet.InstanceID, r *Record, s State, incarnation uint64) *node {
 	n := &node{
 		instance:    id,
@@ -104,7 +105,7 @@
 	return n
 }
 
-// dataCentre returns the entry of a data centre, made on first use.
+// dataCentre returns the entry of a data centre, creating it on first use.
 func (m *Membership) dataCentre(name fleet.DataCentre, region fleet.Region) *dataCentre {
 	for _, d := range m.dataCentres {
 		if d.name == name && d.region == region {
@@ -116,7 +117,8 @@
 	return d
 }
 
-// setState changes a member's state and says it on where spread is true.
+// setState changes a member's state and queues the update for sending if spread
+// is true.
 func (m *Membership) setState(n *node, s State, incarnation uint64, spread bool) {
 	wasFailed := n.state.IsSuspect() || n.state.Terminal()
 	isFailed := s.IsSuspect() || s.Terminal()
@@ -134,14 +136,15 @@
 
 func (m *Membership) emit(a Action) { m.actions = append(m.actions, a) }
 
-// takeActions returns the actions of one call. The slice is the caller's.
+// takeActions returns the actions since the last call. The caller owns the slice.
 func (m *Membership) takeActions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-// isLocal reports whether n is probed from here: another daemon of the region.
+// isLocal reports whether n is another daemon of this daemon's region. Only these
+// are probed in rounds.
 func (m *Membership) isLocal(n *node) bool {
 	return n != m.self && n.record.Region == m.self.record.Region
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -1,8 +1,8 @@
 package membership
 
-// merge takes in a statement. It reports false where the member's Record is
-// needed first. spread is false for what was fetched by comparing tables:
-// others will find it in the same way.
+// merge applies an update. It returns false if the member's Record is needed
+// first. spread is whether to queue the update for sending; it is false for
+// updates that other daemons fetch for themselves by table synchronisation.
 func (m *Membership) merge(u *Update, spread bool) bool {
 	if u.Instance == m.self.instance {
 		m.mergeSelf(u)
@@ -21,15 +21,16 @@
 		}
 		m.replaceRun(n, u.Record)
 	}
-	// A run may be known as gone only: its number must not count for the run
-	// that was known, which may yet raise its own above it.
+	// A terminal update of another run leaves the Record, but its run is stored.
+	// Otherwise the table would show the Record's run as gone, which may yet
+	// raise its incarnation above u's.
 	n.run = u.Run
 	m.mergeState(n, u, spread)
 	return true
 }
 
-// overrides reports whether u is newer than what is known of n. Only the daemon
-// itself gives a higher incarnation, so nobody else can bring a gone one back.
+// overrides reports whether u is newer than n's state. Only the daemon itself
+// raises its incarnation, so no other can make a gone daemon alive again.
 func overrides(u *Update, n *node) bool {
 	if u.Incarnation != n.incarnation {
 		return u.Incarnation > n.incarnation
@@ -37,9 +38,9 @@
 	return u.State > n.state
 }
 
-// countDuplicate counts a rumour that is heard from others as if it had been told:
-// who hears it often needs not repeat it as often. At a start of all daemons
-// this spares most of the repetitions.
+// countDuplicate counts a queued update that is received from another daemon as
+// sent once: an update that arrives often is already widely known. When all
+// daemons start at once this avoids most of the retransmissions.
 func (m *Membership) countDuplicate(u *Update) {
 	n := m.nodes[u.Instance]
 	if n != nil && n.queueState.queued && u.Incarnation == n.incarnation && u.State == n.state {
@@ -64,7 +65,7 @@
 	return true
 }
 
-// replaceRun puts a new run of the daemon in the place of the older one.
+// replaceRun replaces a member's run by a new one.
 func (m *Membership) replaceRun(n *node, r *Record) {
 	n.record = r
 	n.run = r.run()
@@ -74,7 +75,7 @@
 	m.regions.getOrAdd(r.Region, m.clock.now)
 }
 
-// mergeState applies a statement that overrides what is known.
+// mergeState applies an update that overrides n's state.
 func (m *Membership) mergeState(n *node, u *Update, spread bool) {
 	state := m.acceptedState(n, u)
 	if state == n.state && u.Incarnation == n.incarnation {
--- a/internal/membership/newerdigest.go
+++ b/internal/membership/newerdigest.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// newerDigestInterval bounds how often the same newer digest is reported: a
-// change is heard of from several peers before it is fetched.
+// newerDigestInterval is the least time between two reports of the same newer
+// digest: several peers send it before the change has been fetched.
 const newerDigestInterval = time.Second
 
-// newerDigest remembers what was reported last.
+// newerDigest is the digest that was last reported by a NewerDigest action.
 type newerDigest struct {
 	digest     Digest
 	reportedAt time.Duration
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// node is one member's entry in the table.
+// node is a member's entry in the table.
 type node struct {
 	instance    fleet.InstanceID
 	record      *Record
@@ -15,16 +15,16 @@
 	incarnation uint64
 	digest      Digest
 	dc          *dataCentre
-	hash        uint64        // contribution to the table hash; 0 when terminal
+	hash        uint64        // contribution to the table hash; 0 if gone
 	failedAt    time.Duration // when it became suspect or terminal
 	deadline    time.Duration // of a suspect: when it becomes Dead
 	queueState  queueState
-	sendRecord  bool  // the rumour must carry the Record
-	provisional bool  // judged while this daemon was cut off; told to nobody
-	priorState  State // of a quiet one: before it was judged
+	sendRecord  bool  // queued updates carry the Record
+	provisional bool  // state set during isolation; not sent to other daemons
+	priorState  State // if provisional: the state to revert to
 }
 
-// effectiveState is the state with the data centre's loss laid over it.
+// effectiveState is the state, or Dead if the data centre is lost.
 func (n *node) effectiveState() State {
 	if n.dc.lost() && !n.state.Terminal() {
 		return Dead
@@ -47,7 +47,8 @@
 	}
 }
 
-// update returns the statement that others are told, with the Record if full.
+// update returns the update to send about n. It has the Record if full is set and
+// n is not gone.
 func (n *node) update(full bool) Update {
 	u := Update{Instance: n.instance, Run: n.run, State: n.state, Incarnation: n.incarnation}
 	if full && !n.state.Terminal() {
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -2,48 +2,49 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// Kind tells what a packet asks for.
+// Kind is the type of a packet.
 type Kind uint8
 
 // The kinds of packet.
 const (
 	// Ping asks for an Ack with the same Sequence.
 	Ping Kind = iota + 1
-	// PingRequest asks the receiver to ping Subject at Address and to pass the
-	// answer on as an Ack, or to send a Nack.
+	// PingRequest asks the receiver to ping Subject at Address and to answer
+	// with an Ack if Subject answers, otherwise with a Nack.
 	PingRequest
-	// Ack answers a Ping or passes on Subject's answer.
+	// Ack answers a Ping, or a PingRequest whose Subject answered.
 	Ack
-	// Nack says that Subject did not answer in time, but the sender did.
+	// Nack answers a PingRequest whose Subject did not answer in time. It shows
+	// that the sender itself can be reached.
 	Nack
-	// Gossip carries updates alone.
+	// Gossip carries only updates.
 	Gossip
-	// SyncRequest carries hashes of the sender's member table and asks for
-	// pages of the parts that differ.
+	// SyncRequest carries the bucket hashes of the sender's member table and
+	// asks for pages of the buckets that differ.
 	SyncRequest
-	// SyncPage carries records of a part that differs.
+	// SyncPage carries members of the buckets that differ.
 	SyncPage
 )
 
-// Packet is one datagram. Its parts are never changed once it was sent.
+// Packet is one datagram. It must not be changed after it was sent.
 type Packet struct {
-	Source string // address it came from; set by the receiving transport, not sent
+	Source string // address of the sender, host:port; set by the receiver's transport, not encoded
 
 	Kind        Kind
 	Sequence    uint32
 	From        Sender
-	Subject     fleet.InstanceID // whom a Ping is meant for, or who is asked about
-	Address     string           // of Subject, in a PingRequest
+	Subject     fleet.InstanceID // the daemon that a probe is for; empty in a Ping to a seed
+	Address     string           // of Subject, host:port; only in a PingRequest
 	NeedRecord  bool             // the sender lacks the receiver's Record
 	TableHash   uint64           // of the sender's member table
 	Digest      Digest
 	Heartbeats  []Heartbeat
 	Updates     []Update
 	DataCentres []DataCentreUpdate
-	Buckets     []byte // in a SyncRequest, BucketCount of them, salted with Sequence
+	Buckets     []byte // in a SyncRequest: BucketCount hashes, salted with Sequence
 }
 
-// Sender is what every packet says about its sender.
+// Sender is the state of a packet's sender, which every packet carries.
 type Sender struct {
 	Instance    fleet.InstanceID
 	Run         uint32 // hash of the daemon's id
@@ -51,28 +52,28 @@
 	Incarnation uint64
 }
 
-// Update is a statement about a member.
+// Update is the state of a member as the sender reports it.
 type Update struct {
 	Instance    fleet.InstanceID
 	Run         uint32 // hash of the daemon's id
 	State       State
 	Incarnation uint64
-	Record      *Record // nil where the receiver should know it already
+	Record      *Record // nil if the receiver should have it already
 }
 
-// DataCentreUpdate is a statement about a data centre. An odd version says that
-// it is lost, an even one that it is not; the greater version holds.
+// DataCentreUpdate is the state of a data centre as the sender reports it. It is
+// lost if Version is odd. A higher version overrides a lower one.
 type DataCentreUpdate struct {
 	DataCentre fleet.DataCentre
 	Region     fleet.Region
 	Version    uint64
 }
 
-// Lost reports whether the update says that the data centre is lost.
+// Lost reports whether the data centre is lost according to the update.
 func (u DataCentreUpdate) Lost() bool { return u.Version%2 == 1 }
 
-// Heartbeat is a region's counter: its bridges raise it as long as they live, so
-// where it stops growing the region cannot be heard.
+// Heartbeat is a region's heartbeat counter. The region's bridges increment it,
+// so if it stops growing the region cannot be reached.
 type Heartbeat struct {
 	Region fleet.Region
 	Count  uint64
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,6 +1,6 @@
 package membership
 
-// tickProbe ends the running probe when it is due and begins the next.
+// tickProbe advances the current probe and starts the next one when it is due.
 func (m *Membership) tickProbe() {
 	p := &m.prober
 	if p.target != nil && !p.indirect && m.clock.now >= p.indirectAt {
@@ -40,8 +40,8 @@
 	m.send(n.record.Peer, packet)
 }
 
-// probeIndirectly asks others to probe: the path from here may be bad while
-// the target is well.
+// probeIndirectly asks other daemons to probe the target: the path from here may
+// be bad although the target is up.
 func (m *Membership) probeIndirectly() {
 	p := &m.prober
 	p.indirect = true
@@ -56,8 +56,8 @@
 	}
 }
 
-// proxies chooses who is asked to probe: daemons of other data centres first,
-// so that what ails the own data centre's links does not ail all paths.
+// proxies returns the daemons to ask for an indirect probe, those of other data
+// centres first, so that not all paths share the links of this data centre.
 func (m *Membership) proxies(target *node) []*node {
 	chosen := make([]*node, 0, m.cfg.IndirectProbes)
 	chosen = m.addProxies(chosen, target, true)
@@ -95,13 +95,13 @@
 	return false
 }
 
-// probeAnswered ends the running probe with success.
+// probeAnswered ends the current probe with success.
 func (m *Membership) probeAnswered() {
 	m.prober.target = nil
 	m.health.improve()
 }
 
-// probeFailed makes the target a suspect.
+// probeFailed ends the current probe and suspects the target.
 func (m *Membership) probeFailed() {
 	p := &m.prober
 	n := p.target
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// prober goes round the region's daemons in random order (SWIM's round-robin
-// probing: a failed daemon is probed by each other one within one round).
+// prober probes the region's daemons in rounds, each in a new random order
+// (SWIM's round-robin probing, in which every daemon probes a failed one within
+// one round).
 type prober struct {
-	round []*node
-	next  int
+	round []*node // in probing order
+	next  int     // index in round of the next target
 
-	target          *node // probed now, or nil
+	target          *node // of the current probe, or nil
 	sequence        uint32
 	indirectAt      time.Duration
 	endAt           time.Duration
 	indirect        bool
-	receivedAtStart uint64 // packets received when the probe began
+	receivedAtStart uint64 // Membership.received when the probe began
 	nextAt          time.Duration
-	requests        int // how many others were asked to probe
-	nacks           int // how many of them said that they had no answer either
+	requests        int // PingRequests sent
+	nacks           int // Nacks received
 }
 
-// insert enters a daemon at a random place of the rest of the round.
+// insert adds a daemon at a random position in the rest of the round.
 func (p *prober) insert(n *node, rng *rand.Rand) {
 	p.round = append(p.round, n)
 	last := len(p.round) - 1
@@ -30,7 +31,8 @@
 	p.round[at], p.round[last] = p.round[last], p.round[at]
 }
 
-// randomPeer returns any daemon of the region that is not gone, or nil.
+// randomPeer returns a random daemon of the round that is not gone. It returns
+// nil if there is none, or if eight attempts find only gone ones.
 func (p *prober) randomPeer(rng *rand.Rand) *node {
 	for range 8 {
 		if len(p.round) == 0 {
@@ -44,7 +46,7 @@
 	return nil
 }
 
-// addToRound has a member of the region probed within this round.
+// addToRound makes sure that a member of the region is probed within this round.
 func (m *Membership) addToRound(n *node) {
 	if m.isLocal(n) && !contains(m.prober.round[m.prober.next:], n) {
 		m.prober.insert(n, m.rng)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Receive takes in a packet from another daemon.
+// Receive handles a packet from another daemon.
 func (m *Membership) Receive(now time.Time, p *Packet) []Action {
 	m.clock.advance(now)
 	if p.From.Instance == m.self.instance {
@@ -31,7 +31,7 @@
 	return m.takeActions()
 }
 
-// mergeAll takes in what the packet says of others.
+// mergeAll applies the packet's updates about members and data centres.
 func (m *Membership) mergeAll(p *Packet) {
 	spread := !m.inBulkSync() && (p.Kind != SyncPage || m.isFromOtherRegion(p))
 	changes := 0
@@ -51,13 +51,13 @@
 	}
 }
 
-// update is what a packet's sender says about itself.
+// update returns the sender's state as an update without Record.
 func (s *Sender) update() *Update {
 	return &Update{Instance: s.Instance, Run: s.Run, State: s.State, Incarnation: s.Incarnation}
 }
 
-// receiveOwn takes in a packet under our own instance's name: an echo, or
-// another run of it that is still there.
+// receiveOwn handles a packet whose sender has this daemon's instance id: either
+// one of its own that came back, or one of another run that is still up.
 func (m *Membership) receiveOwn(p *Packet) {
 	if p.From.Run != m.self.run {
 		m.mergeSelf(p.From.update())
@@ -70,7 +70,7 @@
 	return n != nil && n.record.Region != m.ownRegion()
 }
 
-// recordContact notes a sign of life.
+// recordContact records that n has sent a packet.
 func (m *Membership) recordContact(n *node, p *Packet) {
 	n.dc.lastPacketAt = m.clock.now
 	if !m.joined {
@@ -82,8 +82,8 @@
 	m.syncer.updatePeer(n, p.TableHash != m.tableHash())
 }
 
-// dispatch answers the packet. Whoever is not known is asked for its Record,
-// whoever is held for suspect or gone is told so.
+// dispatch handles the packet by its kind. An unknown sender is asked for its
+// Record, and a sender that is suspect or gone here is notified of it.
 func (m *Membership) dispatch(p *Packet, n *node, needRecord bool) {
 	switch p.Kind {
 	case Ping:
@@ -91,8 +91,8 @@
 			m.sendAck(p, n, needRecord)
 			return
 		}
-		// The address belonged to another instance, which is gone: no Ack,
-		// or that one would stay alive for as long as its address is in use.
+		// The Ping is for an instance that had this address before. An Ack
+		// would keep that instance alive while the address is in use.
 	case PingRequest:
 		m.receivePingRequest(p)
 	case Ack:
@@ -112,7 +112,8 @@
 	return n.state.IsSuspect() || n.state.Terminal() || n.dc.lost()
 }
 
-// replyWithGossip sends what the sender of p must know or is asked for.
+// replyWithGossip sends the sender of p a request for its Record if needRecord is
+// set, this daemon's Record if p asks for it, and its state if it is suspect or gone.
 func (m *Membership) replyWithGossip(p *Packet, n *node, needRecord bool) {
 	reply := m.newPacket(Gossip)
 	reply.NeedRecord = needRecord
@@ -131,7 +132,7 @@
 	ack.Subject = m.self.instance
 	ack.NeedRecord = needRecord
 	if n != nil && (p.NeedRecord || p.Subject == "") {
-		m.addOwnRecord(ack) // complete does so where n is nil
+		m.addOwnRecord(ack) // piggyback does so if n is nil
 	}
 	m.piggyback(ack, n)
 	m.send(p.Source, ack)
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Record is the part of a Member that is fixed for one run. It is never
-// changed after it was made, so packets and tables may share it.
+// Record is the part of a Member that is fixed for one run. It is immutable, so
+// packets and tables may share it.
 type Record struct {
 	Daemon     fleet.DaemonID
 	Caller     string
@@ -16,7 +16,8 @@
 	Region     fleet.Region
 }
 
-// run is a short name of a run, so that updates need not carry the daemon's id.
+// run returns a short identifier of the run, so that updates need not carry the
+// daemon's id.
 func (r *Record) run() uint32 { return uint32(xxh3.HashString(string(r.Daemon))) }
 
 func recordOf(m Member) *Record {
--- a/internal/membership/refute.go
+++ b/internal/membership/refute.go
@@ -1,8 +1,8 @@
 package membership
 
-// mergeSelf answers a statement about this daemon's own instance. One that
-// accuses this run, or stems from another run with a number that is not
-// smaller, is refuted by a higher incarnation.
+// mergeSelf handles an update about this daemon's own instance. An update that
+// reports this run as suspect or gone, or that is about another run with an
+// incarnation not below its own, is refuted by a higher incarnation.
 func (m *Membership) mergeSelf(u *Update) {
 	s := m.self
 	if s.state == Left {
@@ -22,9 +22,9 @@
 	m.setState(s, s.state, u.Incarnation+1, true)
 }
 
-// reportDeath says once for each incarnation that it was held for dead, also
-// where it has been refuted already: a paused daemon that comes back may read
-// the suspicion first and refute it before it hears of its death.
+// reportDeath reports once per incarnation that this daemon was declared dead,
+// even if that has been refuted already: a daemon that resumes after a pause may
+// receive and refute the suspicion before it receives the Dead update.
 func (m *Membership) reportDeath(incarnation uint64) {
 	if incarnation <= m.reportedDeath {
 		return
@@ -33,8 +33,8 @@
 	m.emit(DeclaredDead{Incarnation: incarnation})
 }
 
-// refutedDeath returns what the sender of p must be told about itself: it was held
-// for dead here until this packet, whose incarnation refutes it.
+// refutedDeath returns the Dead update about the sender of p if it was Dead in
+// this table until now and p's higher incarnation refutes that; otherwise nil.
 func (m *Membership) refutedDeath(p *Packet) []Update {
 	n := m.nodes[p.From.Instance]
 	if n == nil || n.state != Dead || n.run != p.From.Run || p.From.Incarnation <= n.incarnation {
--- a/internal/membership/regions.go
+++ b/internal/membership/regions.go
@@ -7,24 +7,24 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// region is what is known of a region as a whole.
+// region is the state of a region as a whole.
 type region struct {
 	name        fleet.Region
-	heartbeat   uint64        // its beat
-	heartbeatAt time.Duration // when the beat last grew
-	bridges     []*node       // its daemons that probe other regions
+	heartbeat   uint64        // counter, incremented by the region's bridges
+	heartbeatAt time.Duration // when the counter last grew
+	bridges     []*node       // the region's daemons that probe other regions
 }
 
-// regions holds all known regions; there are few, so a slice is enough.
+// regions holds all known regions. They are few, so a slice is enough.
 type regions struct {
 	own           fleet.Region
 	list          []*region
 	isBridge      bool // this daemon is a bridge of its own region
 	nextHeartbeat time.Duration
-	rounds        int
+	rounds        int // of this bridge's probes of the other regions
 }
 
-// getOrAdd returns a region's entry, made on first use. It then counts as just heard.
+// getOrAdd returns a region's entry. A new entry counts as reachable from now.
 func (r *regions) getOrAdd(name fleet.Region, now time.Duration) *region {
 	for _, x := range r.list {
 		if x.name == name {
@@ -36,8 +36,8 @@
 	return x
 }
 
-// heartbeats returns the counters as a packet carries them. With a single region
-// there is nothing to tell.
+// heartbeats returns the counters as a packet carries them; nil if there is only
+// one region.
 func (r *regions) heartbeats() []Heartbeat {
 	if len(r.list) < 2 {
 		return nil
@@ -49,7 +49,7 @@
 	return heartbeats
 }
 
-// merge takes in the greater counters.
+// merge takes over the counters that are higher than the known ones.
 func (r *regions) merge(heartbeats []Heartbeat, now time.Duration) {
 	for _, b := range heartbeats {
 		x := r.getOrAdd(b.Region, now)
@@ -60,7 +60,8 @@
 	}
 }
 
-// unreachable returns the other regions whose counters stand still.
+// unreachable returns the other regions whose counters have not grown for longer
+// than timeout.
 func (r *regions) unreachable(now, timeout time.Duration) []fleet.Region {
 	var names []fleet.Region
 	for _, x := range r.list {
@@ -71,8 +72,8 @@
 	return names
 }
 
-// chooseBridges picks for each region the daemons that probe the others, by
-// rendezvous hashing, so that daemons with the same view agree.
+// chooseBridges selects the bridges of each region by rendezvous hashing, so that
+// daemons with the same view select the same ones.
 func (m *Membership) chooseBridges() {
 	m.regions.isBridge = false
 	for _, x := range m.regions.list {
@@ -82,7 +83,7 @@
 	m.regions.isBridge = contains(own.bridges, m.self)
 }
 
-// bridgesOf returns the region's best-scored daemons that are up.
+// bridgesOf returns the region's Alive daemons with the highest scores.
 func (m *Membership) bridgesOf(x *region) []*node {
 	key := rendezvous.Key(string(x.name))
 	best := make([]*node, 0, m.cfg.Bridges+1)
--- a/internal/membership/relays.go
+++ b/internal/membership/relays.go
@@ -6,15 +6,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// maxRelays bounds the probes that run on behalf of others; more than a few at
-// once means that something is badly wrong, and a Nack too few is harmless.
+// maxRelays bounds the probes that run on behalf of other daemons. In normal
+// operation there are only a few at once, and a missing Nack does little harm.
 const maxRelays = 32
 
-// relay is a probe on behalf of another daemon.
+// relay is a probe on behalf of another daemon, the requester.
 type relay struct {
-	sequence        uint32 // of our Ping
-	requestSequence uint32 // of the PingRequest
-	requester       string // who asked
+	sequence        uint32 // of the Ping to the subject
+	requestSequence uint32 // of the requester's PingRequest
+	requester       string // address, host:port
 	subject         fleet.InstanceID
 	deadline        time.Duration
 }
@@ -30,7 +30,7 @@
 	r.list = append(r.list, x)
 }
 
-// remove takes out the relay with our sequence number.
+// remove removes and returns the relay whose Ping has the sequence number.
 func (r *relays) remove(sequence uint32) (relay, bool) {
 	for i, x := range r.list {
 		if x.sequence == sequence {
@@ -41,15 +41,15 @@
 	return relay{}, false
 }
 
-// receivePingRequest probes the subject for the asker.
+// receivePingRequest probes the subject on behalf of the packet's sender.
 func (m *Membership) receivePingRequest(p *Packet) {
 	x := relay{
 		sequence:        m.nextSequence(),
 		requestSequence: p.Sequence,
 		requester:       p.Source,
 		subject:         p.Subject,
-		// The asker waits for the rest of its interval; the Nack needs to be
-		// there before it ends.
+		// The requester waits for the rest of its interval, and the Nack must
+		// arrive before that ends.
 		deadline: m.clock.now + (m.cfg.ProbeInterval-m.cfg.ProbeTimeout)/2,
 	}
 	m.relays.add(x)
@@ -62,7 +62,7 @@
 	m.send(p.Address, ping)
 }
 
-// answerRequester sends the subject's answer to the daemon that asked.
+// answerRequester sends an Ack or Nack to the requester.
 func (m *Membership) answerRequester(x relay, k Kind) {
 	p := m.newPacket(k)
 	p.Sequence = x.requestSequence
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -7,21 +7,21 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Bounds of hints.
+// Limits for seeds.
 const (
-	// maxSeeds bounds the addresses that are remembered without being members:
-	// more than the largest fleet has daemons.
+	// maxSeeds bounds the number of seeds. It is above the number of daemons
+	// of the largest fleet.
 	maxSeeds = 512
-	// seedTries is how often a hint is probed before it is dropped; the next
-	// call of Seeds brings it back if it is still listed.
+	// seedTries is how often a seed is probed without success before it is
+	// removed. The next call of AddSeeds adds it again if it is still listed.
 	seedTries = 8
-	// joinProbes is how many hints are probed at once before anyone answered.
+	// joinProbes is how many seeds are probed at once until a daemon answers.
 	joinProbes = 3
 )
 
-// seed is an address at which a daemon may be.
+// seed is an address at which there may be a daemon.
 type seed struct {
-	instance fleet.InstanceID // empty where only the address is known
+	instance fleet.InstanceID // empty if only the address is known
 	peer     string
 	tries    int
 }
@@ -31,10 +31,9 @@
 	nextAt time.Duration
 }
 
-// AddSeeds adds members from the settings or the instance list, which lags: they
-// are addresses to probe, and become members only when they answer, so a list
-// that still shows a gone daemon does not bring it back. Only Instance, which
-// may be empty, and Peer are used.
+// AddSeeds adds addresses to probe, from the settings or the instance list. They
+// become members only when they answer, so an outdated instance list does not
+// restore gone daemons. Only Instance, which may be empty, and Peer are used.
 func (m *Membership) AddSeeds(now time.Time, members []Member) {
 	m.clock.advance(now)
 	for _, s := range members {
@@ -44,6 +43,8 @@
 	}
 }
 
+// wantsSeed reports whether s is to be added as a seed. Members are not, nor are
+// Dead ones at their known address, which tickSeeds probes anyway.
 func (m *Membership) wantsSeed(s Member) bool {
 	if s.Peer == "" || s.Peer == m.self.record.Peer || s.Instance == m.self.instance {
 		return false
@@ -68,7 +69,7 @@
 	return slices.ContainsFunc(s.list, func(known seed) bool { return known.peer == peer })
 }
 
-// remove drops the hints that became the member n.
+// remove removes the seeds that have n's address or instance.
 func (known *seeds) remove(n *node) {
 	if len(known.list) == 0 {
 		return
@@ -78,9 +79,9 @@
 	})
 }
 
-// tickSeeds probes hints until someone answers, then now and then one that is
-// believed dead or only hinted at: two sides that hold each other for dead
-// would else never meet again.
+// tickSeeds probes seeds until a daemon answers. After that it probes one Dead
+// daemon or seed every ReconnectInterval: otherwise two sides of a partition that
+// have declared each other dead would never reconnect.
 func (m *Membership) tickSeeds() {
 	if m.clock.now < m.seeds.nextAt {
 		return
@@ -103,8 +104,8 @@
 	m.probeSeeds(1)
 }
 
-// reconnectable returns the region's daemons that did not say that they leave
-// and do not count as alive.
+// reconnectable returns the region's daemons that are Dead, alone or with their
+// data centre; not those that Left.
 func (m *Membership) reconnectable() []*node {
 	var gone []*node
 	for _, n := range m.sorted {
@@ -115,7 +116,8 @@
 	return gone
 }
 
-// probeSeeds probes some hints, each once.
+// probeSeeds probes count random seeds, each once. After the daemon has joined,
+// it removes those that have been probed seedTries times.
 func (m *Membership) probeSeeds(count int) {
 	list := m.seeds.list
 	probed := make([]bool, len(list))
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -1,6 +1,6 @@
 package membership
 
-// newPacket makes a packet with what every packet carries.
+// newPacket returns a packet with the fields that every packet carries.
 func (m *Membership) newPacket(k Kind) *Packet {
 	return &Packet{
 		Kind:       k,
@@ -11,8 +11,8 @@
 	}
 }
 
-// piggyback adds what n must know before all, then rumours. A nil n is a
-// receiver that is not known yet.
+// piggyback adds what matters most to the receiver n, then queued updates within
+// the budget. n is nil if the receiver is not in the table yet.
 func (m *Membership) piggyback(p *Packet, n *node) {
 	if n == nil {
 		m.addOwnRecord(p)
@@ -27,13 +27,14 @@
 	m.updateBudget.spend(m.updates.fill(p, m.cfg.MaxPacketBytes, maxSends, otherRegion))
 }
 
-// addOwnRecord adds the own Record.
+// addOwnRecord adds an update with this daemon's Record.
 func (m *Membership) addOwnRecord(p *Packet) {
 	p.Updates = append(p.Updates, m.self.update(true))
 }
 
-// addFailedState tells n that it is held for suspect or gone. Without this a daemon
-// that was paused or cut off might wait for a rumour that is no longer told.
+// addFailedState adds n's state to a packet for n if n is suspect or gone, and the
+// loss of its data centre. Otherwise a daemon that was paused or isolated might
+// never receive these updates, because they are no longer queued.
 func (m *Membership) addFailedState(p *Packet, n *node) {
 	if !n.provisional && (n.state.IsSuspect() || n.state.Terminal()) {
 		p.Updates = append(p.Updates, n.update(false))
@@ -43,7 +44,7 @@
 	}
 }
 
-// sendGossip sends updates alone.
+// sendGossip sends a Gossip packet, which counts in full against the budget.
 func (m *Membership) sendGossip(to string, n *node) {
 	p := m.newPacket(Gossip)
 	m.updateBudget.spend(p.Size())
@@ -60,7 +61,7 @@
 	m.emit(Send{To: to, Packet: p})
 }
 
-// nextSequence returns a number that is never 0.
+// nextSequence returns the next sequence number; it is never 0.
 func (m *Membership) nextSequence() uint32 {
 	m.sequence++
 	if m.sequence == 0 {
--- a/internal/membership/size.go
+++ b/internal/membership/size.go
@@ -1,8 +1,8 @@
 package membership
 
-// Upper bounds of encoded sizes in bytes: protobuf needs a tag and a length
-// for each string, at most ten bytes for a uint64 and one level of nesting for
-// each message. The transport's tests hold the codec to these bounds.
+// Upper bounds of encoded sizes in bytes: protobuf needs a tag and a length for
+// each string and each nested message, and at most ten bytes for a uint64. The
+// tests of internal/gossip check the encoder against these bounds.
 const (
 	stringOverhead  = 3  // tag and length below 16384
 	varintBound     = 11 // tag and uint64
@@ -10,7 +10,7 @@
 	fixed64Bound    = 9
 	flagBound       = 2 // tag and small enum or bool
 	messageOverhead = 3 // tag and length below 16384
-	// SealOverhead is what sealing adds: version, nonce and tag.
+	// SealOverhead is what encryption adds: version, nonce and tag.
 	SealOverhead = 1 + 12 + 16
 )
 
@@ -35,7 +35,7 @@
 	return messageOverhead + stringOverhead + len(b.Region) + varintBound
 }
 
-// Size returns an upper bound of the packet's encoded and sealed size in bytes.
+// Size returns an upper bound of the packet's encoded and encrypted size in bytes.
 func (p *Packet) Size() int {
 	n := SealOverhead + 2*flagBound + fixed32Bound + fixed64Bound
 	n += messageOverhead + stringOverhead + len(p.From.Instance) + fixed32Bound + flagBound + varintBound
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -8,8 +8,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// digestViewInterval bounds how often a View is made for changed digests
-// alone: after a change of configuration every probe brings one.
+// digestViewInterval is the least time to the next View if only digests have
+// changed: after a change of configuration every probe may carry a new one.
 const digestViewInterval = time.Second
 
 func (m *Membership) tickView() {
@@ -20,7 +20,7 @@
 	m.emit(Changed{View: m.view})
 }
 
-// rebuildView makes a new snapshot and what is derived from it.
+// rebuildView builds a new snapshot and what is derived from the members' states.
 func (m *Membership) rebuildView() {
 	m.dirty, m.digestsChanged = false, false
 	m.viewBuiltAt = m.clock.now
@@ -35,7 +35,7 @@
 	m.chooseBridges()
 }
 
-// class sorts a member into one of a View's three runs.
+// class returns in which of the View's three ranges a member belongs.
 func (v *View) class(n *node) memberClass {
 	s := n.effectiveState()
 	switch {
@@ -56,7 +56,7 @@
 	classGone
 )
 
-// appendMembers adds the members of one class and returns the length reached.
+// appendMembers appends the members of one class and returns the new length.
 func (m *Membership) appendMembers(v *View, want memberClass) int {
 	for _, n := range m.sorted {
 		if v.class(n) == want {
@@ -86,7 +86,7 @@
 	return views
 }
 
-// countRegion counts the own region's daemons that are not gone.
+// countRegion counts the daemons of this region that are not gone.
 func (m *Membership) countRegion() int {
 	count := 0
 	for _, n := range m.sorted {
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,22 +1,22 @@
 package membership
 
-// State is what is believed about one run of a daemon. For one incarnation a
-// greater State overrides a smaller one.
+// State is the state of one run of a daemon. Within one incarnation a higher
+// State overrides a lower one.
 type State uint8
 
 // The states, in the order of precedence within one incarnation.
 const (
 	// Alive takes new work.
 	Alive State = iota
-	// Leaving said that it will go: it answers, but takes no new work.
+	// Leaving announced that it will go: it answers probes, but takes no new work.
 	Leaving
-	// Suspect did not answer probes and has not refuted it yet.
+	// Suspect did not answer probes and has not refuted the suspicion yet.
 	Suspect
 	// SuspectLeaving is a Leaving daemon that did not answer probes.
 	SuspectLeaving
-	// Dead was Suspect for too long, or its data centre is lost.
+	// Dead did not refute the suspicion in time, or its data centre is lost.
 	Dead
-	// Left said that it went. Only another run can follow.
+	// Left announced that it has gone. Only another run can follow.
 	Left
 )
 
@@ -43,10 +43,11 @@
 // Terminal reports whether the incarnation is over: Dead or Left.
 func (s State) Terminal() bool { return s >= Dead }
 
-// IsLeaving reports whether the daemon said that it will go and is not gone.
+// IsLeaving reports whether the daemon announced that it will go and is not gone.
 func (s State) IsLeaving() bool { return s == Leaving || s == SuspectLeaving }
 
-// IsSuspect reports whether probes went unanswered and the suspicion stands.
+// IsSuspect reports whether probes went unanswered and the suspicion is not
+// refuted.
 func (s State) IsSuspect() bool { return s == Suspect || s == SuspectLeaving }
 
 // suspected returns the state with suspicion added; terminal states stay.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// suspicionTimeout is how long a suspect has to refute.
+// suspicionTimeout is how long a suspect has to refute the suspicion.
 func (m *Membership) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(m.regionSize)))
 	base := time.Duration(float64(m.cfg.SuspicionMultiplier) * scale * float64(m.cfg.ProbeInterval))
 	return m.health.scale(base)
 }
 
-// startSuspicion gives a suspect its deadline.
+// startSuspicion sets a suspect's deadline and checks whether its data centre
+// may be lost.
 func (m *Membership) startSuspicion(n *node) {
 	n.deadline = m.clock.now + m.suspicionTimeout()
 	m.suspects = append(m.suspects, n)
 	m.checkLoss(n.dc)
 }
 
-// tickSuspects holds suspects for dead whose time to refute is over.
+// tickSuspects declares suspects Dead whose deadline has passed, except during
+// isolation and while the loss of their data centre is verified or accepted.
 func (m *Membership) tickSuspects() {
 	kept := m.suspects[:0]
 	for _, n := range m.suspects {
@@ -35,10 +37,12 @@
 	m.suspects = kept
 }
 
-// acceptedState is the state that a statement of others about n leads to. A death
-// of which no suspicion was heard here for some time is only suspected: it may
-// come from a daemon or a data centre that was cut off and held all others for
-// dead. The one who is meant then has time to refute, and serves on meanwhile.
+// acceptedState returns the state that an update from another daemon gives n. For
+// a member of another region suspicion is removed. Dead is accepted for a member
+// of this region only if it has been suspect here for half of the suspicion
+// timeout. Otherwise it becomes suspect: the update may come from a daemon or data
+// centre that was partitioned and declared all others dead. The member then has
+// time to refute, and it stays among the serving ones meanwhile.
 func (m *Membership) acceptedState(n *node, u *Update) State {
 	if !m.isLocal(n) {
 		return u.State.cleared()
--- a/internal/membership/syncer.go
+++ b/internal/membership/syncer.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Bounds of comparing tables.
+// Limits for table synchronisation.
 const (
-	// bulkSyncInterval is the time between comparisons while a daemon learns
-	// many members: it has them all within seconds.
+	// bulkSyncInterval is the time between comparisons during a bulk sync, in
+	// which a new daemon fetches the whole table within seconds.
 	bulkSyncInterval = 300 * time.Millisecond
-	// syncRetryInterval is the time to the next comparison where no page came: the
-	// peer's budget was spent, or the packet was lost.
+	// syncRetryInterval is the time to the next comparison if no page arrives
+	// because the peer's budget was used up or the packet was lost.
 	syncRetryInterval = time.Second
-	// minBulkChanges is how many changes one page must bring to count as bulk.
+	// minBulkChanges is how many changes in one page start a bulk sync.
 	minBulkChanges = 4
-	// bulkDuration is how long a daemon is taken to be learning after such a page.
+	// bulkDuration is how long a bulk sync lasts after the last such page.
 	bulkDuration = 2 * time.Second
 	// pagesPerRequest bounds the answer to one SyncRequest.
 	pagesPerRequest = 8
 )
 
-// syncer fetches the parts of the member table that differ from a peer's
-// (anti-entropy by pulling; Demers et al., 1987).
+// syncer fetches the buckets in which a peer's member table differs
+// (pull anti-entropy; Demers et al., 1987).
 type syncer struct {
-	peer      *node // whose hash differed last, or nil
+	peer      *node // the latest whose table hash differed, or nil
 	nextAt    time.Duration
 	bulkUntil time.Duration
 }
 
-// updatePeer notes whether n's table differs from ours.
+// updatePeer records whether n's table differs from this daemon's.
 func (s *syncer) updatePeer(n *node, differs bool) {
 	switch {
 	case differs:
@@ -36,12 +36,12 @@
 	}
 }
 
-// inBulkSync reports whether this daemon is learning many members from pages. It
-// does not pass on rumours then: when all daemons start at once, rumours about
-// all of them would cost each many times the table's size.
+// inBulkSync reports whether this daemon is fetching many members. Meanwhile it
+// does not queue updates from other daemons: when all daemons start at once,
+// gossip about all of them would cost each one many times the table's size.
 func (m *Membership) inBulkSync() bool { return m.clock.now < m.syncer.bulkUntil }
 
-// tickSync asks the peer whose hash differed last for what differs.
+// tickSync sends a SyncRequest to the peer whose table hash differed last.
 func (m *Membership) tickSync() {
 	s := &m.syncer
 	if s.peer == nil || m.clock.now < s.nextAt {
@@ -65,8 +65,8 @@
 	m.send(to, p)
 }
 
-// bulkPeer chooses another peer each time, so that when all daemons start at
-// once none is asked by many.
+// bulkPeer returns a random peer, or n if there is none, so that when all daemons
+// start at once none gets the requests of many.
 func (m *Membership) bulkPeer(n *node) *node {
 	if other := m.prober.randomPeer(m.rng); other != nil {
 		return other
@@ -74,8 +74,8 @@
 	return n
 }
 
-// scheduleNextSync is called for each page with the changes that it brought. Where it
-// brought any there may be more.
+// scheduleNextSync sets the time of the next comparison after a page with this
+// number of changes. If there were any, the tables may differ in more.
 func (m *Membership) scheduleNextSync(changes int) {
 	s := &m.syncer
 	if changes == 0 {
@@ -88,8 +88,8 @@
 	}
 }
 
-// receiveSyncRequest answers with pages of the buckets that differ. What does
-// not fit waits for the next request, whose hashes will show less.
+// receiveSyncRequest answers with pages of the buckets that differ. Members that
+// do not fit are sent for the next request, for which fewer buckets differ.
 func (m *Membership) receiveSyncRequest(p *Packet, n *node) {
 	if len(p.Buckets) != BucketCount {
 		return
@@ -108,7 +108,8 @@
 	}
 }
 
-// newPage makes a page that tells the state of all data centres.
+// newPage returns a page with the state of all data centres. n is its receiver,
+// or nil if it is not in the table.
 func (m *Membership) newPage(n *node) *Packet {
 	page := m.newPacket(SyncPage)
 	if n == nil {
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// differingMembers returns the members of the buckets that differ, from another
-// bucket on each time, so that all get their turn where not all fit.
+// differingMembers returns the members of the buckets that differ, starting with
+// a random bucket, so that no bucket is always left out if not all fit.
 func (m *Membership) differingMembers(theirs []byte, salt uint32) []*node {
 	first := m.rng.IntN(BucketCount)
 	var before, after []*node
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -6,12 +6,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// expireInterval is the time between two searches for members to forget; a
-// minute more or less does not matter to a Retention of hours.
+// expireInterval is the time between two searches for expired members. A minute
+// does not matter with a Retention of hours.
 const expireInterval = time.Minute
 
-// Tick does what is due. It should be called every 100 ms; the protocol's own
-// time advances by at most half a ProbeInterval for each call, or two ticks.
+// Tick does what is due. It should be called every 100 ms. The protocol's clock
+// advances per call by at most half a ProbeInterval or 200 ms, whichever is more.
 func (m *Membership) Tick(now time.Time) []Action {
 	m.clock.advance(now)
 	if m.self.state == Left {
@@ -33,8 +33,8 @@
 	return m.takeActions()
 }
 
-// tickGossip sends updates alone while there are any, so that they spread
-// faster than by probes.
+// tickGossip sends queued updates in Gossip packets, so that they spread faster
+// than on probes alone.
 func (m *Membership) tickGossip() {
 	if m.clock.now < m.nextGossip {
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// tickExpire drops members that have been gone for Retention, alone or with
-// their whole region.
+// tickExpire removes members that have been gone for longer than Retention, or
+// whose region has been unreachable for that time.
 func (m *Membership) tickExpire() {
 	if m.clock.now < m.nextExpire {
 		return
@@ -76,8 +76,8 @@
 	return m.isRegionExpired(n.record.Region)
 }
 
-// isRegionExpired reports whether a region has been silent for so long that its
-// members are not worth knowing.
+// isRegionExpired reports whether another region has been unreachable for longer
+// than Retention.
 func (m *Membership) isRegionExpired(name fleet.Region) bool {
 	x := m.regions.getOrAdd(name, m.clock.now)
 	return x.name != m.regions.own && m.clock.now-x.heartbeatAt > m.cfg.Retention
--- a/internal/membership/updatequeue.go
+++ b/internal/membership/updatequeue.go
@@ -2,17 +2,18 @@
 
 import "math/bits"
 
-// queuedUpdate is a statement that is being repeated. It holds a member or a data
-// centre; what is told is always the newest that is known of it.
+// queuedUpdate refers to a member or a data centre whose state is to be sent.
+// One of node and dc is set; each packet gets its latest state.
 type queuedUpdate struct {
 	node *node
 	dc   *dataCentre
 }
 
-// queueState is how far a rumour has come. It lives in the node or data centre.
+// queueState is the state of a queued update. It is stored in the node or the
+// dataCentre.
 type queueState struct {
 	queued bool
-	sends  int // times sent, or heard from another that knew it already
+	sends  int // times sent, or received from another daemon
 }
 
 func (u queuedUpdate) queueState() *queueState {
@@ -22,8 +23,8 @@
 	return &u.node.queueState
 }
 
-// updateQueue is the queue of statements to piggyback, least repeated first. It
-// has at most one entry for each member and data centre.
+// updateQueue is the queue of updates to piggyback on packets, the least sent
+// first. It has at most one entry for each member and data centre.
 type updateQueue struct {
 	queue []queuedUpdate
 }
@@ -32,7 +33,8 @@
 
 func (q *updateQueue) addDataCentre(d *dataCentre) { q.add(queuedUpdate{dc: d}) }
 
-// add puts a rumour in front of the queue.
+// add queues an update at the front. An update that is already queued keeps its
+// place, and its count of sends restarts.
 func (q *updateQueue) add(u queuedUpdate) {
 	t := u.queueState()
 	t.sends = 0
@@ -47,14 +49,15 @@
 
 func (q *updateQueue) empty() bool { return len(q.queue) == 0 }
 
-// transmitLimit is how often a rumour is repeated in a group of n daemons.
+// transmitLimit is how many times an update is sent in a region of n daemons.
 func transmitLimit(multiplier, n int) int {
 	return multiplier * bits.Len(uint(n))
 }
 
-// fill adds rumours to the packet while they fit into limit bytes, counts them
-// as sent, and returns their size. Those with no sends left go from the queue, and so do those on
-// members of a lost data centre, for which its loss speaks.
+// fill adds queued updates to the packet as far as limit bytes allow, counts them
+// as sent and returns their size in bytes. It removes updates that were sent
+// maxSends times, and those about members of a lost data centre, whose state the
+// loss covers.
 func (q *updateQueue) fill(p *Packet, limit, maxSends int, otherRegion bool) int {
 	if q.empty() {
 		return 0
@@ -93,13 +96,13 @@
 	}
 }
 
-// addTo adds the rumour to the packet and returns its size, or 0 where it does
-// not fit or is not this receiver's business.
+// addTo adds the update to the packet and returns its size in bytes; 0 if it does
+// not fit or must not be sent to this receiver.
 func (u queuedUpdate) addTo(p *Packet, room int, otherRegion bool) int {
 	if u.dc != nil {
 		return addDataCentre(p, u.dc.update(otherRegion), room)
 	}
-	// Suspicion is the region's own business.
+	// Only a region's own daemons probe its members and can judge a suspicion.
 	if otherRegion && u.node.state.IsSuspect() {
 		return 0
 	}
