--- a/internal/gossip/node_bench_test.go
+++ b/internal/gossip/node_bench_test.go
@@ -56,7 +56,7 @@
 	for _, n := range nodes {
 		waitFor(b, "all to join", func() bool { return len(n.View().Serving()) == count })
 	}
-	time.Sleep(10 * time.Second) // until the rumours have died out
+	time.Sleep(10 * time.Second) // until no updates are queued
 	return nodes
 }
 
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -7,13 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// newConvergedGroup returns a group in which all see each other and all is quiet.
+// newConvergedGroup returns a group in which all daemons see each other Alive and
+// no updates are being spread.
 func newConvergedGroup(t *testing.T, n, dcs, regions int) *group {
 	t.Helper()
 	g := newGroup(uint64(n))
 	g.start(n, dcs, regions)
 	_, ok := g.until(time.Minute, g.converged)
-	assert.Assert(t, ok, "the daemons do not find each other")
+	assert.Assert(t, ok, "the daemons have not converged")
 	g.run(10 * time.Second)
 	for _, d := range g.daemons {
 		d.actions = nil
@@ -33,12 +34,13 @@
 func (g *group) assertConverged(t *testing.T, limit time.Duration) {
 	t.Helper()
 	took, ok := g.until(limit, g.converged)
-	assert.Assert(t, ok, "the daemons do not see each other after %v", took)
+	assert.Assert(t, ok, "the daemons have not converged after %v", took)
 }
 
 func TestCrashedDaemonIsDeclaredDeadByAllAndNoOtherIs(t *testing.T) {
-	// A daemon's machine is gone at once. The others stop getting answers to
-	// their probes, suspect it, and hold it for dead when it does not refute.
+	// A daemon's machine crashes. The others get no answers to their probes,
+	// suspect it, and declare it Dead when it does not refute. No other daemon
+	// may have to refute a suspicion.
 	g := newConvergedGroup(t, 18, 4, 2)
 	victim := g.daemons[5]
 	victim.up = false
@@ -49,9 +51,9 @@
 }
 
 func TestOneWayPacketLossCausesNoSuspicion(t *testing.T) {
-	// Packets from one daemon to another are lost, the other way they arrive,
-	// and all else is well. Its own probes of that one fail for good; the
-	// answers come by others, so nobody is suspected.
+	// All packets from one daemon to another are lost, but not in the other
+	// direction. Its direct probes of that daemon always fail; the indirect
+	// ones succeed, so no daemon may be suspected.
 	g := newConvergedGroup(t, 9, 4, 1)
 	g.drop = func(from, to *daemon) bool { return from.index == 0 && to.index == 1 }
 	for range 600 {
@@ -64,10 +66,10 @@
 }
 
 func TestResumedDaemonRefutesItsDeathAndDeclaresNobodyDead(t *testing.T) {
-	// A process stands still for a minute and is held for dead. When it goes
-	// on, all its deadlines lie in the past and its socket is full of old
-	// packets. It must not hold others for dead, must learn what was said of
-	// it, and be alive for all within seconds.
+	// A process is paused for a minute and declared Dead. When it resumes, all
+	// its deadlines have passed and its socket is full of old packets. It must
+	// not declare others Dead, must be notified that it was declared dead, and
+	// must be Alive in all views within seconds.
 	g := newConvergedGroup(t, 9, 4, 1)
 	slow := g.daemons[3]
 	slow.paused = true
@@ -85,8 +87,9 @@
 }
 
 func TestResumedDaemonWithEmptySocketDeclaresNobodyDead(t *testing.T) {
-	// As above, but what waited was dropped, so nothing tells the daemon on its
-	// first tick that others live, and the probe that ran has had its time.
+	// As above, but the packets in the socket were dropped, so on its first tick
+	// the daemon has received nothing that shows that others are up, and the
+	// probe that was running when it was paused has timed out.
 	g := newConvergedGroup(t, 9, 4, 1)
 	slow := g.daemons[3]
 	g.until(5*time.Second, func() bool { return slow.prober.target != nil })
@@ -100,9 +103,9 @@
 }
 
 func TestRestartReplacesTheOlderRunAtOnce(t *testing.T) {
-	// A process dies and is started again on the same instance and address
-	// before its death is known. Callers must be shown the new run, and no
-	// suspicion of the old one may hit it.
+	// A process crashes and is restarted on the same instance and address
+	// before the crash is detected. All views must show the new run, and a
+	// suspicion of the old one must not affect it.
 	g := newConvergedGroup(t, 9, 4, 1)
 	g.restart(2, 7)
 	want := memberAt(2, 7, "", "").Daemon
@@ -113,9 +116,9 @@
 }
 
 func TestRestartWithClockSetBackReplacesTheOlderRun(t *testing.T) {
-	// As above, but the clock was set back, so the new run begins with a lower
-	// incarnation than the older one had. Its peers answer with what they
-	// know, and it raises its own.
+	// As above, but the clock was set back, so the new run starts with a lower
+	// incarnation than the older one had. It receives the older incarnation from
+	// its peers and raises its own above it.
 	g := newConvergedGroup(t, 9, 4, 1)
 	g.daemons[2].up = false
 	self := memberAt(2, 7, g.daemons[2].self.record.DataCentre, "region-0")
@@ -128,8 +131,9 @@
 }
 
 func TestIsolatedDaemonReconnectsWithoutSpreadingSuspicion(t *testing.T) {
-	// A daemon hears nobody for five minutes. On its return it must not tell
-	// what it thought of the others, or each of them would have to refute.
+	// A daemon receives no packets for five minutes and declares the others
+	// Dead. When it reconnects it must not send these states, or each of the
+	// others would have to refute.
 	g := newConvergedGroup(t, 18, 4, 1)
 	isolated := g.daemons[4]
 	g.drop = func(from, to *daemon) bool { return from == isolated || to == isolated }
@@ -146,9 +150,10 @@
 }
 
 func TestLastOfThreeDaemonsSuspectsBeforeItDeclaresDead(t *testing.T) {
-	// Of three daemons two die at once. The last hears nobody and cannot tell
-	// whether it is cut off itself, so it suspects them for a minute before it
-	// holds them for dead. When a new daemon comes, all see the same.
+	// Two of three daemons crash at once. The last one receives no packets and
+	// cannot decide whether it is isolated itself, so it suspects the others for
+	// a minute before it declares them Dead. When a new daemon joins, their views
+	// must converge.
 	g := newConvergedGroup(t, 3, 3, 1)
 	g.daemons[1].up, g.daemons[2].up = false, false
 	g.run(20 * time.Second)
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -8,18 +8,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// tick is the step of a group's time and the latency of its packets.
+// tick is the interval between ticks of a group and the latency of its packets.
 const tick = 100 * time.Millisecond
 
-// group drives daemons by plain calls: what one sends in a tick, the others
-// receive in the next.
+// group simulates daemons and the network between them. A packet sent in one tick
+// is received in the next.
 type group struct {
 	now      time.Time
 	rng      *rand.Rand
 	daemons  []*daemon
 	byAddr   map[string]*daemon
 	inFlight []sentPacket
-	drop     func(from, to *daemon) bool // nil loses nothing
+	drop     func(from, to *daemon) bool // whether a packet is lost; nil if none is
 	packets  int
 }
 
@@ -29,8 +29,8 @@
 	index    int
 	up       bool
 	paused   bool
-	waiting  []*Packet // of a paused daemon, in its socket
-	actions  []Action  // all but Send, since the last clear
+	waiting  []*Packet // packets in the socket of a paused daemon
+	actions  []Action  // all but Send, until a test clears it
 	sent     int       // packets
 	sentSize int       // bytes with IP and UDP headers, upper bound
 }
@@ -52,7 +52,8 @@
 	}
 }
 
-// place spreads daemons over data centres and regions: dc i of dcs, region i of regions.
+// place returns the data centre and region of daemon i; daemons are distributed
+// evenly over dcs data centres, and these over the regions.
 func place(i, dcs, regions int) (fleet.DataCentre, fleet.Region) {
 	dc := i % dcs
 	return fleet.DataCentre(fmt.Sprintf("dc-%02d", dc)), fleet.Region(fmt.Sprintf("region-%d", dc%regions))
@@ -70,7 +71,8 @@
 	}
 }
 
-// start adds n daemons, each seeded with the first three.
+// start adds n daemons. The seeds of each are the first three, as far as they
+// exist by then.
 func (g *group) start(n, dcs, regions int) {
 	for i := range n {
 		dc, region := place(i, dcs, regions)
@@ -91,7 +93,7 @@
 	return d
 }
 
-// restart replaces daemon i by another run on the same instance.
+// restart replaces daemon i by a new run on the same instance.
 func (g *group) restart(i, run int) {
 	old := g.daemons[i].self.record
 	g.restartAs(i, memberAt(i, run, old.DataCentre, old.Region))
@@ -105,7 +107,7 @@
 	g.byAddr[self.Peer] = g.daemons[i]
 }
 
-// everyoneSeesRun reports whether all see daemon i's run alive.
+// everyoneSeesRun reports whether all views show daemon i Alive with this run.
 func (g *group) everyoneSeesRun(i int, run fleet.DaemonID) bool {
 	return g.everyone(func(d *daemon) bool {
 		m, _ := d.View().ByInstance(g.daemons[i].self.instance)
@@ -113,7 +115,7 @@
 	})
 }
 
-// step advances by one tick.
+// step advances the group by one tick.
 func (g *group) step() {
 	g.now = g.now.Add(tick)
 	flying := g.inFlight
@@ -142,7 +144,7 @@
 	g.carryOut(d, d.Receive(g.now, &p))
 }
 
-// resume lets a paused daemon run again: it reads what waits in its socket.
+// resume resumes a paused daemon, which first reads the packets in its socket.
 func (g *group) resume(d *daemon) {
 	d.paused = false
 	for _, p := range d.waiting {
@@ -175,7 +177,8 @@
 	}
 }
 
-// until steps until ok holds and returns how long it took; false after limit.
+// until steps until ok returns true, at most for limit. It returns how long that
+// took and the last result of ok.
 func (g *group) until(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	for t := time.Duration(0); t < limit; t += tick {
 		if ok() {
@@ -186,7 +189,7 @@
 	return limit, ok()
 }
 
-// everyone reports whether ok holds for all running daemons.
+// everyone reports whether ok returns true for all running daemons.
 func (g *group) everyone(ok func(d *daemon) bool) bool {
 	for _, d := range g.daemons {
 		if d.up && !d.paused && !ok(d) {
@@ -196,8 +199,8 @@
 	return true
 }
 
-// converged reports whether all running daemons see each other alive, and
-// nobody else.
+// converged reports whether the views of all running daemons show as Alive the
+// daemons that are up, and no others.
 func (g *group) converged() bool {
 	up := 0
 	for _, d := range g.daemons {
@@ -218,7 +221,7 @@
 	})
 }
 
-// stateOf returns how d sees other's instance; Left where it does not know it.
+// stateOf returns the state of other's instance in d's view; Left if it has none.
 func (d *daemon) stateOf(other *daemon) State {
 	m, found := d.View().ByInstance(other.self.instance)
 	if !found {
@@ -227,7 +230,7 @@
 	return m.State
 }
 
-// count returns how many actions of type A the daemon gave.
+// count returns how many actions of type A the daemon returned.
 func count[A Action](d *daemon) int {
 	n := 0
 	for _, a := range d.actions {
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -13,7 +13,7 @@
 		g := newGroup(uint64(n))
 		g.start(n, 11, 3)
 		took, ok := g.until(2*time.Minute, g.converged)
-		assert.Assert(t, ok, "%d daemons do not see each other", n)
+		assert.Assert(t, ok, "%d daemons have not converged", n)
 		t.Logf("%d daemons: %v, %d packets", n, took, g.packets)
 		g.run(time.Minute)
 		assert.Assert(t, g.converged())
@@ -21,8 +21,8 @@
 }
 
 func TestNewDaemonIsInAllViewsWithinSeconds(t *testing.T) {
-	// A daemon joins a running fleet. Others must not have to find it by
-	// comparing tables, which takes a multiple of the time.
+	// A daemon joins a running fleet. The others must receive it by gossip: by
+	// comparing tables alone it would take several times as long.
 	g := newConvergedGroup(t, 80, 4, 2)
 	g.add(Config{}, memberAt(100, 0, "dc-00", "region-0"))
 	took, ok := g.until(6*time.Second, g.converged)
@@ -30,7 +30,8 @@
 	assert.Assert(t, ok)
 }
 
-// Guards against a daemon that asks one of two others twice and knows nothing of the other for seconds.
+// A daemon that starts with two seeds must probe both at once. If it probed the
+// same one twice, the other would be missing from its table for seconds.
 func TestFirstProbesGoToDifferentSeeds(t *testing.T) {
 	for seed := range uint64(64) {
 		now := time.Unix(1000, 0)
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestLeavingDaemonStopsServingWithinSecondsForGood(t *testing.T) {
-	// A daemon says that it leaves, goes on for ten seconds, and is gone.
-	// Callers must not be sent to it from a few seconds on, not even when it
-	// is suspected and refutes in between.
+	// A daemon announces that it leaves, keeps running for ten seconds and is
+	// gone. From a few seconds on no view may show it as serving, not even when
+	// it is suspected and refutes in between.
 	g := newConvergedGroup(t, 40, 4, 2)
 	leaver := g.daemons[7]
 	g.carryOut(leaver, leaver.Leave(g.now))
@@ -42,9 +42,9 @@
 }
 
 func TestStaleInstanceListDoesNotRestoreGoneDaemons(t *testing.T) {
-	// The instance list lags and still shows a daemon that left and one that
-	// died. Both stay gone, and so they do when a packet of theirs that was
-	// under way for long arrives.
+	// The instance list is outdated and still has a daemon that left and one
+	// that crashed. Both must stay gone, also when a delayed packet of theirs
+	// arrives.
 	g := newConvergedGroup(t, 9, 4, 1)
 	left, dead := g.daemons[1], g.daemons[2]
 	old := []*Packet{left.newPacket(Ping), dead.newPacket(Ping)}
--- a/internal/membership/loss_test.go
+++ b/internal/membership/loss_test.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// partition loses all packets between the data centre and the others.
+// partition drops all packets between the data centre and the others.
 func (g *group) partition(dc fleet.DataCentre) {
 	g.drop = func(from, to *daemon) bool {
 		return (from.self.dc.name == dc) != (to.self.dc.name == dc)
@@ -27,9 +27,9 @@
 }
 
 func TestDataCentreLossIsReportedOnceAndNotPerDaemon(t *testing.T) {
-	// All machines of a data centre are gone at once. Everyone else must learn
-	// it as one event, before the daemons' own suspicions run out. From then on
-	// nothing more is said of the single daemons.
+	// All machines of a data centre crash at once. All the others must detect it
+	// as one event, before the suspicion timeouts of the single daemons. After
+	// that no updates about the single daemons may be sent.
 	g := newConvergedGroup(t, 40, 4, 1)
 	for _, d := range g.daemonsIn("dc-01") {
 		d.up = false
@@ -61,14 +61,15 @@
 	return false
 }
 
-// isReconnect reports whether the packet tells a dead daemon that it is dead.
+// isReconnect reports whether the packet may be a probe of a Dead daemon, which
+// carries that daemon's state.
 func isReconnect(f sentPacket) bool { return f.p.Kind == Ping && len(f.p.Updates) == 1 }
 
 func TestPartitionedDataCentreRecoversAsAWhole(t *testing.T) {
-	// The links of a data centre fail for a minute; its daemons live.
-	// Both sides hold the other for lost. When the links are back, one
-	// statement brings each data centre back, and no daemon has to refute
-	// for itself once its side was found.
+	// The links of a data centre fail for a minute, while its daemons are up.
+	// Each side declares the other lost. When the links are back, one update
+	// restores each data centre, and after that none of its daemons has to
+	// refute for itself.
 	g := newConvergedGroup(t, 40, 4, 1)
 	g.partition("dc-01")
 	g.run(time.Minute)
@@ -89,9 +90,9 @@
 }
 
 func TestDataCentreBackFromALongPartitionCausesNoLoss(t *testing.T) {
-	// As above for ten minutes. The side that was cut off holds all other data
-	// centres for lost. When it comes back, none of the others may believe its
-	// claims, for their daemons answer.
+	// As above for ten minutes. The partitioned data centre declares all others
+	// lost. When it reconnects, none of the others may accept that, since their
+	// daemons answer.
 	g := newConvergedGroup(t, 40, 4, 1)
 	g.partition("dc-01")
 	g.run(10 * time.Minute)
@@ -113,9 +114,9 @@
 
 func TestDaemonsAreAliveAtOnceAfterAShortPartition(t *testing.T) {
 	// The links of a data centre fail for twenty seconds. Its daemons were
-	// suspected before its loss was seen, one or two had time to be held for
-	// dead. When it is found again all others count as alive at once, not each
-	// when it has refuted its own death.
+	// suspected before the loss was detected, and one or two may have been
+	// declared Dead. When the data centre recovers, all the others must count as
+	// alive at once, not each after it has refuted its own death.
 	g := newConvergedGroup(t, 40, 4, 1)
 	g.partition("dc-01")
 	g.run(20 * time.Second)
@@ -134,9 +135,9 @@
 }
 
 func TestFailureOfPartOfADataCentreIsNotItsLoss(t *testing.T) {
-	// A switch takes half of a data centre's daemons away. The others answer,
-	// so nobody may hold the data centre for lost, not even for a moment; the
-	// dead are found one by one.
+	// A switch failure takes down six of a data centre's ten daemons. The others
+	// answer, so the data centre must not be declared lost, not even for a
+	// moment; the six are declared Dead one by one.
 	g := newConvergedGroup(t, 40, 4, 1)
 	dead := g.daemonsIn("dc-01")[:6]
 	for _, d := range dead {
@@ -151,9 +152,9 @@
 }
 
 func TestReportedLossIsVerifiedBeforeItIsAccepted(t *testing.T) {
-	// A daemon claims that a data centre is lost, and the data centre's own
-	// daemons do not hear of it, so that none refutes. Whoever hears the claim
-	// probes the data centre, gets answers, and believes nothing.
+	// A daemon reports that a data centre is lost, and the data centre's own
+	// daemons do not receive the update, so that none refutes it. A receiver
+	// must probe the data centre, get answers and reject the loss.
 	g := newConvergedGroup(t, 16, 4, 1)
 	claim := DataCentreUpdate{DataCentre: "dc-01", Region: "region-0", Version: 1}
 	g.drop = func(_, to *daemon) bool {
@@ -171,8 +172,8 @@
 }
 
 func TestNewDaemonInALostDataCentreDoesNotRestoreItsDead(t *testing.T) {
-	// A data centre is lost with all its daemons. Minutes later a replacement
-	// starts there. The data centre is found again, its dead stay dead.
+	// A data centre is lost with all its daemons. Minutes later a new daemon
+	// starts there. The data centre recovers, but its Dead members must stay Dead.
 	g := newConvergedGroup(t, 40, 4, 1)
 	for _, d := range g.daemonsIn("dc-01") {
 		d.up = false
@@ -187,9 +188,10 @@
 }
 
 func TestMinorityBackFromAPartitionDeclaresNobodyDead(t *testing.T) {
-	// Three of twelve data centres, with one daemon each, are cut off together.
-	// They hold each of the others for dead. When they come back their word
-	// must not take one of the others out of a single View.
+	// Three of twelve data centres, with one daemon each, are partitioned from
+	// the rest together. They declare each of the others Dead. When they
+	// reconnect, their updates must not make any View of the others show one of
+	// the others as gone.
 	g := newConvergedGroup(t, 12, 12, 1)
 	g.drop = func(from, to *daemon) bool { return (from.index < 3) != (to.index < 3) }
 	g.run(5 * time.Minute)
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -10,17 +10,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// machine drives a group through random faults. After a quiet time all that
-// live must see each other, and an incarnation that was seen gone by its own
-// word, or a run that was replaced, must not be seen again.
+// machine is a rapid state machine that exposes a group to random faults. After a
+// period without faults all running daemons must see each other Alive, and an
+// incarnation that a daemon has seen gone must not become alive again for it.
 type machine struct {
 	g                *group
 	runs             int
 	lossPercent      int // percent of packets
-	duplicatePercent int // percent of packets that arrive twice, once late
+	duplicatePercent int // percent of packets that arrive twice, the second time late
 	delayed          []sentPacket
-	left             map[fleet.DaemonID]bool // runs that departed, on instances that are not used again
-	dead             map[deadKey]bool        // seen dead by a daemon: it may not see that incarnation alive again
+	left             map[fleet.DaemonID]bool // runs that departed; their instances are not used again
+	dead             map[deadKey]bool        // seen gone by the viewer, which must not see that incarnation alive again
 }
 
 type deadKey struct {
@@ -43,7 +43,7 @@
 	return m.g.daemons[rapid.IntRange(0, len(m.g.daemons)-1).Draw(t, "daemon")]
 }
 
-// run steps, doubles and delays packets, and checks each View.
+// run advances the group, duplicates and delays packets, and checks each View.
 func (m *machine) run(t *rapid.T, d time.Duration) {
 	for range d / tick {
 		m.deliverDuplicates()
@@ -83,7 +83,7 @@
 	}
 }
 
-// leftIsKnown reports whether the daemon has been told that the member left.
+// leftIsKnown reports whether the daemon has seen the member in state Left.
 func (m *machine) leftIsKnown(d *daemon, seen Member) bool {
 	key := deadKey{viewer: d.self.record.Daemon, seen: seen.Daemon}
 	if seen.State == Left {
@@ -115,8 +115,9 @@
 	})
 }
 
-// endFaults ends all faults and sees to it that each region has a daemon: one that
-// is gone as a whole is told from one that cannot be reached only after hours.
+// endFaults ends all faults and makes sure that each region has a running daemon:
+// a region without one counts as unreachable, and its members stay alive in the
+// other regions' views for hours.
 func (m *machine) endFaults() {
 	m.lossPercent, m.duplicatePercent = 0, 0
 	for _, d := range m.g.daemons {
@@ -145,7 +146,7 @@
 	return false
 }
 
-// crash ends a daemon without a word, unless few are left.
+// crash stops a daemon without an announcement, unless only three are up.
 func (m *machine) crash(t *rapid.T) {
 	d := m.pick(t)
 	if m.countUp() > 3 {
@@ -163,7 +164,7 @@
 	return up
 }
 
-// restart replaces a run by another, sometimes with the clock set back.
+// restart replaces a run by a new one, sometimes with the clock set back.
 func (m *machine) restart(t *rapid.T) {
 	d := m.pick(t)
 	if m.left[d.self.record.Daemon] {
--- a/internal/membership/packet_test.go
+++ b/internal/membership/packet_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// pair returns a membership, one other member of its region that it knows, and
-// a packet from that one.
+// pair returns a Membership, the node of the only other member in its table,
+// which is of the same region, and a packet from that member.
 func pair() (*Membership, *node, *Packet) {
 	m := New(Config{}, memberAt(0, 0, "dc-00", "r"), rand.New(rand.NewPCG(1, 1)))
 	other := New(Config{}, memberAt(1, 0, "dc-01", "r"), rand.New(rand.NewPCG(1, 2)))
@@ -22,7 +22,7 @@
 	return m, m.nodes["i-00000000000000001"], again
 }
 
-// replies returns the packets sent to the other.
+// replies returns the packets of the Send actions.
 func replies(actions []Action) []*Packet {
 	var out []*Packet
 	for _, a := range actions {
@@ -34,9 +34,9 @@
 }
 
 func TestFailedSenderIsSentItsState(t *testing.T) {
-	// A daemon that is held for suspect or dead, alone or with its data
-	// centre, sends a packet that asks for no answer. It must be told, for the
-	// rumour may have died out before it could be reached.
+	// A daemon that is suspect or dead here, alone or with its data centre, sends
+	// a packet that asks for no answer. It must be sent its state, since the
+	// update may have left the queues before the daemon could be reached.
 	m, n, p := pair()
 	assert.Equal(t, len(replies(m.Receive(time.Unix(0, 0), p))), 0)
 	n.state = Dead
@@ -51,9 +51,10 @@
 }
 
 func TestDeathRefutedUnknowinglyIsReportedOnce(t *testing.T) {
-	// A paused daemon refutes a suspicion that it finds in its socket and has
-	// not yet heard that it was dead since. It is told, once, though the
-	// refutation stands: what it owned may have been taken over.
+	// A daemon that resumes after a pause refutes a suspicion from its socket
+	// before it receives that it has been declared Dead since. It must still be
+	// notified, and report it once, though the refutation is valid: what it
+	// owned may have been taken over.
 	m, n, p := pair()
 	n.state = Dead
 	p.From.Incarnation++
@@ -83,8 +84,8 @@
 }
 
 func TestPingForAnotherInstanceIsNotAnswered(t *testing.T) {
-	// An instance is gone and a new one has its address. If it answered probes
-	// of the old one, that one would be alive for ever.
+	// An instance is gone and a new one has its address. If the new one answered
+	// probes for the old one, the old one would stay alive forever.
 	m, _, p := pair()
 	p.Kind = Ping
 	p.Subject = "i-gone"
@@ -94,9 +95,10 @@
 }
 
 func TestEndOfAnOlderRunDoesNotEndTheNewOne(t *testing.T) {
-	// A new run is known, then the end of the one before with a higher
-	// incarnation, for the clock was set back. When the new run has raised its
-	// own it must be taken for the new run, not for the gone one.
+	// The clock was set back between two runs, so the table has the new run when
+	// the end of the older one arrives with a higher incarnation. When the new
+	// run has raised its own incarnation, it must be accepted as the new run and
+	// not be taken for the one that is gone.
 	m, n, _ := pair()
 	gone := Update{Instance: n.instance, Run: n.run + 1, State: Left, Incarnation: n.incarnation + 5}
 	m.merge(&gone, true)
@@ -120,8 +122,9 @@
 }
 
 func TestPagesAndUpdatesStayWithinTheirBudgets(t *testing.T) {
-	// Many peers ask for the whole table at once, and there is much to tell.
-	// The daemon sends what its budgets allow, and probes still get answers.
+	// Many peers request the whole table at once while many updates are queued.
+	// The daemon must send no more than its budgets allow, and probes must still
+	// be answered.
 	m := filled(340)
 	ask := &Packet{Kind: SyncRequest, From: m.nodes["i-00000000000000003"].asSender(), Buckets: make([]byte, BucketCount), Source: "10.0.3.7:7946"}
 	ping := *ask
@@ -158,8 +161,8 @@
 }
 
 func TestIsolatedDaemonAcceptsNoDataCentreLoss(t *testing.T) {
-	// While a daemon verifies the loss of a data centre, its own link fails.
-	// That nobody answers then proves nothing.
+	// While a daemon verifies the loss of a data centre, its own link fails. It
+	// gets no answers because of that and must not accept the loss.
 	m, n, p := pair()
 	now := time.Unix(1000, 0)
 	verify := func(received *Packet) {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -102,8 +102,8 @@
 	case SyncRequest:
 		m.receiveSyncRequest(p, n)
 	}
-	accused := n != nil && m.isFailed(n)
-	if needRecord || accused || p.NeedRecord {
+	failed := n != nil && m.isFailed(n)
+	if needRecord || failed || p.NeedRecord {
 		m.replyWithGossip(p, n, needRecord)
 	}
 }
--- a/internal/membership/region_test.go
+++ b/internal/membership/region_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestPartitionOfRegionsForAnHourDeclaresNobodyDead(t *testing.T) {
-	// The links between regions fail for an hour, in which each region loses a
-	// daemon and gets a new one. Neither may hold the other's daemons for
-	// dead, both must see that the other cannot be reached, and afterwards
-	// each learns what changed in the other.
+	// The links between two regions fail for an hour, in which each region loses
+	// a daemon and gets a new one. Neither may declare the other's daemons Dead,
+	// both must show the other as unreachable, and afterwards each must receive
+	// the other's changes.
 	g := newConvergedGroup(t, 18, 6, 2)
 	g.drop = func(from, to *daemon) bool { return from.self.record.Region != to.self.record.Region }
 	g.daemons[2].up, g.daemons[3].up = false, false
@@ -58,8 +58,9 @@
 }
 
 func TestRegionsReconnectAfterAllBridgesWereReplaced(t *testing.T) {
-	// While two regions cannot reach each other, each loses all bridges that
-	// the other knows. Bridges that only probed bridges would find nobody.
+	// While two regions cannot reach each other, each loses all the bridges that
+	// the other has in its table. Bridges that only probed bridges would never
+	// reconnect.
 	g := newConvergedGroup(t, 24, 6, 2)
 	g.drop = func(from, to *daemon) bool { return from.self.record.Region != to.self.record.Region }
 	for _, d := range g.daemons {
@@ -71,7 +72,8 @@
 }
 
 func TestSuspicionStaysInItsRegion(t *testing.T) {
-	// Only a region's own daemons can tell whether one of them answers.
+	// Suspicions must not be accepted from or sent to other regions: only a
+	// region's own daemons probe its members regularly.
 	g := newConvergedGroup(t, 6, 2, 2)
 	d, foreign, local := g.daemons[0], g.daemons[1], g.daemons[2]
 	u := Update{Instance: foreign.self.instance, Run: foreign.self.run, State: Suspect, Incarnation: foreign.self.incarnation}
@@ -90,8 +92,8 @@
 }
 
 func TestFailedBridgesAreReplaced(t *testing.T) {
-	// All bridges of a region die at once. The next in rank take over, before
-	// the other region holds this one for unreachable for long.
+	// All bridges of a region crash at once. The daemons with the next highest
+	// scores must take over, so that the region is reachable again soon.
 	g := newConvergedGroup(t, 40, 4, 2)
 	for _, d := range g.daemons {
 		if d.regions.isBridge && d.self.record.Region == "region-0" {
@@ -104,8 +106,8 @@
 }
 
 func TestOnlyBridgesProbeOtherRegions(t *testing.T) {
-	// With every daemon probing everywhere, the loss of a link between regions
-	// would make each suspect all daemons of the other.
+	// If every daemon probed all regions, the loss of a link between two regions
+	// would make the daemons of each suspect all those of the other.
 	g := newConvergedGroup(t, 60, 6, 3)
 	probers := map[int]bool{}
 	for range time.Minute / tick {
--- a/internal/membership/regions.go
+++ b/internal/membership/regions.go
@@ -51,10 +51,10 @@
 
 // merge takes over the counters that are higher than the known ones.
 func (r *regions) merge(heartbeats []Heartbeat, now time.Duration) {
-	for _, b := range heartbeats {
-		x := r.getOrAdd(b.Region, now)
-		if b.Count > x.heartbeat {
-			x.heartbeat = b.Count
+	for _, h := range heartbeats {
+		x := r.getOrAdd(h.Region, now)
+		if h.Count > x.heartbeat {
+			x.heartbeat = h.Count
 			x.heartbeatAt = now
 		}
 	}
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -11,15 +11,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// The target's shape.
+// Data centres and regions of the largest fleet that is supported.
 const (
 	scaleDataCentres = 11
 	scaleRegions     = 3
 )
 
-// BenchmarkScale drives whole fleets and reports, for each daemon, what the
-// protocol costs in quiet, and how many rounds of a ProbeInterval it takes
-// until a change is known by all.
+// BenchmarkScale simulates whole fleets. It reports what the protocol costs each
+// daemon while nothing changes, and how many rounds of one ProbeInterval it takes
+// until a change is in all views.
 func BenchmarkScale(b *testing.B) {
 	for _, n := range []int{9, 34, 85, 170, 340} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) { benchScale(b, n) })
@@ -34,7 +34,7 @@
 	r.print(b)
 }
 
-// scaleReport sums up figures over runs.
+// scaleReport sums up the metrics of several iterations.
 type scaleReport struct {
 	values map[string]float64
 	names  []string
@@ -66,28 +66,29 @@
 	r.packetLoss(g)
 }
 
-// mustUntil returns the rounds until ok holds.
+// mustUntil returns the number of rounds until ok returns true. A round is one
+// ProbeInterval, here a second.
 func mustUntil(b *testing.B, g *group, what string, ok func() bool) float64 {
 	b.Helper()
 	took, done := g.until(5*time.Minute, ok)
 	if !done {
-		b.Fatalf("%s is not known everywhere after %v", what, took)
+		b.Fatalf("%s is not in all views after %v", what, took)
 	}
 	return took.Seconds()
 }
 
-// join starts all daemons at once, each with the whole list as hints.
+// join starts all daemons at once, each with all of them as seeds.
 func (r *scaleReport) join(b *testing.B, g *group, n int) {
 	g.start(n, scaleDataCentres, scaleRegions)
 	for _, d := range g.daemons {
 		d.AddSeeds(g.now, g.list())
 	}
-	r.add("rounds-join", mustUntil(b, g, "the start of all", g.converged))
+	r.add("rounds-join", mustUntil(b, g, "the start of all daemons", g.converged))
 	r.add("B/s-join-max", g.busiest(secondsSinceStart(g)))
 	g.run(30 * time.Second)
 }
 
-// secondsSinceStart returns the seconds since the group began.
+// secondsSinceStart returns the simulated seconds since the start of the group.
 func secondsSinceStart(g *group) float64 { return g.now.Sub(time.Unix(1_700_000_000, 0)).Seconds() }
 
 func (g *group) list() []Member {
@@ -104,7 +105,7 @@
 	}
 }
 
-// busiest returns the bytes a second sent by the daemon that sent most.
+// busiest returns the bytes per second of the daemon that sent the most.
 func (g *group) busiest(seconds float64) float64 {
 	most := 0
 	for _, d := range g.daemons {
@@ -113,8 +114,8 @@
 	return float64(most) / seconds
 }
 
-// idle measures a minute in which nothing happens. Sent and received are
-// equal on average; what is reported is sent.
+// idle measures a minute in which nothing changes. It reports what is sent, which
+// equals what is received on average.
 func (r *scaleReport) idle(g *group) {
 	const seconds = 60
 	g.clearCounts()
@@ -134,8 +135,8 @@
 	r.add("B-state", stateBytes(len(g.daemons)))
 }
 
-// stateBytes measures the heap of one daemon that knows n members, none of
-// whose strings are shared with others'.
+// stateBytes measures the heap of one daemon with n members whose strings are not
+// shared.
 func stateBytes(n int) float64 {
 	const copies = 8
 	var before, after runtime.MemStats
@@ -151,6 +152,7 @@
 	return float64(after.HeapAlloc-before.HeapAlloc) / copies
 }
 
+// filled returns a Membership with n members.
 func filled(n int) *Membership {
 	now := time.Unix(0, 0)
 	dc, region := place(0, scaleDataCentres, scaleRegions)
@@ -166,19 +168,19 @@
 	return m
 }
 
-// daemonLoss kills one daemon.
+// daemonLoss stops one daemon.
 func (r *scaleReport) daemonLoss(b *testing.B, g *group) {
 	victim := g.daemons[len(g.daemons)-1]
 	victim.up = false
 	dead := func() bool {
 		return g.everyone(func(d *daemon) bool { return d.stateOf(victim) == Dead })
 	}
-	r.add("rounds-death", mustUntil(b, g, "one death", dead))
+	r.add("rounds-death", mustUntil(b, g, "a daemon's death", dead))
 	g.run(30 * time.Second)
 }
 
-// dataCentreLoss kills a whole data centre. Nine daemons have none with two, so
-// there it is known when the members are dead.
+// dataCentreLoss stops a whole data centre. With nine daemons no data centre has
+// two, so the loss is only known once its member is Dead.
 func (r *scaleReport) dataCentreLoss(b *testing.B, g *group) {
 	g.clearCounts()
 	lost := g.daemons[0].self.record.DataCentre
@@ -207,8 +209,9 @@
 	return false
 }
 
-// packetLoss runs a minute in which two packets in a hundred are lost and one daemon
-// is paused for three seconds in every six, and counts those held for dead.
+// packetLoss simulates a minute in which 2% of the packets are lost and one daemon
+// is paused for three of every six seconds. It counts the other daemons that are
+// suspected or declared Dead although they are up.
 func (r *scaleReport) packetLoss(g *group) {
 	g.drop = func(_, _ *daemon) bool { return g.rng.IntN(100) < 2 }
 	slow := g.daemons[1]
@@ -229,8 +232,8 @@
 	r.add("false-suspect-ppm", suspect/pairs*1e6)
 }
 
-// countSeenAs counts the pairs in which a daemon that is up holds another one that is
-// up, and not the slow one, for s.
+// countSeenAs counts the pairs of daemons that are up in which the view of the
+// first has the second in state s. The slow daemon is not counted as the second.
 func (g *group) countSeenAs(s State, slow *daemon) float64 {
 	count := 0
 	for _, d := range g.daemons {
@@ -246,9 +249,9 @@
 	return float64(count)
 }
 
-// BenchmarkLocalHealth counts how often daemons that are well are suspected or
-// held for dead because of one whose packets are lost half or more of the time,
-// with and without local health, in pairs of daemons times seconds.
+// BenchmarkLocalHealth measures how long healthy daemons are suspected or declared
+// Dead because of one daemon that loses half or more of its packets, with and
+// without the local health score. The unit is pairs of daemons times seconds.
 func BenchmarkLocalHealth(b *testing.B) {
 	for _, limit := range []int{defaultLocalHealthMax, -1} {
 		for _, percent := range []int{50, 70, 85} {
@@ -283,8 +286,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkReceive measures one probe taken in and answered, in a fleet of 340
-// in quiet.
+// BenchmarkReceive measures receiving and answering one probe, in a fleet of 340
+// without changes.
 func BenchmarkReceive(b *testing.B) {
 	m := filled(340)
 	from := m.nodes["i-00000000000000003"]
@@ -299,7 +302,7 @@
 	}
 }
 
-// BenchmarkTick measures a tick in a fleet of 340 in quiet.
+// BenchmarkTick measures one tick in a fleet of 340 without changes.
 func BenchmarkTick(b *testing.B) {
 	m := filled(340)
 	now := time.Unix(0, 0)
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -66,16 +66,16 @@
 }
 
 func (s *seeds) has(peer string) bool {
-	return slices.ContainsFunc(s.list, func(known seed) bool { return known.peer == peer })
+	return slices.ContainsFunc(s.list, func(entry seed) bool { return entry.peer == peer })
 }
 
 // remove removes the seeds that have n's address or instance.
-func (known *seeds) remove(n *node) {
-	if len(known.list) == 0 {
+func (s *seeds) remove(n *node) {
+	if len(s.list) == 0 {
 		return
 	}
-	known.list = slices.DeleteFunc(known.list, func(s seed) bool {
-		return s.peer == n.record.Peer || s.instance != "" && s.instance == n.instance
+	s.list = slices.DeleteFunc(s.list, func(entry seed) bool {
+		return entry.peer == n.record.Peer || entry.instance != "" && entry.instance == n.instance
 	})
 }
 
--- a/internal/membership/size.go
+++ b/internal/membership/size.go
@@ -31,8 +31,8 @@
 	return messageOverhead + varintBound + fixed64Bound + messageOverhead + len(d.Payload)
 }
 
-func (b *Heartbeat) size() int {
-	return messageOverhead + stringOverhead + len(b.Region) + varintBound
+func (h *Heartbeat) size() int {
+	return messageOverhead + stringOverhead + len(h.Region) + varintBound
 }
 
 // Size returns an upper bound of the packet's encoded and encrypted size in bytes.
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestNewerDigestReachesAllWithinSeconds(t *testing.T) {
-	// One daemon applies a change of configuration. The others hear of its
-	// digest by probes, fetch from whoever they heard it from, and are heard
-	// in turn; nobody is sent to a daemon that has nothing newer.
+	// One daemon applies a change of configuration. The others must receive its
+	// digest on probes, fetch the change from the sender and spread the digest
+	// in turn. No daemon may be referred to one that has nothing newer.
 	g := newConvergedGroup(t, 40, 4, 2)
 	for _, d := range g.daemons {
 		d.SetDigest(Digest{Version: 7, Hash: 1})
@@ -27,7 +27,7 @@
 		}
 		return g.everyone(func(d *daemon) bool { return d.self.digest == newest })
 	})
-	t.Logf("known by all after %v", took)
+	t.Logf("at all daemons after %v", took)
 	assert.Assert(t, ok)
 	assert.Equal(t, count[NewerDigest](g.daemons[3]), 0)
 	for _, d := range g.daemons {
@@ -54,9 +54,10 @@
 }
 
 func TestMissingMemberIsFetchedByTableSync(t *testing.T) {
-	// A daemon joins while no packet with updates reaches another one. When
-	// the rumours have died out that one lacks the new daemon; the hashes of
-	// their tables differ, and it fetches what it lacks, not the whole table.
+	// A daemon joins, and no update about it reaches another one. When the
+	// update is no longer queued anywhere, that one still lacks the new daemon.
+	// Its table hash differs from the others', and it must fetch only the
+	// missing record, not the whole table.
 	g := newConvergedGroup(t, 40, 4, 1)
 	incomplete := g.daemons[9]
 	g.add(Config{}, memberAt(90, 0, "dc-00", "region-0"))
@@ -69,22 +70,22 @@
 		d.updates.queue = nil
 	}
 	assert.Assert(t, !g.converged())
-	pages := 0
+	fetched := 0
 	for range 15 * time.Second / tick {
 		g.step()
 		for _, f := range g.inFlight {
 			if f.p.Kind == SyncPage && f.to == incomplete.address {
-				pages += len(f.p.Updates)
+				fetched += len(f.p.Updates)
 			}
 		}
 	}
 	assert.Assert(t, g.converged())
-	assert.Assert(t, pages < 10, "fetched %d records for one", pages)
+	assert.Assert(t, fetched < 10, "fetched %d records for one missing", fetched)
 }
 
 func TestTrafficIsBoundedWhenAllDaemonsStartAtOnce(t *testing.T) {
-	// All daemons start at once. Each learns the others by fetching tables; if
-	// each also spread all that it learns, the packets would grow with the
+	// All daemons start at once, and each gets the others by fetching tables. If
+	// each also gossiped all that it fetched, the traffic would grow with the
 	// square of the number of daemons.
 	g := newGroup(1)
 	g.start(170, 11, 3)
@@ -97,12 +98,13 @@
 	for _, d := range g.daemons {
 		total += d.sentSize
 	}
-	// A table of 170 has 23 kB. Three times that are fetched, the rest are
-	// probes and what is told of contacts; with all told on it was 141 kB.
+	// A table of 170 members has 23 kB and is fetched about three times. The
+	// rest are probes and updates about direct contacts. If fetched members are
+	// gossiped too, it is 141 kB.
 	assert.Assert(t, total/170 < 120_000, "%d bytes a daemon", total/170)
 }
 
-// forget drops a member from the table, as if it had never been heard of.
+// forget removes a member from the table, as if it had never been added.
 func (d *daemon) forget(id string) {
 	for i, n := range d.sorted {
 		if string(n.instance) == id {
--- a/internal/membership/updatequeue.go
+++ b/internal/membership/updatequeue.go
@@ -36,12 +36,12 @@
 // add queues an update at the front. An update that is already queued keeps its
 // place, and its count of sends restarts.
 func (q *updateQueue) add(u queuedUpdate) {
-	t := u.queueState()
-	t.sends = 0
-	if t.queued {
+	state := u.queueState()
+	state.sends = 0
+	if state.queued {
 		return
 	}
-	t.queued = true
+	state.queued = true
 	q.queue = append(q.queue, queuedUpdate{})
 	copy(q.queue[1:], q.queue)
 	q.queue[0] = u
