--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -22,7 +22,8 @@
 	return g
 }
 
-// incarnationRaises sums up by how much the daemons incarnationRaises their incarnations.
+// incarnationRaises returns by how much the daemons raised their incarnations, in
+// total.
 func (g *group) incarnationRaises() uint64 {
 	var sum uint64
 	for _, d := range g.daemons {
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -83,11 +83,11 @@
 func (g *group) add(cfg Config, self Member) *daemon {
 	m := New(cfg, self, rand.New(rand.NewPCG(g.rng.Uint64(), 2)))
 	d := &daemon{Membership: m, address: self.Peer, index: len(g.daemons), up: true}
-	var hints []Member
+	var seeds []Member
 	for _, other := range g.daemons[:min(3, len(g.daemons))] {
-		hints = append(hints, Member{Peer: other.address})
+		seeds = append(seeds, Member{Peer: other.address})
 	}
-	m.AddSeeds(g.now, hints)
+	m.AddSeeds(g.now, seeds)
 	g.daemons = append(g.daemons, d)
 	g.byAddr[d.address] = d
 	return d
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -16,7 +16,7 @@
 type machine struct {
 	g                *group
 	runs             int
-	lossPercent      int // percent of packets
+	lossPercent      int // percent of packets that are lost
 	duplicatePercent int // percent of packets that arrive twice, the second time late
 	delayed          []sentPacket
 	left             map[fleet.DaemonID]bool // runs that departed; their instances are not used again
