--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -8,19 +8,19 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// tick is the step of a group's time and the latency of its packets.
+// tick is the interval between ticks of a group and the latency of its packets.
 const tick = 100 * time.Millisecond
 
-// group drives daemons by plain calls: what one sends in a tick, the others
-// receive in the next.
+// group simulates daemons and the network between them. A packet sent in one tick
+// is received in the next.
 type group struct {
-	now     time.Time
-	rng     *rand.Rand
-	daemons []*daemon
-	byAddr  map[string]*daemon
-	flying  []flight
-	drop    func(from, to *daemon) bool // nil loses nothing
-	packets int
+	now      time.Time
+	rng      *rand.Rand
+	daemons  []*daemon
+	byAddr   map[string]*daemon
+	inFlight []sentPacket
+	drop     func(from, to *daemon) bool // whether a packet is lost; nil if none is
+	packets  int
 }
 
 type daemon struct {
@@ -29,13 +29,13 @@
 	index    int
 	up       bool
 	paused   bool
-	waiting  []*Packet // of a paused daemon, in its socket
-	actions  []Action  // all but Send, since the last clear
+	waiting  []*Packet // packets in the socket of a paused daemon
+	actions  []Action  // all but Send, until a test clears it
 	sent     int       // packets
 	sentSize int       // bytes with IP and UDP headers, upper bound
 }
 
-type flight struct {
+type sentPacket struct {
 	from *daemon
 	to   string
 	p    *Packet
@@ -52,7 +52,8 @@
 	}
 }
 
-// place spreads daemons over data centres and regions: dc i of dcs, region i of regions.
+// place returns the data centre and region of daemon i; daemons are distributed
+// evenly over dcs data centres, and these over the regions.
 func place(i, dcs, regions int) (fleet.DataCentre, fleet.Region) {
 	dc := i % dcs
 	return fleet.DataCentre(fmt.Sprintf("dc-%02d", dc)), fleet.Region(fmt.Sprintf("region-%d", dc%regions))
@@ -70,7 +71,8 @@
 	}
 }
 
-// start adds n daemons, each seeded with the first three.
+// start adds n daemons. The seeds of each are the first three, as far as they
+// exist by then.
 func (g *group) start(n, dcs, regions int) {
 	for i := range n {
 		dc, region := place(i, dcs, regions)
@@ -81,17 +83,17 @@
 func (g *group) add(cfg Config, self Member) *daemon {
 	m := New(cfg, self, rand.New(rand.NewPCG(g.rng.Uint64(), 2)))
 	d := &daemon{Membership: m, address: self.Peer, index: len(g.daemons), up: true}
-	var hints []Member
+	var seeds []Member
 	for _, other := range g.daemons[:min(3, len(g.daemons))] {
-		hints = append(hints, Member{Peer: other.address})
+		seeds = append(seeds, Member{Peer: other.address})
 	}
-	m.Seeds(g.now, hints)
+	m.AddSeeds(g.now, seeds)
 	g.daemons = append(g.daemons, d)
 	g.byAddr[d.address] = d
 	return d
 }
 
-// restart replaces daemon i by another run on the same instance.
+// restart replaces daemon i by a new run on the same instance.
 func (g *group) restart(i, run int) {
 	old := g.daemons[i].self.record
 	g.restartAs(i, memberAt(i, run, old.DataCentre, old.Region))
@@ -100,12 +102,12 @@
 func (g *group) restartAs(i int, self Member) {
 	m := New(Config{}, self, rand.New(rand.NewPCG(g.rng.Uint64(), 2)))
 	n := len(g.daemons)
-	m.Seeds(g.now, []Member{{Peer: g.daemons[(i+1)%n].address}, {Peer: g.daemons[(i+2)%n].address}})
+	m.AddSeeds(g.now, []Member{{Peer: g.daemons[(i+1)%n].address}, {Peer: g.daemons[(i+2)%n].address}})
 	g.daemons[i] = &daemon{Membership: m, address: self.Peer, index: i, up: true}
 	g.byAddr[self.Peer] = g.daemons[i]
 }
 
-// everyoneSeesRun reports whether all see daemon i's run alive.
+// everyoneSeesRun reports whether all views show daemon i Alive with this run.
 func (g *group) everyoneSeesRun(i int, run fleet.DaemonID) bool {
 	return g.everyone(func(d *daemon) bool {
 		m, _ := d.View().ByInstance(g.daemons[i].self.instance)
@@ -113,11 +115,11 @@
 	})
 }
 
-// step advances by one tick.
+// step advances the group by one tick.
 func (g *group) step() {
 	g.now = g.now.Add(tick)
-	flying := g.flying
-	g.flying = nil
+	flying := g.inFlight
+	g.inFlight = nil
 	for _, f := range flying {
 		g.deliver(f)
 	}
@@ -128,7 +130,7 @@
 	}
 }
 
-func (g *group) deliver(f flight) {
+func (g *group) deliver(f sentPacket) {
 	d := g.byAddr[f.to]
 	if d == nil || !d.up || g.drop != nil && g.drop(f.from, d) {
 		return
@@ -142,7 +144,7 @@
 	g.carryOut(d, d.Receive(g.now, &p))
 }
 
-// resume lets a paused daemon run again: it reads what waits in its socket.
+// resume resumes a paused daemon, which first reads the packets in its socket.
 func (g *group) resume(d *daemon) {
 	d.paused = false
 	for _, p := range d.waiting {
@@ -165,7 +167,7 @@
 		g.packets++
 		d.sent++
 		d.sentSize += size + udpHeaders
-		g.flying = append(g.flying, flight{from: d, to: s.To, p: s.Packet})
+		g.inFlight = append(g.inFlight, sentPacket{from: d, to: s.To, p: s.Packet})
 	}
 }
 
@@ -175,7 +177,8 @@
 	}
 }
 
-// until steps until ok holds and returns how long it took; false after limit.
+// until steps until ok returns true, at most for limit. It returns how long that
+// took and the last result of ok.
 func (g *group) until(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	for t := time.Duration(0); t < limit; t += tick {
 		if ok() {
@@ -186,7 +189,7 @@
 	return limit, ok()
 }
 
-// everyone reports whether ok holds for all running daemons.
+// everyone reports whether ok returns true for all running daemons.
 func (g *group) everyone(ok func(d *daemon) bool) bool {
 	for _, d := range g.daemons {
 		if d.up && !d.paused && !ok(d) {
@@ -196,8 +199,8 @@
 	return true
 }
 
-// converged reports whether all running daemons see each other alive, and
-// nobody else.
+// converged reports whether the views of all running daemons show as Alive the
+// daemons that are up, and no others.
 func (g *group) converged() bool {
 	up := 0
 	for _, d := range g.daemons {
@@ -218,7 +221,7 @@
 	})
 }
 
-// stateOf returns how d sees other's instance; Left where it does not know it.
+// stateOf returns the state of other's instance in d's view; Left if it has none.
 func (d *daemon) stateOf(other *daemon) State {
 	m, found := d.View().ByInstance(other.self.instance)
 	if !found {
@@ -227,7 +230,7 @@
 	return m.State
 }
 
-// count returns how many actions of type A the daemon gave.
+// count returns how many actions of type A the daemon returned.
 func count[A Action](d *daemon) int {
 	n := 0
 	for _, a := range d.actions {
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLeavingDaemonIsKnownWithinSecondsAndNeverServesAgain(t *testing.T) {
-	// A daemon says that it leaves, goes on for ten seconds, and is gone.
-	// Callers must not be sent to it from a few seconds on, not even when it
-	// is suspected and refutes in between.
-	g := settled(t, 40, 4, 2)
+func TestLeavingDaemonStopsServingWithinSecondsForGood(t *testing.T) {
+	// A daemon announces that it leaves, keeps running for ten seconds and is
+	// gone. From a few seconds on no view may show it as serving, not even when
+	// it is suspected and refutes in between.
+	g := newConvergedGroup(t, 40, 4, 2)
 	leaver := g.daemons[7]
 	g.carryOut(leaver, leaver.Leave(g.now))
 	notServing := func(d *daemon) bool { return !serves(d.View(), leaver) }
 	_, ok := g.until(4*time.Second, func() bool { return g.everyone(notServing) })
 	assert.Assert(t, ok)
-	accusation := Update{Instance: leaver.self.instance, Run: leaver.self.run, State: leaver.self.state.suspected(), Incarnation: leaver.self.incarnation}
-	g.daemons[8].merge(&accusation, true)
+	suspicion := Update{Instance: leaver.self.instance, Run: leaver.self.run, State: leaver.self.state.suspected(), Incarnation: leaver.self.incarnation}
+	g.daemons[8].merge(&suspicion, true)
 	for range 10 * time.Second / tick {
 		g.step()
 		assert.Assert(t, g.everyone(notServing))
@@ -41,20 +41,20 @@
 	return false
 }
 
-func TestInstanceListDoesNotBringGoneDaemonsBack(t *testing.T) {
-	// The instance list lags and still shows a daemon that left and one that
-	// died. Both stay gone, and so they do when a packet of theirs that was
-	// under way for long arrives.
-	g := settled(t, 9, 4, 1)
+func TestStaleInstanceListDoesNotRestoreGoneDaemons(t *testing.T) {
+	// The instance list is outdated and still has a daemon that left and one
+	// that crashed. Both must stay gone, also when a delayed packet of theirs
+	// arrives.
+	g := newConvergedGroup(t, 9, 4, 1)
 	left, dead := g.daemons[1], g.daemons[2]
-	old := []*Packet{left.bare(Ping), dead.bare(Ping)}
+	old := []*Packet{left.newPacket(Ping), dead.newPacket(Ping)}
 	g.carryOut(left, left.Depart(g.now))
 	left.up, dead.up = false, false
 	g.run(20 * time.Second)
 	list := []Member{left.View().Self(), dead.View().Self()}
 	for range 60 {
 		for _, d := range g.daemons[3:] {
-			d.Seeds(g.now, list)
+			d.AddSeeds(g.now, list)
 			for _, p := range old {
 				d.Receive(g.now, p)
 			}
@@ -64,8 +64,8 @@
 	}
 }
 
-func TestGoneDaemonIsForgotten(t *testing.T) {
-	g := settled(t, 9, 4, 1)
+func TestGoneDaemonIsRemovedAfterRetention(t *testing.T) {
+	g := newConvergedGroup(t, 9, 4, 1)
 	g.daemons[1].up = false
 	g.run(time.Minute)
 	watcher := g.daemons[0]
--- a/internal/membership/loss.go
+++ b/internal/membership/loss.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Bounds of the search for lost data centres.
+// Limits for detecting lost data centres.
 const (
-	// lossMinimum is the fewest failed daemons that speak for a loss: one
-	// failed daemon is one failed daemon.
-	lossMinimum = 2
-	// verifyPings is how many daemons are probed before a loss is believed.
-	verifyPings = 3
-	// verifyPause is the time between two verifications of one data centre.
-	verifyPause = 2 * time.Second
-	// startTime is how long a new daemon takes statements about its data
-	// centre for old ones, which do not concern it.
-	startTime = 15 * time.Second
+	// minLossFailures is the least number of failed daemons that indicates a
+	// loss: with one it is only the failure of that daemon.
+	minLossFailures = 2
+	// verifyProbes is how many daemons are probed to verify a loss.
+	verifyProbes = 3
+	// verifyInterval is the time between the end of a verification and the next
+	// one of the same data centre.
+	verifyInterval = 2 * time.Second
+	// startupPeriod is how long after its start a daemon assumes that a revoked
+	// loss of its data centre happened before it started.
+	startupPeriod = 15 * time.Second
 )
 
-// checkLoss looks whether half of a data centre's daemons failed lately, and
-// begins to verify its loss if so.
+// checkLoss starts to verify the loss of a data centre if half of its daemons
+// failed within LossWindow.
 func (m *Membership) checkLoss(d *dataCentre) {
 	if d == m.self.dc || d.lost() || d.verifying() || m.clock.now < d.nextVerify {
 		return
 	}
 	failed, up := m.countFailed(d)
-	if failed < lossMinimum || failed < up {
+	if failed < minLossFailures || failed < up {
 		return
 	}
 	m.verifyLoss(d, d.version+1)
 }
 
-// countFailed counts a data centre's daemons that are suspect or died within
-// the window, and those that are up.
+// countFailed counts a data centre's daemons that are suspect or became Dead
+// within LossWindow, and those that are up.
 func (m *Membership) countFailed(d *dataCentre) (failed, up int) {
 	since := m.clock.now - m.cfg.LossWindow
 	for _, n := range m.sorted {
@@ -45,22 +46,24 @@
 	return failed, up
 }
 
-// verifyLoss probes some of the data centre's daemons. A loss is believed only
-// where none of them answers here, whoever claims it: a daemon that was cut
-// off and comes back claims the loss of all data centres but its own.
+// verifyLoss probes some of the data centre's daemons. A daemon accepts a loss
+// that others report only if none of the data centre's daemons answers it: a
+// daemon that was partitioned reports the loss of all data centres but its own
+// when it reconnects.
 func (m *Membership) verifyLoss(d *dataCentre, version uint64) {
-	d.claim = version
+	d.claimedVersion = version
 	d.verifyFrom = m.clock.now
 	d.verifyReceived = m.received
 	d.verifyUntil = m.clock.now + m.cfg.ProbeInterval
-	d.nextVerify = d.verifyUntil + verifyPause
+	d.nextVerify = d.verifyUntil + verifyInterval
 	for _, n := range m.verifyTargets(d) {
 		m.ping(n, m.nextSequence())
 	}
-	m.rumours.addDataCentre(d)
+	m.updates.addDataCentre(d)
 }
 
-// verifyTargets chooses daemons at random, those that are not suspect first.
+// verifyTargets returns random daemons of the data centre, preferring those that
+// are neither suspect nor Dead.
 func (m *Membership) verifyTargets(d *dataCentre) []*node {
 	var unsuspected, rest []*node
 	for _, n := range m.sorted {
@@ -75,7 +78,7 @@
 	m.shuffle(unsuspected)
 	m.shuffle(rest)
 	all := append(unsuspected, rest...)
-	return all[:min(len(all), verifyPings)]
+	return all[:min(len(all), verifyProbes)]
 }
 
 func (m *Membership) shuffle(nodes []*node) {
@@ -87,37 +90,37 @@
 		if d.verifying() && m.clock.now >= d.verifyUntil {
 			m.endVerification(d)
 		}
-		if d.lost() && !d.settled {
-			m.tickLost(d)
+		if d.lost() && !d.lossApplied {
+			m.tickLoss(d)
 		}
 	}
 }
 
 func (m *Membership) endVerification(d *dataCentre) {
-	version := d.claim
-	d.claim = 0
-	if d.heardAt >= d.verifyFrom || version <= d.version {
+	version := d.claimedVersion
+	d.claimedVersion = 0
+	if d.lastPacketAt >= d.verifyFrom || version <= d.version {
 		return
 	}
 	if m.received == d.verifyReceived {
-		return // this daemon is cut off itself
+		return // this daemon itself is isolated
 	}
-	m.loseDataCentre(d, version)
+	m.markDataCentreLost(d, version)
 }
 
-func (m *Membership) loseDataCentre(d *dataCentre, version uint64) {
+func (m *Membership) markDataCentreLost(d *dataCentre, version uint64) {
 	d.version = version
-	d.claim = 0
+	d.claimedVersion = 0
 	d.lostAt = m.clock.now
-	d.settled = false
+	d.lossApplied = false
 	m.dirty = true
-	m.rehashAll(d)
-	m.rumours.addDataCentre(d)
-	m.act(DataCentreLost{DataCentre: d.name})
+	m.rehashDataCentre(d)
+	m.updates.addDataCentre(d)
+	m.emit(DataCentreLost{DataCentre: d.name})
 }
 
-// rehashAll brings the table hash up to date after d was lost or found.
-func (m *Membership) rehashAll(d *dataCentre) {
+// rehashDataCentre updates the buckets after d was lost or has recovered.
+func (m *Membership) rehashDataCentre(d *dataCentre) {
 	for _, n := range m.sorted {
 		if n.dc == d {
 			m.rehash(n)
@@ -125,13 +128,13 @@
 	}
 }
 
-func (m *Membership) recoverDataCentre(d *dataCentre, version uint64) {
+func (m *Membership) markDataCentreRecovered(d *dataCentre, version uint64) {
 	wasLost := d.lost()
 	d.version = version
-	d.claim = 0
+	d.claimedVersion = 0
 	m.dirty = true
-	m.rehashAll(d)
-	m.rumours.addDataCentre(d)
+	m.rehashDataCentre(d)
+	m.updates.addDataCentre(d)
 	if !wasLost {
 		return
 	}
@@ -140,19 +143,20 @@
 			n.deadline = m.clock.now + m.suspicionTimeout()
 		}
 	}
-	m.act(DataCentreRecovered{DataCentre: d.name})
+	m.emit(DataCentreRecovered{DataCentre: d.name})
 }
 
-// tickLost settles a loss that lasts. A side that sees less than half of its
-// region waits until it has seen more for as long: it is likely the one that is
-// cut off, and each daemon of the others would have to refute its own death.
-func (m *Membership) tickLost(d *dataCentre) {
-	if d.region == m.regionName() && !m.seesMajority() {
+// tickLoss applies a loss that has lasted for LossApplyDelay. The delay does not
+// start while less than half of the region can be reached: this daemon is then
+// likely on the smaller side of a partition, and each daemon of the larger side
+// would have to refute its own death.
+func (m *Membership) tickLoss(d *dataCentre) {
+	if d.region == m.ownRegion() && !m.seesMajority() {
 		d.lostAt = m.clock.now
 		return
 	}
-	if m.clock.now >= d.lostAt+m.cfg.LossSettle {
-		m.settleLoss(d)
+	if m.clock.now >= d.lostAt+m.cfg.LossApplyDelay {
+		m.applyLoss(d)
 	}
 }
 
@@ -161,7 +165,7 @@
 func (m *Membership) seesMajority() bool {
 	up, all := 0, 0
 	for _, n := range m.sorted {
-		if n.record.Region != m.regionName() || n.state.Terminal() {
+		if n.record.Region != m.ownRegion() || n.state.Terminal() {
 			continue
 		}
 		all++
@@ -172,19 +176,19 @@
 	return 2*up >= all
 }
 
-// settleLoss writes a loss into the members' own records, without telling: all
-// daemons do the same. Then an instance that later starts in the data centre
-// does not bring its dead back with it.
-func (m *Membership) settleLoss(d *dataCentre) {
-	d.settled = true
+// applyLoss sets the members' own states to Dead. Nothing is sent, since all
+// daemons do the same. When a new instance later starts in the data centre and
+// revokes the loss, the members that are gone stay Dead.
+func (m *Membership) applyLoss(d *dataCentre) {
+	d.lossApplied = true
 	for _, n := range m.sorted {
 		if n.dc == d && !n.state.Terminal() {
-			m.set(n, Dead, n.incarnation, false)
+			m.setState(n, Dead, n.incarnation, false)
 		}
 	}
 }
 
-// mergeDataCentre takes in a statement about a data centre.
+// mergeDataCentre applies an update about a data centre.
 func (m *Membership) mergeDataCentre(u DataCentreUpdate) {
 	d := m.dataCentre(u.DataCentre, u.Region)
 	if u.Version <= d.version {
@@ -194,23 +198,23 @@
 	case d == m.self.dc:
 		m.refuteLoss(d, u)
 	case !u.Lost():
-		m.recoverDataCentre(d, u.Version)
-	case d.region != m.regionName():
-		m.loseDataCentre(d, u.Version)
+		m.markDataCentreRecovered(d, u.Version)
+	case d.region != m.ownRegion():
+		m.markDataCentreLost(d, u.Version)
 	case !d.verifying() && m.clock.now >= d.nextVerify:
 		m.verifyLoss(d, u.Version)
 	}
 }
 
-// refuteLoss takes back the loss of the own data centre on behalf of all its
-// daemons, or learns that another one has done so.
+// refuteLoss revokes the loss of this daemon's data centre on behalf of all its
+// daemons, or accepts that another of them has done so.
 func (m *Membership) refuteLoss(d *dataCentre, u DataCentreUpdate) {
 	version := u.Version
 	if u.Lost() {
 		version++
 	}
-	m.recoverDataCentre(d, version)
-	if u.Lost() || m.clock.now > startTime {
-		m.act(DeclaredDead{Incarnation: m.self.incarnation})
+	m.markDataCentreRecovered(d, version)
+	if u.Lost() || m.clock.now > startupPeriod {
+		m.emit(DeclaredDead{Incarnation: m.self.incarnation})
 	}
 }
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -10,17 +10,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// machine drives a group through random faults. After a quiet time all that
-// live must see each other, and an incarnation that was seen gone by its own
-// word, or a run that was replaced, must not be seen again.
+// machine is a rapid state machine that exposes a group to random faults. After a
+// period without faults all running daemons must see each other Alive, and an
+// incarnation that a daemon has seen gone must not become alive again for it.
 type machine struct {
-	g    *group
-	runs int
-	lose int // percent of packets
-	twin int // percent of packets that arrive twice, once late
-	late []flight
-	left map[fleet.DaemonID]bool // runs that departed, on instances that are not used again
-	dead map[deadKey]bool        // seen dead by a daemon: it may not see that incarnation alive again
+	g                *group
+	runs             int
+	lossPercent      int // percent of packets that are lost
+	duplicatePercent int // percent of packets that arrive twice, the second time late
+	delayed          []sentPacket
+	left             map[fleet.DaemonID]bool // runs that departed; their instances are not used again
+	dead             map[deadKey]bool        // seen gone by the viewer, which must not see that incarnation alive again
 }
 
 type deadKey struct {
@@ -35,7 +35,7 @@
 		dead: map[deadKey]bool{},
 	}
 	m.g.start(rapid.IntRange(4, 10).Draw(t, "daemons"), 4, rapid.IntRange(1, 2).Draw(t, "regions"))
-	m.g.drop = func(_, _ *daemon) bool { return m.g.rng.IntN(100) < m.lose }
+	m.g.drop = func(_, _ *daemon) bool { return m.g.rng.IntN(100) < m.lossPercent }
 	return m
 }
 
@@ -43,10 +43,10 @@
 	return m.g.daemons[rapid.IntRange(0, len(m.g.daemons)-1).Draw(t, "daemon")]
 }
 
-// run steps, doubles and delays packets, and checks each View.
+// run advances the group, duplicates and delays packets, and checks each View.
 func (m *machine) run(t *rapid.T, d time.Duration) {
 	for range d / tick {
-		m.disturb()
+		m.deliverDuplicates()
 		m.g.step()
 		for _, d := range m.g.daemons {
 			if d.up && !d.paused {
@@ -56,15 +56,15 @@
 	}
 }
 
-func (m *machine) disturb() {
-	for _, f := range m.g.flying {
-		if m.g.rng.IntN(100) < m.twin {
-			m.late = append(m.late, f)
+func (m *machine) deliverDuplicates() {
+	for _, f := range m.g.inFlight {
+		if m.g.rng.IntN(100) < m.duplicatePercent {
+			m.delayed = append(m.delayed, f)
 		}
 	}
-	if len(m.late) > 20 {
-		m.g.flying = append(m.g.flying, m.late[:10]...)
-		m.late = m.late[10:]
+	if len(m.delayed) > 20 {
+		m.g.inFlight = append(m.g.inFlight, m.delayed[:10]...)
+		m.delayed = m.delayed[10:]
 	}
 }
 
@@ -72,7 +72,7 @@
 	viewer := d.self.record.Daemon
 	for _, seen := range d.View().All() {
 		key := deadKey{viewer: viewer, seen: seen.Daemon, incarnation: seen.Incarnation}
-		if n := d.nodes[seen.Instance]; n != nil && n.state.Terminal() && !n.quiet {
+		if n := d.nodes[seen.Instance]; n != nil && n.state.Terminal() && !n.provisional {
 			m.dead[key] = true
 		} else if m.dead[key] {
 			t.Fatalf("%s sees incarnation %d of %s again", viewer, seen.Incarnation, seen.Daemon)
@@ -83,7 +83,7 @@
 	}
 }
 
-// leftIsKnown reports whether the daemon has been told that the member left.
+// leftIsKnown reports whether the daemon has seen the member in state Left.
 func (m *machine) leftIsKnown(d *daemon, seen Member) bool {
 	key := deadKey{viewer: d.self.record.Daemon, seen: seen.Daemon}
 	if seen.State == Left {
@@ -92,7 +92,7 @@
 	return m.dead[key]
 }
 
-func TestAnyFaultsEndInAgreement(t *testing.T) {
+func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		m.run(t, 5*time.Second)
@@ -100,8 +100,8 @@
 			"run": func(t *rapid.T) {
 				m.run(t, time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds"))*time.Second)
 			},
-			"lose":    func(t *rapid.T) { m.lose = rapid.IntRange(0, 60).Draw(t, "percent") },
-			"double":  func(t *rapid.T) { m.twin = rapid.IntRange(0, 30).Draw(t, "percent") },
+			"lose":    func(t *rapid.T) { m.lossPercent = rapid.IntRange(0, 60).Draw(t, "percent") },
+			"double":  func(t *rapid.T) { m.duplicatePercent = rapid.IntRange(0, 30).Draw(t, "percent") },
 			"pause":   func(t *rapid.T) { m.pick(t).paused = true },
 			"resume":  func(t *rapid.T) { m.g.resume(m.pick(t)) },
 			"crash":   m.crash,
@@ -109,16 +109,17 @@
 			"depart":  m.depart,
 			"start":   m.start,
 		})
-		m.calm()
+		m.endFaults()
 		m.run(t, 2*time.Minute)
 		assert.Assert(t, m.g.converged())
 	})
 }
 
-// calm ends all faults and sees to it that each region has a daemon: one that
-// is gone as a whole is told from one that cannot be reached only after hours.
-func (m *machine) calm() {
-	m.lose, m.twin = 0, 0
+// endFaults ends all faults and makes sure that each region has a running daemon:
+// a region without one counts as unreachable, and its members stay alive in the
+// other regions' views for hours.
+func (m *machine) endFaults() {
+	m.lossPercent, m.duplicatePercent = 0, 0
 	for _, d := range m.g.daemons {
 		if d.paused {
 			m.g.resume(d)
@@ -132,7 +133,7 @@
 	}
 	list := m.g.list()
 	for _, d := range m.g.daemons {
-		d.Seeds(m.g.now, list)
+		d.AddSeeds(m.g.now, list)
 	}
 }
 
@@ -145,7 +146,7 @@
 	return false
 }
 
-// crash ends a daemon without a word, unless few are left.
+// crash stops a daemon without an announcement, unless only three are up.
 func (m *machine) crash(t *rapid.T) {
 	d := m.pick(t)
 	if m.countUp() > 3 {
@@ -163,7 +164,7 @@
 	return up
 }
 
-// restart replaces a run by another, sometimes with the clock set back.
+// restart replaces a run by a new one, sometimes with the clock set back.
 func (m *machine) restart(t *rapid.T) {
 	d := m.pick(t)
 	if m.left[d.self.record.Daemon] {
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// node is one member's entry in the table.
+// node is a member's entry in the table.
 type node struct {
 	instance    fleet.InstanceID
 	record      *Record
@@ -15,17 +15,17 @@
 	incarnation uint64
 	digest      Digest
 	dc          *dataCentre
-	hash        uint64        // contribution to the table hash; 0 when terminal
+	hash        uint64        // contribution to the table hash; 0 if gone
 	failedAt    time.Duration // when it became suspect or terminal
 	deadline    time.Duration // of a suspect: when it becomes Dead
-	telling     telling
-	fresh       bool  // the rumour must carry the Record
-	quiet       bool  // judged while this daemon was cut off; told to nobody
-	before      State // of a quiet one: before it was judged
+	queueState  queueState
+	sendRecord  bool  // queued updates carry the Record
+	provisional bool  // state set during isolation; not sent to other daemons
+	priorState  State // if provisional: the state to revert to
 }
 
-// effective is the state with the data centre's loss laid over it.
-func (n *node) effective() State {
+// effectiveState is the state, or Dead if the data centre is lost.
+func (n *node) effectiveState() State {
 	if n.dc.lost() && !n.state.Terminal() {
 		return Dead
 	}
@@ -41,13 +41,14 @@
 		Peer:        r.Peer,
 		DataCentre:  r.DataCentre,
 		Region:      r.Region,
-		State:       n.effective(),
+		State:       n.effectiveState(),
 		Incarnation: n.incarnation,
 		Digest:      n.digest,
 	}
 }
 
-// update returns the statement that others are told, with the Record if full.
+// update returns the update to send about n. It has the Record if full is set and
+// n is not gone.
 func (n *node) update(full bool) Update {
 	u := Update{Instance: n.instance, Run: n.run, State: n.state, Incarnation: n.incarnation}
 	if full && !n.state.Terminal() {
--- a/internal/membership/packet_test.go
+++ b/internal/membership/packet_test.go
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// pair returns a membership, one other member of its region that it knows, and
-// a packet from that one.
+// pair returns a Membership, the node of the only other member in its table,
+// which is of the same region, and a packet from that member.
 func pair() (*Membership, *node, *Packet) {
 	m := New(Config{}, memberAt(0, 0, "dc-00", "r"), rand.New(rand.NewPCG(1, 1)))
 	other := New(Config{}, memberAt(1, 0, "dc-01", "r"), rand.New(rand.NewPCG(1, 2)))
-	p := other.bare(Gossip)
+	p := other.newPacket(Gossip)
 	p.Updates = []Update{other.self.update(true)}
 	p.Source = "10.0.1.7:7946"
 	m.Receive(time.Unix(0, 0), p)
-	again := other.bare(Gossip)
+	again := other.newPacket(Gossip)
 	again.Source = p.Source
 	return m, m.nodes["i-00000000000000001"], again
 }
 
-// replies returns the packets sent to the other.
+// replies returns the packets of the Send actions.
 func replies(actions []Action) []*Packet {
 	var out []*Packet
 	for _, a := range actions {
@@ -33,10 +33,10 @@
 	return out
 }
 
-func TestWhoeverIsHeldForGoneIsTold(t *testing.T) {
-	// A daemon that is held for suspect or dead, alone or with its data
-	// centre, sends a packet that asks for no answer. It must be told, for the
-	// rumour may have died out before it could be reached.
+func TestFailedSenderIsSentItsState(t *testing.T) {
+	// A daemon that is suspect or dead here, alone or with its data centre, sends
+	// a packet that asks for no answer. It must be sent its state, since the
+	// update may have left the queues before the daemon could be reached.
 	m, n, p := pair()
 	assert.Equal(t, len(replies(m.Receive(time.Unix(0, 0), p))), 0)
 	n.state = Dead
@@ -50,10 +50,11 @@
 	assert.DeepEqual(t, sent[0].DataCentres, []DataCentreUpdate{n.dc.update(false)})
 }
 
-func TestWhoeverRefutesUnawareIsToldOfItsDeath(t *testing.T) {
-	// A paused daemon refutes a suspicion that it finds in its socket and has
-	// not yet heard that it was dead since. It is told, once, though the
-	// refutation stands: what it owned may have been taken over.
+func TestDeathRefutedUnknowinglyIsReportedOnce(t *testing.T) {
+	// A daemon that resumes after a pause refutes a suspicion from its socket
+	// before it receives that it has been declared Dead since. It must still be
+	// notified, and report it once, though the refutation is valid: what it
+	// owned may have been taken over.
 	m, n, p := pair()
 	n.state = Dead
 	p.From.Incarnation++
@@ -65,9 +66,9 @@
 	refuted, _, _ := pair()
 	refuted.self.incarnation++
 	death := Update{Instance: refuted.self.instance, Run: refuted.self.run, State: Dead, Incarnation: refuted.self.incarnation - 1}
-	refuted.claimed(&death)
-	refuted.claimed(&death)
-	assert.DeepEqual(t, refuted.take(), []Action{DeclaredDead{Incarnation: death.Incarnation}})
+	refuted.mergeSelf(&death)
+	refuted.mergeSelf(&death)
+	assert.DeepEqual(t, refuted.takeActions(), []Action{DeclaredDead{Incarnation: death.Incarnation}})
 }
 
 func TestUnknownSenderIsAskedForItsRecord(t *testing.T) {
@@ -83,8 +84,8 @@
 }
 
 func TestPingForAnotherInstanceIsNotAnswered(t *testing.T) {
-	// An instance is gone and a new one has its address. If it answered probes
-	// of the old one, that one would be alive for ever.
+	// An instance is gone and a new one has its address. If the new one answered
+	// probes for the old one, the old one would stay alive forever.
 	m, _, p := pair()
 	p.Kind = Ping
 	p.Subject = "i-gone"
@@ -93,10 +94,11 @@
 	assert.Equal(t, replies(m.Receive(time.Unix(0, 0), p))[0].Kind, Ack)
 }
 
-func TestGoneRunDoesNotCountForTheNewOne(t *testing.T) {
-	// A new run is known, then the end of the one before with a higher
-	// incarnation, for the clock was set back. When the new run has raised its
-	// own it must be taken for the new run, not for the gone one.
+func TestEndOfAnOlderRunDoesNotEndTheNewOne(t *testing.T) {
+	// The clock was set back between two runs, so the table has the new run when
+	// the end of the older one arrives with a higher incarnation. When the new
+	// run has raised its own incarnation, it must be accepted as the new run and
+	// not be taken for the one that is gone.
 	m, n, _ := pair()
 	gone := Update{Instance: n.instance, Run: n.run + 1, State: Left, Incarnation: n.incarnation + 5}
 	m.merge(&gone, true)
@@ -108,26 +110,27 @@
 	assert.Equal(t, n.state, Alive)
 }
 
-func TestUnknownGoneMembersAndKnownHintsAreIgnored(t *testing.T) {
+func TestUnknownGoneMembersAndKnownSeedsAreIgnored(t *testing.T) {
 	m, n, _ := pair()
 	gone := Update{Instance: "i-gone", State: Dead, Incarnation: 1, Record: n.record}
 	m.merge(&gone, true)
 	assert.Assert(t, m.nodes["i-gone"] == nil)
-	m.Seeds(time.Unix(0, 0), []Member{n.member(), m.self.member()})
+	m.AddSeeds(time.Unix(0, 0), []Member{n.member(), m.self.member()})
 	n.state = Left
-	m.Seeds(time.Unix(0, 0), []Member{n.member()})
-	assert.Equal(t, len(m.seeds.hints), 0)
+	m.AddSeeds(time.Unix(0, 0), []Member{n.member()})
+	assert.Equal(t, len(m.seeds.list), 0)
 }
 
-func TestPagesAndRumoursStayWithinTheirBudgets(t *testing.T) {
-	// Many peers ask for the whole table at once, and there is much to tell.
-	// The daemon sends what its budgets allow, and probes still get answers.
+func TestPagesAndUpdatesStayWithinTheirBudgets(t *testing.T) {
+	// Many peers request the whole table at once while many updates are queued.
+	// The daemon must send no more than its budgets allow, and probes must still
+	// be answered.
 	m := filled(340)
 	ask := &Packet{Kind: SyncRequest, From: m.nodes["i-00000000000000003"].asSender(), Buckets: make([]byte, BucketCount), Source: "10.0.3.7:7946"}
 	ping := *ask
 	ping.Kind, ping.Buckets, ping.Subject = Ping, nil, m.self.instance
 	for _, n := range m.sorted {
-		m.rumours.addNode(n)
+		m.updates.addNode(n)
 	}
 	pages, acks, answers := 0, 0, 0
 	for range 200 {
@@ -141,7 +144,7 @@
 	}
 	assert.Equal(t, answers, 200)
 	assert.Assert(t, pages < syncBurst+defaultMaxPacketBytes, "%d bytes of pages", pages)
-	assert.Assert(t, acks < rumourBurst+defaultMaxPacketBytes+200*300, "%d bytes of answers", acks)
+	assert.Assert(t, acks < updateBurst+defaultMaxPacketBytes+200*300, "%d bytes of answers", acks)
 }
 
 func (n *node) asSender() Sender {
@@ -157,18 +160,18 @@
 	assert.Equal(t, len(m.Receive(time.Unix(0, 0), p)), 1)
 }
 
-func TestWhoeverHearsNobodyBelievesNoLoss(t *testing.T) {
-	// While a daemon verifies the loss of a data centre, its own link fails.
-	// That nobody answers then proves nothing.
+func TestIsolatedDaemonAcceptsNoDataCentreLoss(t *testing.T) {
+	// While a daemon verifies the loss of a data centre, its own link fails. It
+	// gets no answers because of that and must not accept the loss.
 	m, n, p := pair()
 	now := time.Unix(1000, 0)
-	verify := func(hear *Packet) {
-		n.dc.heardAt = -time.Second
+	verify := func(received *Packet) {
+		n.dc.lastPacketAt = -time.Second
 		m.verifyLoss(n.dc, 1)
 		for range 20 {
 			now = now.Add(tick)
-			if hear != nil {
-				m.Receive(now, hear)
+			if received != nil {
+				m.Receive(now, received)
 			}
 			m.Tick(now)
 		}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,6 +1,6 @@
 package membership
 
-// tickProbe ends the running probe when it is due and begins the next.
+// tickProbe advances the current probe and starts the next one when it is due.
 func (m *Membership) tickProbe() {
 	p := &m.prober
 	if p.target != nil && !p.indirect && m.clock.now >= p.indirectAt {
@@ -27,58 +27,58 @@
 	p.indirectAt = m.clock.now + m.health.scale(m.cfg.ProbeTimeout)
 	p.endAt = m.clock.now + interval
 	p.indirect = false
-	p.receivedAt = m.received
-	p.asked, p.nacks = 0, 0
+	p.receivedAtStart = m.received
+	p.requests, p.nacks = 0, 0
 	m.ping(n, p.sequence)
 }
 
 func (m *Membership) ping(n *node, sequence uint32) {
-	packet := m.bare(Ping)
+	packet := m.newPacket(Ping)
 	packet.Sequence = sequence
 	packet.Subject = n.instance
-	m.complete(packet, n)
+	m.piggyback(packet, n)
 	m.send(n.record.Peer, packet)
 }
 
-// probeIndirectly asks others to probe: the path from here may be bad while
-// the target is well.
+// probeIndirectly asks other daemons to probe the target: the path from here may
+// be bad although the target is up.
 func (m *Membership) probeIndirectly() {
 	p := &m.prober
 	p.indirect = true
 	for _, via := range m.proxies(p.target) {
-		packet := m.bare(PingRequest)
+		packet := m.newPacket(PingRequest)
 		packet.Sequence = p.sequence
 		packet.Subject = p.target.instance
 		packet.Address = p.target.record.Peer
-		m.complete(packet, via)
+		m.piggyback(packet, via)
 		m.send(via.record.Peer, packet)
-		p.asked++
+		p.requests++
 	}
 }
 
-// proxies chooses who is asked to probe: daemons of other data centres first,
-// so that what ails the own data centre's links does not ail all paths.
+// proxies returns the daemons to ask for an indirect probe, those of other data
+// centres first, so that not all paths share the links of this data centre.
 func (m *Membership) proxies(target *node) []*node {
 	chosen := make([]*node, 0, m.cfg.IndirectProbes)
 	chosen = m.addProxies(chosen, target, true)
 	return m.addProxies(chosen, target, false)
 }
 
-func (m *Membership) addProxies(chosen []*node, target *node, elsewhere bool) []*node {
-	ring := m.prober.ring
-	if len(ring) == 0 {
+func (m *Membership) addProxies(chosen []*node, target *node, otherDataCentres bool) []*node {
+	round := m.prober.round
+	if len(round) == 0 {
 		return chosen
 	}
-	start := m.rng.IntN(len(ring))
-	for i := range ring {
+	start := m.rng.IntN(len(round))
+	for i := range round {
 		if len(chosen) == m.cfg.IndirectProbes {
 			break
 		}
-		n := ring[(start+i)%len(ring)]
+		n := round[(start+i)%len(round)]
 		if n == target || n.state != Alive || n.dc.lost() || contains(chosen, n) {
 			continue
 		}
-		if elsewhere && n.dc == m.self.dc {
+		if otherDataCentres && n.dc == m.self.dc {
 			continue
 		}
 		chosen = append(chosen, n)
@@ -95,25 +95,25 @@
 	return false
 }
 
-// probeAnswered ends the running probe with success.
+// probeAnswered ends the current probe with success.
 func (m *Membership) probeAnswered() {
 	m.prober.target = nil
 	m.health.improve()
 }
 
-// probeFailed makes the target a suspect.
+// probeFailed ends the current probe and suspects the target.
 func (m *Membership) probeFailed() {
 	p := &m.prober
 	n := p.target
 	p.target = nil
-	m.health.worsen(p.asked, p.nacks, m.cfg.LocalHealthMax)
-	if n.effective().Terminal() || n.state.IsSuspect() {
+	m.health.worsen(p.requests, p.nacks, m.cfg.LocalHealthMax)
+	if n.effectiveState().Terminal() || n.state.IsSuspect() {
 		return
 	}
-	if m.received == p.receivedAt && m.regionSize > 2 {
-		m.suspectQuietly(n)
+	if m.received == p.receivedAtStart && m.regionSize > 2 {
+		m.suspectProvisionally(n)
 		return
 	}
-	m.set(n, n.state.suspected(), n.incarnation, true)
+	m.setState(n, n.state.suspected(), n.incarnation, true)
 	m.startSuspicion(n)
 }
--- a/internal/membership/relays.go
+++ b/internal/membership/relays.go
@@ -6,17 +6,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// maxRelays bounds the probes that run on behalf of others; more than a few at
-// once means that something is badly wrong, and a Nack too few is harmless.
+// maxRelays bounds the probes that run on behalf of other daemons. In normal
+// operation there are only a few at once, and a missing Nack does little harm.
 const maxRelays = 32
 
-// relay is a probe on behalf of another daemon.
+// relay is a probe on behalf of another daemon, the requester.
 type relay struct {
-	sequence uint32 // of our Ping
-	asked    uint32 // of the PingRequest
-	to       string // who asked
-	subject  fleet.InstanceID
-	deadline time.Duration
+	sequence        uint32 // of the Ping to the subject
+	requestSequence uint32 // of the requester's PingRequest
+	requester       string // address, host:port
+	subject         fleet.InstanceID
+	deadline        time.Duration
 }
 
 type relays struct {
@@ -30,7 +30,7 @@
 	r.list = append(r.list, x)
 }
 
-// remove takes out the relay with our sequence number.
+// remove removes and returns the relay whose Ping has the sequence number.
 func (r *relays) remove(sequence uint32) (relay, bool) {
 	for i, x := range r.list {
 		if x.sequence == sequence {
@@ -41,33 +41,33 @@
 	return relay{}, false
 }
 
-// receivePingRequest probes the subject for the asker.
+// receivePingRequest probes the subject on behalf of the packet's sender.
 func (m *Membership) receivePingRequest(p *Packet) {
 	x := relay{
-		sequence: m.nextSequence(),
-		asked:    p.Sequence,
-		to:       p.Source,
-		subject:  p.Subject,
-		// The asker waits for the rest of its interval; the Nack needs to be
-		// there before it ends.
+		sequence:        m.nextSequence(),
+		requestSequence: p.Sequence,
+		requester:       p.Source,
+		subject:         p.Subject,
+		// The requester waits for the rest of its interval, and the Nack must
+		// arrive before that ends.
 		deadline: m.clock.now + (m.cfg.ProbeInterval-m.cfg.ProbeTimeout)/2,
 	}
 	m.relays.add(x)
-	ping := m.bare(Ping)
+	ping := m.newPacket(Ping)
 	ping.Sequence = x.sequence
 	ping.Subject = p.Subject
 	if n := m.nodes[p.Subject]; n != nil {
-		m.accuse(ping, n)
+		m.addFailedState(ping, n)
 	}
 	m.send(p.Address, ping)
 }
 
-// passOn sends the subject's answer to the daemon that asked.
-func (m *Membership) passOn(x relay, k Kind) {
-	p := m.bare(k)
-	p.Sequence = x.asked
+// answerRequester sends an Ack or Nack to the requester.
+func (m *Membership) answerRequester(x relay, k Kind) {
+	p := m.newPacket(k)
+	p.Sequence = x.requestSequence
 	p.Subject = x.subject
-	m.send(x.to, p)
+	m.send(x.requester, p)
 }
 
 func (m *Membership) tickRelays() {
@@ -77,7 +77,7 @@
 			kept = append(kept, x)
 			continue
 		}
-		m.passOn(x, Nack)
+		m.answerRequester(x, Nack)
 	}
 	m.relays.list = kept
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -8,55 +8,55 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// digestViewInterval bounds how often a View is made for changed digests
-// alone: after a change of configuration every probe brings one.
+// digestViewInterval is the least time to the next View if only digests have
+// changed: after a change of configuration every probe may carry a new one.
 const digestViewInterval = time.Second
 
 func (m *Membership) tickView() {
-	if !m.dirty && (!m.digests || m.clock.now < m.viewAt+digestViewInterval) {
+	if !m.dirty && (!m.digestsChanged || m.clock.now < m.viewBuiltAt+digestViewInterval) {
 		return
 	}
 	m.rebuildView()
-	m.act(Changed{View: m.view})
+	m.emit(Changed{View: m.view})
 }
 
-// rebuildView makes a new snapshot and what is derived from it.
+// rebuildView builds a new snapshot and what is derived from the members' states.
 func (m *Membership) rebuildView() {
-	m.dirty, m.digests = false, false
-	m.viewAt = m.clock.now
-	v := &View{self: m.self.instance, joined: m.joined, lostRegions: m.regions.lost(m.clock.now, m.cfg.RegionSilence)}
+	m.dirty, m.digestsChanged = false, false
+	m.viewBuiltAt = m.clock.now
+	v := &View{self: m.self.instance, joined: m.joined, unreachableRegions: m.regions.unreachable(m.clock.now, m.cfg.RegionTimeout)}
 	v.members = make([]Member, 0, len(m.sorted))
-	v.serving = m.appendMembers(v, isServing)
-	v.alive = m.appendMembers(v, isReserve)
-	m.appendMembers(v, isGone)
+	v.serving = m.appendMembers(v, classServing)
+	v.alive = m.appendMembers(v, classNotServing)
+	m.appendMembers(v, classGone)
 	v.dataCentres = m.dataCentreViews(v)
 	m.view = v
 	m.regionSize = m.countRegion()
 	m.chooseBridges()
 }
 
-// class sorts a member into one of a View's three runs.
+// class returns in which of the View's three ranges a member belongs.
 func (v *View) class(n *node) memberClass {
-	s := n.effective()
+	s := n.effectiveState()
 	switch {
 	case s.Terminal():
-		return isGone
+		return classGone
 	case s.IsLeaving() || !v.RegionReachable(n.record.Region):
-		return isReserve
+		return classNotServing
 	default:
-		return isServing
+		return classServing
 	}
 }
 
 type memberClass uint8
 
 const (
-	isServing memberClass = iota
-	isReserve
-	isGone
+	classServing memberClass = iota
+	classNotServing
+	classGone
 )
 
-// appendMembers adds the members of one class and returns the length reached.
+// appendMembers appends the members of one class and returns the new length.
 func (m *Membership) appendMembers(v *View, want memberClass) int {
 	for _, n := range m.sorted {
 		if v.class(n) == want {
@@ -86,15 +86,15 @@
 	return views
 }
 
-// countRegion counts the own region's daemons that are not gone.
+// countRegion counts the daemons of this region that are not gone.
 func (m *Membership) countRegion() int {
 	count := 0
 	for _, n := range m.sorted {
-		if n.record.Region == m.regionName() && !n.effective().Terminal() {
+		if n.record.Region == m.ownRegion() && !n.effectiveState().Terminal() {
 			count++
 		}
 	}
 	return count
 }
 
-func (m *Membership) regionName() fleet.Region { return m.self.record.Region }
+func (m *Membership) ownRegion() fleet.Region { return m.self.record.Region }
