--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -49,7 +49,7 @@
 	seq    uint64                                 // of the table when rounds was set
 }
 
-var _ dispatch.Guard = (*crashDuty)(nil)
+var _ dispatch.Quarantine = (*crashDuty)(nil)
 
 func newCrashDuty(self fleet.DaemonID, r *roster, client *peer.Client, routes *routingDuty, log *logrus.Entry) *crashDuty {
 	d := &crashDuty{
--- a/internal/daemon/engines.go
+++ b/internal/daemon/engines.go
@@ -30,7 +30,7 @@
 // Start implements dispatch.Engines.
 func (e *engines) Start(ctx context.Context, address string, q *engineapi.CompletionRequest, id fleet.RequestID, o dispatch.StartOptions) (dispatch.Stream, error) {
 	c := e.call(id, o.Priority)
-	c.Once = o.Once
+	c.Once = o.AtMostOnce
 	s, err := e.client.Start(ctx, address, q, c)
 	if err != nil {
 		return nil, attemptError(err)
--- a/internal/daemon/intending.go
+++ b/internal/daemon/intending.go
@@ -166,7 +166,7 @@
 	case ledger.Grant:
 		return dispatch.Intent{Granted: true, Owner: string(a.Intent.Owner)}
 	case ledger.Deny:
-		return dispatch.Intent{Found: &dispatch.FoundIntent{Outcome: a.Existing.Outcome}}
+		return dispatch.Intent{Existing: &dispatch.ExistingIntent{Outcome: a.Existing.Outcome}}
 	case ledger.Refuse:
 		return refusedIntent(refusedByLedger(a.Reason))
 	default:
--- a/internal/daemon/ledger_test.go
+++ b/internal/daemon/ledger_test.go
@@ -95,7 +95,7 @@
 		assert.Assert(t, first.Granted, "%+v", first)
 		time.Sleep(10 * intentTimeout)
 		second := writer.Intend(t.Context(), ref, "writer/1", testDigest)
-		assert.Assert(t, second.Found != nil, "a second run was granted: %+v", second)
+		assert.Assert(t, second.Existing != nil, "a second run was granted: %+v", second)
 		time.Sleep(10 * intentTimeout) // calls that are still under way end
 	})
 }
@@ -123,8 +123,8 @@
 		time.Sleep(time.Second)
 		for _, d := range []*ledgerDuty{writer, holder} {
 			repeat := d.Intend(t.Context(), ref, string(d.self)+"/2", testDigest)
-			assert.Assert(t, repeat.Found != nil, "%s: %+v", d.self, repeat)
-			assert.Assert(t, repeat.Found.Outcome != nil, "%s does not know the outcome", d.self)
+			assert.Assert(t, repeat.Existing != nil, "%s: %+v", d.self, repeat)
+			assert.Assert(t, repeat.Existing.Outcome != nil, "%s does not know the outcome", d.self)
 		}
 		other := writer.Intend(t.Context(), ref, "writer/3", request.Digest{9})
 		assert.Assert(t, other.Refused != nil, "%+v", other)
@@ -171,7 +171,7 @@
 		assert.Assert(t, first.Granted, "%+v", first)
 		time.Sleep(10 * intentTimeout)
 		second := writer.Intend(t.Context(), ref, "writer/1", testDigest)
-		assert.Assert(t, second.Found != nil, "a second run was granted: %+v", second)
+		assert.Assert(t, second.Existing != nil, "a second run was granted: %+v", second)
 		time.Sleep(10 * intentTimeout) // calls that are still under way end
 	})
 }
--- a/internal/daemon/peerserver.go
+++ b/internal/daemon/peerserver.go
@@ -53,14 +53,14 @@
 
 // Cancel implements peerpb.DRPCPeerServer.
 func (s *peerServer) Cancel(_ context.Context, q *peerpb.CancelRequest) (*peerpb.CancelReply, error) {
-	known := s.dispatcher.CancelHeld(fleet.WorkspaceID(q.GetWorkspace()), fleet.RequestID(q.GetRequest()))
+	known := s.dispatcher.CancelLocal(fleet.WorkspaceID(q.GetWorkspace()), fleet.RequestID(q.GetRequest()))
 	return &peerpb.CancelReply{Known: known}, nil
 }
 
 // Follow implements peerpb.DRPCPeerServer. An empty piece comes first and says
 // that the request is held here.
 func (s *peerServer) Follow(q *peerpb.FollowRequest, stream peerpb.DRPCPeer_FollowStream) error {
-	a, err := s.dispatcher.HeldAs(fleet.WorkspaceID(q.GetWorkspace()), fleet.RequestID(q.GetRequest()), digestIn(stream.Context()))
+	a, err := s.dispatcher.LocalAnswerTo(fleet.WorkspaceID(q.GetWorkspace()), fleet.RequestID(q.GetRequest()), digestIn(stream.Context()))
 	if err != nil {
 		return drpcerr.WithCode(err, codeOtherBody)
 	}
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -111,8 +111,8 @@
 	d.tell(func(now time.Time, r *routing.Router) { d.act(r.ProbeOK(now, id)) })
 }
 
-// Silent implements dispatch.Router.
-func (d *routingDuty) Silent(id fleet.EndpointID) {
+// Stalled implements dispatch.Router.
+func (d *routingDuty) Stalled(id fleet.EndpointID) {
 	d.tell(func(now time.Time, r *routing.Router) { d.act(r.Stalled(now, id)) })
 }
 
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -104,8 +104,8 @@
 	switch {
 	case in.Refused != nil:
 		return nil, in.Refused
-	case in.Found != nil:
-		return storedAnswer(in.Found)
+	case in.Existing != nil:
+		return storedAnswer(in.Existing)
 	}
 	owner = ledger.Owner(in.Owner)
 	a, used, p := s.attempt(context.WithoutCancel(ctx), id, c, nil)
@@ -121,7 +121,7 @@
 }
 
 // storedAnswer answers a repeat from the ledger.
-func storedAnswer(f *dispatch.FoundIntent) (*gateway.ServiceAnswer, *problem.Problem) {
+func storedAnswer(f *dispatch.ExistingIntent) (*gateway.ServiceAnswer, *problem.Problem) {
 	o := f.Outcome
 	if o == nil {
 		return nil, problem.New(http.StatusConflict, verdict.MayHaveRun, "a request with this Idempotency-Key was dispatched before; its outcome is not known yet").After(time.Second)
@@ -178,7 +178,7 @@
 	var silent *endpoint.Silent
 	switch {
 	case errors.As(err, &silent):
-		s.router.Silent(id)
+		s.router.Stalled(id)
 	case verdict.Of(err) == verdict.NotRun:
 		s.router.DialFailed(id)
 	}
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -46,7 +46,7 @@
 			return Error.Wrap(err)
 		}
 		if d.state.Refusing() && d.gateway.Idle() {
-			d.dispatcher.PassOn(ctx, self)
+			d.dispatcher.HandOverFinished(ctx, self)
 			return nil
 		}
 		select {
--- a/internal/daemon/transfer.go
+++ b/internal/daemon/transfer.go
@@ -153,6 +153,6 @@
 	}
 	ref := request.Ref{Workspace: fleet.WorkspaceID(q.GetWorkspace()), ID: fleet.RequestID(q.GetRequest())}
 	rank := request.Rank{Number: q.GetNumber(), Holder: fleet.DaemonID(q.GetHolder())}
-	before := s.dispatcher.Withdrawn(ref, rank, time.UnixMilli(q.GetDeadlineMillis()))
+	before := s.dispatcher.HandleWithdraw(ref, rank, time.UnixMilli(q.GetDeadlineMillis()))
 	return &peerpb.WithdrawReply{Number: before.Number, Holder: string(before.Holder)}, nil
 }
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -45,13 +45,13 @@
 		Daemon:   d.run,
 		// The life watches each stream's progress; the client's own deadlines
 		// are the second line, for what never reaches the life.
-		Engines:   &engines{client: client, first: 2 * policy.FirstPiece, between: 2 * policy.Progress},
-		Router:    d.routing,
-		Guard:     d.crashes,
-		Admission: d.admission,
-		Locator:   d.locator,
-		Intents:   d.ledger,
-		Peers:     &handoverPeers{roster: d.roster, client: d.peers},
+		Engines:    &engines{client: client, first: 2 * policy.FirstPiece, between: 2 * policy.Progress},
+		Router:     d.routing,
+		Quarantine: d.crashes,
+		Admission:  d.admission,
+		Locator:    d.locator,
+		Intents:    d.ledger,
+		Peers:      &handoverPeers{roster: d.roster, client: d.peers},
 		NonIdempotent: func(m fleet.ModelRef, w fleet.WorkspaceID) bool {
 			model, ok := d.configuration.model(w, m)
 			return ok && model.NonIdempotent
@@ -60,13 +60,13 @@
 			model, ok := d.configuration.model(w, m)
 			return d.served(model, m.Version), ok
 		},
-		Priority: d.configuration.priority,
-		Observer: d.metrics,
-		Policy:   policy,
-		Address:  d.roster.callersAddress,
-		Timeout:  s.Limits.RequestTimeout,
-		Limits:   request.TableLimits{Live: s.Limits.MaxRequests, Bytes: int(s.Limits.RetainBytes), Retention: s.Limits.Retain},
-		Log:      logging.For(d.log, logging.Dispatch),
+		Priority:      d.configuration.priority,
+		Observer:      d.metrics,
+		Policy:        policy,
+		CallerAddress: d.roster.callersAddress,
+		Timeout:       s.Limits.RequestTimeout,
+		Limits:        request.TableLimits{Live: s.Limits.MaxRequests, Bytes: int(s.Limits.RetainBytes), Retention: s.Limits.Retain},
+		Log:           logging.For(d.log, logging.Dispatch),
 	}
 }
 
--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -20,34 +20,34 @@
 		can = false
 	}
 	ref := t.Offer.Ref
-	d.handing.mu.Lock()
-	d.adoptCustody(ref, t.Snapshot.Spec.Deadline)
-	d.handing.holdings.Expire(now)
-	reply, fresh := d.handing.holdings.Take(now, t.Offer, t.Snapshot.Spec.Deadline, can)
-	d.handing.mu.Unlock()
+	d.handover.mu.Lock()
+	d.ensureCustody(ref, t.Snapshot.Spec.Deadline)
+	d.handover.holdings.Expire(now)
+	reply, fresh := d.handover.holdings.Take(now, t.Offer, t.Snapshot.Spec.Deadline, can)
+	d.handover.mu.Unlock()
 	if fresh {
 		d.adopt(now, t, completion)
 	}
 	return reply
 }
 
-func (d *Dispatcher) hasRoom() bool { return d.Live() < d.o.Limits.Live }
+func (d *Dispatcher) hasRoom() bool { return d.Live() < d.opts.Limits.Live }
 
 // adopt carries on a request that was taken over.
 func (d *Dispatcher) adopt(now time.Time, t *Transfer, c engineapi.CompletionRequest) {
 	ref := t.Offer.Ref
-	r := d.bareRun(ref, t.Digest, c, nil)
+	r := d.newBareRun(ref, t.Digest, c, nil)
 	r.transfer = t.Offer.Number
 	r.owner = t.Owner
-	r.opened = true
-	r.released = true // its place was taken, and is given back, at the origin
-	life, actions := request.Adopt(now, t.Snapshot, d.o.Policy, runBudget{d.budget, r})
+	r.accepted = true
+	r.admissionReleased = true // its place was taken, and is given back, at the origin
+	life, actions := request.Adopt(now, t.Snapshot, d.opts.Policy, runBudget{d.budget, r})
 	r.life = life
 	if !d.replace(now, r) {
 		return
 	}
-	d.o.Locator.Announce(r.holding(false))
-	d.o.Log.WithField("request", ref.ID).Infof("taken over from %s with %d tokens", t.Offer.From, len(t.Snapshot.Generated))
+	d.opts.Locator.Announce(r.holding(false))
+	d.opts.Log.WithField("request", ref.ID).Infof("taken over from %s with %d tokens", t.Offer.From, len(t.Snapshot.Generated))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perform(actions)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -21,16 +21,16 @@
 	kv       string   // imported blob that covers prompt and text
 }
 
-// attempt starts a dispatch. Called with the lock held.
-func (r *run) attempt(a attempt) {
+// startAttempt starts a dispatch. Called with the lock held.
+func (r *run) startAttempt(a attempt) {
 	a.avoid = append([]fleet.EndpointID(nil), a.avoid...) // valid until the next event only
-	ctx := r.connection()
+	ctx := r.newAttemptContext()
 	go r.dispatch(ctx, a)
 }
 
-// connection returns the context of a new attempt's connection, and ends the
+// newAttemptContext returns the context of a new attempt's newAttemptContext, and ends the
 // one before. Called with the lock held.
-func (r *run) connection() context.Context {
+func (r *run) newAttemptContext() context.Context {
 	if r.cancel != nil {
 		r.cancel()
 	}
@@ -53,23 +53,23 @@
 	q := r.route
 	q.Exclude = a.avoid
 	for dials := 1; ; dials++ {
-		if err := r.held(); err != nil {
-			r.failed(a.number, err)
+		if err := r.checkQuarantine(); err != nil {
+			r.applyFailure(a.number, err)
 			return
 		}
 		choice, err := r.choose(a, &q)
 		if err != nil {
-			r.failed(a.number, &AttemptError{Kind: request.NoEndpoint, Verdict: verdict.NotRun, Err: err})
+			r.applyFailure(a.number, &AttemptError{Kind: request.NoEndpoint, Verdict: verdict.NotRun, Err: err})
 			return
 		}
-		if choice.PredictedFirstToken > refuseOver && r.mayRefuse() {
-			r.failed(a.number, errTooLate)
+		if choice.PredictedFirstToken > maxPredictedFirstToken && r.mayRefuse() {
+			r.applyFailure(a.number, errTooLate)
 			return
 		}
 		if dials == 1 {
-			r.observe(a)
+			r.observeAttempt(a)
 		}
-		err = r.try(ctx, a, &q, choice)
+		err = r.tryEndpoint(ctx, a, &q, choice)
 		if err == nil {
 			return
 		}
@@ -85,26 +85,26 @@
 	}
 }
 
-// try sends the attempt to an endpoint and reads the answer. It returns an
+// tryEndpoint sends the attempt to an endpoint and reads the answer. It returns an
 // error where no answer was opened.
-func (r *run) try(ctx context.Context, a attempt, q *routing.Request, choice routing.Choice) error {
-	router := r.d.o.Router
+func (r *run) tryEndpoint(ctx context.Context, a attempt, q *routing.Request, choice routing.Choice) error {
+	router := r.d.opts.Router
 	router.Dispatched(choice.Endpoint, q, choice)
 	outcome := routing.Failed
 	defer func() { router.Finished(choice.Endpoint, r.ref.ID, outcome) }()
-	r.do(func(now time.Time) []request.Action {
+	r.apply(func(now time.Time) []request.Action {
 		r.life.Dispatched(now, a.number, choice.Endpoint)
 		return nil
 	})
-	s := &sent{number: a.number, endpoint: choice.Endpoint, address: choice.Address, at: time.Now()}
+	s := &sentAttempt{number: a.number, endpoint: choice.Endpoint, address: choice.Address, at: time.Now()}
 	c := r.completion
 	c.Continue, c.KV = a.text, a.kv
-	stream, err := r.d.o.Engines.Start(ctx, choice.Address, &c, r.ref.ID, StartOptions{
-		Priority: q.Priority,
-		Once:     r.life.Spec().NonIdempotent,
+	stream, err := r.d.opts.Engines.Start(ctx, choice.Address, &c, r.ref.ID, StartOptions{
+		Priority:   q.Priority,
+		AtMostOnce: r.life.Spec().NonIdempotent,
 	})
 	if err != nil {
-		r.cut(ctx, s, err)
+		r.reportCut(ctx, s, err)
 		return err
 	}
 	defer stream.Close()
@@ -113,22 +113,22 @@
 	return nil
 }
 
-func (r *run) observe(a attempt) {
+func (r *run) observeAttempt(a attempt) {
 	switch {
 	case a.kv != "":
-		r.d.o.Observer.Attempt("move")
+		r.d.opts.Observer.Attempt("move")
 	case len(a.text) > 0:
-		r.d.o.Observer.Attempt("continue")
-		r.d.o.Observer.Recomputed(len(a.text))
+		r.d.opts.Observer.Attempt("continue")
+		r.d.opts.Observer.Recomputed(len(a.text))
 	default:
-		r.d.o.Observer.Attempt("dispatch")
+		r.d.opts.Observer.Attempt("dispatch")
 	}
 }
 
-// refuseOver is the predicted time to the first token, at the best endpoint,
+// maxPredictedFirstToken is the predicted time to the first token, at the best endpoint,
 // from which a new request is refused: above the users' 1.5 s, since predictions err,
 // and admission bounds what waits at the endpoints; this is for what it missed.
-const refuseOver = 2 * time.Second
+const maxPredictedFirstToken = 2 * time.Second
 
 // errTooLate refuses a request that the best endpoint would answer far too
 // late. To accept it would make the ones behind it late as well.
@@ -143,15 +143,15 @@
 func (r *run) mayRefuse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.opened
+	return !r.accepted
 }
 
 // choose asks routing, unless the life named the endpoint.
 func (r *run) choose(a attempt, q *routing.Request) (routing.Choice, error) {
 	if a.endpoint == "" {
-		return r.d.o.Router.Pick(q)
+		return r.d.opts.Router.Pick(q)
 	}
-	address, ok := r.d.o.Router.Address(a.endpoint)
+	address, ok := r.d.opts.Router.Address(a.endpoint)
 	if !ok {
 		return routing.Choice{}, routing.NoEndpoint{Cause: routing.NotServed}
 	}
@@ -160,33 +160,33 @@
 
 // resume reads an engine's stream again. Called with the lock held.
 func (r *run) resume(a request.ResumeStream) {
-	ctx := r.connection()
+	ctx := r.newAttemptContext()
 	go func() {
-		address, ok := r.d.o.Router.Address(a.Endpoint)
+		address, ok := r.d.opts.Router.Address(a.Endpoint)
 		if !ok {
-			r.failed(a.Attempt, &AttemptError{Kind: request.NotFound, Err: errors.New("endpoint not listed")})
+			r.applyFailure(a.Attempt, &AttemptError{Kind: request.NotFound, Err: errors.New("endpoint not listed")})
 			return
 		}
-		r.d.o.Observer.Attempt("resume")
+		r.d.opts.Observer.Attempt("resume")
 		if a.Replace {
-			r.d.o.Router.Silent(a.Endpoint)
+			r.d.opts.Router.Stalled(a.Endpoint)
 		}
-		s := &sent{number: a.Attempt, endpoint: a.Endpoint, address: address, at: time.Now(), begun: a.From > 0}
-		stream, err := r.d.o.Engines.Resume(ctx, address, a.Stream, a.From, a.Replace)
+		s := &sentAttempt{number: a.Attempt, endpoint: a.Endpoint, address: address, at: time.Now(), begun: a.From > 0}
+		stream, err := r.d.opts.Engines.Resume(ctx, address, a.Stream, a.From, a.Replace)
 		if err != nil {
 			r.attemptFailed(ctx, a.Attempt, a.Endpoint, err)
 			return
 		}
 		defer stream.Close()
-		r.d.o.Router.Connected(a.Endpoint)
+		r.d.opts.Router.Connected(a.Endpoint)
 		r.read(ctx, s, stream)
 	}()
 }
 
 // read takes an open stream's pieces until it ends.
-func (r *run) read(ctx context.Context, s *sent, stream Stream) routing.Outcome {
-	r.do(func(now time.Time) []request.Action {
-		r.accepted(now)
+func (r *run) read(ctx context.Context, s *sentAttempt, stream Stream) routing.Outcome {
+	r.apply(func(now time.Time) []request.Action {
+		r.markAccepted(now)
 		return r.life.Opened(now, s.number, s.endpoint, stream.ID())
 	})
 	first := true
@@ -196,7 +196,7 @@
 			if ctx.Err() != nil {
 				return routing.Cancelled // another attempt took over
 			}
-			r.cut(ctx, s, err)
+			r.reportCut(ctx, s, err)
 			r.attemptFailed(ctx, s.number, s.endpoint, err)
 			return routing.Failed
 		}
@@ -206,8 +206,8 @@
 		}
 		if first {
 			first, s.begun = false, true
-			r.d.o.Router.FirstToken(s.endpoint, r.ref.ID)
-			r.d.o.Guard.Ran(s.endpoint, s.at, r.key())
+			r.d.opts.Router.FirstToken(s.endpoint, r.ref.ID)
+			r.d.opts.Quarantine.Ran(s.endpoint, s.at, r.quarantineKey())
 		}
 		r.piece(s.number, p)
 	}
@@ -224,9 +224,9 @@
 		}
 		r.wake()
 	}
-	if now.Sub(r.extended) > extendEvery {
-		r.extended = now
-		r.d.o.Admission.Extend(r.ref.ID)
+	if now.Sub(r.lastExtended) > extendInterval {
+		r.lastExtended = now
+		r.d.opts.Admission.Extend(r.ref.ID)
 	}
 	if len(actions) > 0 {
 		r.perform(actions)
@@ -234,7 +234,7 @@
 }
 
 func (r *run) done(number uint32, p engineapi.Piece) {
-	r.do(func(now time.Time) []request.Action {
+	r.apply(func(now time.Time) []request.Action {
 		if p.Usage != nil {
 			r.usage = *p.Usage
 		}
@@ -249,22 +249,22 @@
 		return
 	}
 	r.endpointFailed(number, endpoint, err)
-	r.failed(number, err)
+	r.applyFailure(number, err)
 }
 
 // endpointFailed tells routing alone.
 func (r *run) endpointFailed(number uint32, endpoint fleet.EndpointID, err error) {
 	f := failureOf(number, err)
-	r.d.o.Observer.AttemptFailed(f.Kind.String())
+	r.d.opts.Observer.AttemptFailed(f.Kind.String())
 	switch f.Kind {
 	case request.Dial:
-		r.d.o.Router.DialFailed(endpoint)
+		r.d.opts.Router.DialFailed(endpoint)
 	case request.Silent:
-		r.d.o.Router.Silent(endpoint)
+		r.d.opts.Router.Stalled(endpoint)
 	}
-	r.d.o.Log.WithField("request", r.ref.ID).WithField("endpoint", endpoint).Infof("attempt %d failed: %v", number, err)
+	r.d.opts.Log.WithField("request", r.ref.ID).WithField("endpoint", endpoint).Infof("attempt %d failed: %v", number, err)
 }
 
-func (r *run) failed(number uint32, err error) {
-	r.do(func(now time.Time) []request.Action { return r.life.Failed(now, failureOf(number, err)) })
+func (r *run) applyFailure(number uint32, err error) {
+	r.apply(func(now time.Time) []request.Action { return r.life.Failed(now, failureOf(number, err)) })
 }
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -49,5 +49,5 @@
 
 // Take implements request.Budget. Called with the run's lock held.
 func (b runBudget) Take(now time.Time) bool {
-	return b.lockedBudget.Take(now) || b.run.opened
+	return b.lockedBudget.Take(now) || b.run.accepted
 }
--- a/internal/dispatch/deps.go
+++ b/internal/dispatch/deps.go
@@ -24,13 +24,13 @@
 	FirstToken(id fleet.EndpointID, request fleet.RequestID)
 	Finished(id fleet.EndpointID, request fleet.RequestID, o routing.Outcome)
 	Connected(id fleet.EndpointID)
-	Silent(id fleet.EndpointID)
+	Stalled(id fleet.EndpointID)
 	DialFailed(id fleet.EndpointID)
 }
 
-// Guard knows the requests that crash the engines that run them. Its methods
+// Quarantine knows the requests that crash the engines that run them. Its methods
 // return at once.
-type Guard interface {
+type Quarantine interface {
 	// Held returns for how long a request isn't to be sent to any engine, 0
 	// where it may be.
 	Held(k quarantine.Key) time.Duration
@@ -78,14 +78,14 @@
 
 // Intent is the answer to Intend. Exactly one field is set.
 type Intent struct {
-	Granted bool
-	Owner   string // with Granted: whose grant it is, to settle; may differ from the one asked for
-	Found   *FoundIntent
-	Refused *problem.Problem
+	Granted  bool
+	Owner    string // with Granted: whose grant it is, to settle; may differ from the one asked for
+	Existing *ExistingIntent
+	Refused  *problem.Problem
 }
 
-// FoundIntent is what the ledger knows of a key that was used before.
-type FoundIntent struct {
+// ExistingIntent is what the ledger knows of a key that was used before.
+type ExistingIntent struct {
 	Outcome *ledger.Outcome // as settled, nil while unknown
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -41,7 +41,7 @@
 func TestBrokenStreamIsResumedNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{cutAfter: 7}
-		d := newFake("a", e, &fakeDeps{}, false)
+		d := newFakeDispatcher("a", e, &fakeDeps{}, false)
 		a, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil)
 		end := readAll(t, a)
@@ -55,7 +55,7 @@
 func TestSameKeyAttachesAndOtherBodyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
-		d := newFake("a", e, &fakeDeps{}, false)
+		d := newFakeDispatcher("a", e, &fakeDeps{}, false)
 		a, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil)
 		again, p := d.Submit(t.Context(), submission("r", "body"))
@@ -71,10 +71,10 @@
 
 // No endpoint serves the model. Nothing was accepted, so the refusal is
 // not-run, and the same key may be used again.
-func TestRefusedRequestIsForgotten(t *testing.T) {
+func TestKeyOfRefusedRequestMayBeReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, f := &fakeEngines{}, &fakeDeps{noEndpoint: true}
-		d := newFake("a", e, f, false)
+		d := newFakeDispatcher("a", e, f, false)
 		_, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Equal(t, p.Verdict, verdict.NotRun)
 		assert.Equal(t, p.Status, http.StatusServiceUnavailable)
@@ -93,7 +93,7 @@
 func TestOverloadRefusesNewRequestsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, f := &fakeEngines{}, &fakeDeps{overloaded: true}
-		d := newFake("a", e, f, false)
+		d := newFakeDispatcher("a", e, f, false)
 		_, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Equal(t, p.Verdict, verdict.NotRun)
 		assert.Equal(t, p.RetryAfter, time.Second)
@@ -104,7 +104,7 @@
 		assert.Assert(t, p == nil)
 		f.overloaded = true
 		for _, r := range d.running() {
-			r.do(func(now time.Time) []request.Action { return r.life.Recompute(now, "") })
+			r.apply(func(now time.Time) []request.Action { return r.life.Recompute(now, "") })
 		}
 		assert.Assert(t, readAll(t, a).Done)
 	})
@@ -118,13 +118,13 @@
 		intent Intent
 		want   verdict.Verdict
 	}{
-		{"found", Intent{Found: &FoundIntent{}}, verdict.MayHaveRun},
+		{"found", Intent{Existing: &ExistingIntent{}}, verdict.MayHaveRun},
 		{"refused", Intent{Refused: problem.New(503, verdict.NotRun, "down")}, verdict.NotRun},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := &fakeEngines{}
-				d := newFake("a", e, &fakeDeps{intent: c.intent}, true)
+				d := newFakeDispatcher("a", e, &fakeDeps{intent: c.intent}, true)
 				_, p := d.Submit(t.Context(), submission("r", "body"))
 				assert.Equal(t, p.Verdict, c.want)
 				assert.Equal(t, e.starts, 0)
@@ -134,10 +134,10 @@
 	}
 }
 
-func TestOutcomeIsSettled(t *testing.T) {
+func TestOutcomeIsStoredInLedger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeDeps{intent: Intent{Granted: true}}
-		d := newFake("a", &fakeEngines{}, f, true)
+		d := newFakeDispatcher("a", &fakeEngines{}, f, true)
 		a, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil)
 		assert.Assert(t, readAll(t, a).Done)
@@ -150,7 +150,7 @@
 func TestCancelEndsTheAnswerAndTheStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
-		d := newFake("a", e, &fakeDeps{}, false)
+		d := newFakeDispatcher("a", e, &fakeDeps{}, false)
 		a, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil)
 		time.Sleep(50 * time.Millisecond) // of the bubble's clock
@@ -171,9 +171,9 @@
 		t.Run(fmt.Sprint("non-idempotent ", nonIdempotent), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := &fakeEngines{interval: time.Second}
-				f := &fakeDeps{intent: Intent{Granted: true}, loseReply: 1, peers: map[fleet.DaemonID]*Dispatcher{}}
-				origin := newFake("a", e, f, nonIdempotent)
-				successor := newFake("b", e, f, nonIdempotent)
+				f := &fakeDeps{intent: Intent{Granted: true}, repliesToLose: 1, peers: map[fleet.DaemonID]*Dispatcher{}}
+				origin := newFakeDispatcher("a", e, f, nonIdempotent)
+				successor := newFakeDispatcher("b", e, f, nonIdempotent)
 				f.peers["b"] = successor
 				s := submission("r", "body")
 				a, p := origin.Submit(t.Context(), s)
@@ -187,7 +187,7 @@
 				moved, p := origin.Submit(t.Context(), s)
 				assert.Assert(t, p == nil)
 				assert.Equal(t, readAll(t, moved).MovedTo, "at b")
-				held := successor.Held("w", "r")
+				held := successor.LocalAnswer("w", "r")
 				assert.Assert(t, held != nil)
 				assert.Assert(t, readAll(t, held).Done)
 				assert.Equal(t, e.starts, 1)
@@ -202,10 +202,10 @@
 // A caller's connection breaks before its answer is whole; the answer is
 // finished meanwhile, and the daemon that keeps it leaves. The caller asks the
 // successor and must get the whole answer without a second dispatch.
-func TestUnreadAnswerOutlivesItsDaemon(t *testing.T) {
+func TestUnreadAnswerIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, f := &fakeEngines{}, &fakeDeps{peers: map[fleet.DaemonID]*Dispatcher{}}
-		origin, successor := newFake("a", e, f, false), newFake("b", e, f, false)
+		origin, successor := newFakeDispatcher("a", e, f, false), newFakeDispatcher("b", e, f, false)
 		f.peers["b"] = successor
 		a, p := origin.Submit(t.Context(), submission("unread", "body"))
 		assert.Assert(t, p == nil)
@@ -215,13 +215,13 @@
 		assert.Assert(t, readAll(t, read).Done)
 		time.Sleep(time.Second) // of the bubble's clock
 		self := request.Member{Daemon: "a", DataCentre: "dc"}
-		assert.Equal(t, origin.PassOn(t.Context(), self), 1)
-		kept := successor.Held("w", "unread")
+		assert.Equal(t, origin.HandOverFinished(t.Context(), self), 1)
+		kept := successor.LocalAnswer("w", "unread")
 		assert.Assert(t, kept != nil)
 		end := readAll(t, kept)
 		assert.Assert(t, end.Done)
 		assert.Equal(t, end.Usage.CompletionTokens, 20)
-		assert.Assert(t, successor.Held("w", "read") == nil)
+		assert.Assert(t, successor.LocalAnswer("w", "read") == nil)
 		assert.Equal(t, e.starts, 2)
 		assert.Equal(t, e.resumes, 0)
 	})
@@ -231,7 +231,7 @@
 // finishes where it is before Leave returns.
 func TestLeavingWithoutSuccessorFinishesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newFake("a", &fakeEngines{interval: time.Second}, &fakeDeps{}, false)
+		d := newFakeDispatcher("a", &fakeEngines{interval: time.Second}, &fakeDeps{}, false)
 		a, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil)
 		err := d.Leave(t.Context(), request.Member{Daemon: "a", DataCentre: "dc"}, time.Now().Add(time.Minute))
@@ -242,10 +242,10 @@
 
 // A caller leaves before any engine answered. Nobody knows the request's id,
 // so it is given up instead of running for nobody.
-func TestCallerGoneBeforeAcceptance(t *testing.T) {
+func TestRequestIsCancelledIfCallerLeavesBeforeAcceptance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &fakeEngines{refuse: &AttemptError{Kind: request.Dial, Verdict: verdict.NotRun, Err: context.DeadlineExceeded}}
-		d := newFake("a", e, &fakeDeps{}, false)
+		e := &fakeEngines{startErr: &AttemptError{Kind: request.Dial, Verdict: verdict.NotRun, Err: context.DeadlineExceeded}}
+		d := newFakeDispatcher("a", e, &fakeDeps{}, false)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, p := d.Submit(ctx, submission("r", "body"))
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -20,15 +20,15 @@
 
 // Options are what a Dispatcher is made of.
 type Options struct {
-	Instance  fleet.InstanceID
-	Daemon    fleet.DaemonID
-	Engines   Engines
-	Router    Router
-	Guard     Guard
-	Admission Admission
-	Locator   Locator
-	Intents   Intents
-	Peers     Peers
+	Instance   fleet.InstanceID
+	Daemon     fleet.DaemonID
+	Engines    Engines
+	Router     Router
+	Quarantine Quarantine
+	Admission  Admission
+	Locator    Locator
+	Intents    Intents
+	Peers      Peers
 	// NonIdempotent reports whether a completion must not run twice.
 	NonIdempotent func(m fleet.ModelRef, workspace fleet.WorkspaceID) bool
 	// Model returns the model that serves a workspace's request, with the
@@ -38,21 +38,21 @@
 	Priority func(workspace fleet.WorkspaceID) int
 	Observer Observer
 	Policy   request.Policy
-	// Address returns the callers' address of a daemon, empty when unknown.
-	Address func(fleet.DaemonID) string
-	Timeout time.Duration // of a request, from acceptance to the whole answer
-	Limits  request.TableLimits
-	Log     *logrus.Entry
+	// CallerAddress returns the callers' address of a daemon, empty when unknown.
+	CallerAddress func(fleet.DaemonID) string
+	Timeout       time.Duration // of a request, from acceptance to the whole answer
+	Limits        request.TableLimits
+	Log           *logrus.Entry
 }
 
 // Dispatcher holds a daemon's requests.
 type Dispatcher struct {
-	o      Options
+	opts   Options
 	ctx    context.Context // ends when the daemon stops
 	stop   context.CancelFunc
 	budget *lockedBudget
 
-	handing handover
+	handover handoverState
 
 	mu    sync.Mutex
 	table *request.Table
@@ -65,13 +65,13 @@
 func New(o Options) *Dispatcher {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Dispatcher{
-		o:      o,
+		opts:   o,
 		ctx:    ctx,
 		stop:   stop,
 		budget: newLockedBudget(),
-		handing: handover{
-			holdings: request.NewHoldings(o.Daemon),
-			held:     make(map[request.Ref]*Transfer),
+		handover: handoverState{
+			holdings:  request.NewHoldings(o.Daemon),
+			transfers: make(map[request.Ref]*Transfer),
 		},
 		table: request.NewTable(o.Limits),
 		runs:  make(map[request.Ref]*run),
@@ -96,7 +96,7 @@
 		return nil, p
 	}
 	if s.KeySent {
-		if a, p := d.known(ctx, ref, digest); a != nil || p != nil {
+		if a, p := d.attachExisting(ctx, ref, digest); a != nil || p != nil {
 			return a, p
 		}
 	}
@@ -107,13 +107,13 @@
 	if attach == request.Created {
 		d.start(ctx, r)
 	}
-	return r.accept(ctx)
+	return r.waitAccepted(ctx)
 }
 
 // resolve puts the adapter and version of the workspace's template into s.
 func (d *Dispatcher) resolve(s *gateway.Submission) *problem.Problem {
 	c := &s.Completion
-	m, ok := d.o.Model(s.Workspace, fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version})
+	m, ok := d.opts.Model(s.Workspace, fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version})
 	if !ok || (c.Version != "" && m.Version != "" && c.Version != m.Version) {
 		return problem.New(http.StatusNotFound, verdict.NotRun, "the workspace has no model %q with this adapter and version", c.Model)
 	}
@@ -124,10 +124,10 @@
 	return nil
 }
 
-// known attaches to a request that has the key already, here or elsewhere.
-func (d *Dispatcher) known(ctx context.Context, ref request.Ref, digest request.Digest) (gateway.Answer, *problem.Problem) {
-	if r := d.run(ref); r != nil {
-		if !r.moved.Load() {
+// attachExisting attaches to a request that has the key already, here or elsewhere.
+func (d *Dispatcher) attachExisting(ctx context.Context, ref request.Ref, digest request.Digest) (gateway.Answer, *problem.Problem) {
+	if r := d.lookupRun(ref); r != nil {
+		if !r.handedOver.Load() {
 			return nil, nil // begin attaches, and compares the bodies
 		}
 		if r.digest != digest {
@@ -135,22 +135,22 @@
 		}
 		return r.reader(), nil
 	}
-	mine := directory.Holding{Request: ref.ID, Workspace: ref.Workspace, Holder: d.o.Instance}
-	h := d.o.Locator.Claim(ctx, mine)
-	if h.Holder == d.o.Instance {
+	mine := directory.Holding{Request: ref.ID, Workspace: ref.Workspace, Holder: d.opts.Instance}
+	h := d.opts.Locator.Claim(ctx, mine)
+	if h.Holder == d.opts.Instance {
 		return nil, nil
 	}
 	if h.Workspace != ref.Workspace {
 		return nil, keyConflict()
 	}
-	a, err := d.o.Locator.Follow(ctx, h, digest)
+	a, err := d.opts.Locator.Follow(ctx, h, digest)
 	if errors.Is(err, ErrOtherBody) {
 		return nil, keyConflict()
 	}
 	if err != nil {
 		// The holder is gone or has forgotten the request. An idempotent one
 		// runs here; the ledger decides about the others.
-		d.o.Log.WithField("request", ref.ID).WithError(err).Debug("holder not reached")
+		d.opts.Log.WithField("request", ref.ID).WithError(err).Debug("holder not reached")
 		return nil, nil
 	}
 	return a, nil
@@ -188,14 +188,14 @@
 	}
 }
 
-// run returns the request held here, or the trace of one that was handed over,
+// lookupRun returns the request held here, or the trace of one that was handed over,
 // which still says where it went; nil when it is unknown.
-func (d *Dispatcher) run(ref request.Ref) *run {
+func (d *Dispatcher) lookupRun(ref request.Ref) *run {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.Expire(time.Now())
 	r := d.runs[ref]
-	if r == nil || (d.table.Get(ref) == nil && !r.moved.Load()) {
+	if r == nil || (d.table.Get(ref) == nil && !r.handedOver.Load()) {
 		return nil
 	}
 	return r
@@ -203,23 +203,23 @@
 
 // Find implements gateway.Requests.
 func (d *Dispatcher) Find(ctx context.Context, workspace fleet.WorkspaceID, id fleet.RequestID) (gateway.Answer, *problem.Problem) {
-	if a := d.Held(workspace, id); a != nil {
+	if a := d.LocalAnswer(workspace, id); a != nil {
 		return a, nil
 	}
-	h, ok := d.o.Locator.Lookup(ctx, workspace, id)
+	h, ok := d.opts.Locator.Lookup(ctx, workspace, id)
 	if !ok || h.Workspace != workspace {
 		return nil, unknownRequest()
 	}
-	a, err := d.o.Locator.Follow(ctx, h, request.Digest{})
+	a, err := d.opts.Locator.Follow(ctx, h, request.Digest{})
 	if err != nil {
 		return nil, problem.New(http.StatusServiceUnavailable, verdict.MayHaveRun, "the entry that holds the request does not answer").After(time.Second)
 	}
 	return a, nil
 }
 
-// Held returns the answer of a request that this daemon holds, nil otherwise.
-func (d *Dispatcher) Held(workspace fleet.WorkspaceID, id fleet.RequestID) gateway.Answer {
-	r := d.run(request.Ref{Workspace: workspace, ID: id})
+// LocalAnswer returns the answer of a request that this daemon holds, nil otherwise.
+func (d *Dispatcher) LocalAnswer(workspace fleet.WorkspaceID, id fleet.RequestID) gateway.Answer {
+	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
 	if r == nil {
 		return nil
 	}
@@ -228,24 +228,24 @@
 
 // Cancel implements gateway.Requests.
 func (d *Dispatcher) Cancel(ctx context.Context, workspace fleet.WorkspaceID, id fleet.RequestID) *problem.Problem {
-	if d.CancelHeld(workspace, id) {
+	if d.CancelLocal(workspace, id) {
 		return nil
 	}
-	h, ok := d.o.Locator.Lookup(ctx, workspace, id)
-	if ok && h.Workspace == workspace && d.o.Locator.Cancel(ctx, h) {
+	h, ok := d.opts.Locator.Lookup(ctx, workspace, id)
+	if ok && h.Workspace == workspace && d.opts.Locator.Cancel(ctx, h) {
 		return nil
 	}
 	return unknownRequest()
 }
 
-// CancelHeld cancels a request that this daemon holds. It reports whether the
+// CancelLocal cancels a request that this daemon holds. It reports whether the
 // request is known.
-func (d *Dispatcher) CancelHeld(workspace fleet.WorkspaceID, id fleet.RequestID) bool {
-	r := d.run(request.Ref{Workspace: workspace, ID: id})
-	if r == nil || r.moved.Load() {
+func (d *Dispatcher) CancelLocal(workspace fleet.WorkspaceID, id fleet.RequestID) bool {
+	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
+	if r == nil || r.handedOver.Load() {
 		return false
 	}
-	r.do(r.life.Cancel)
+	r.apply(r.life.Cancel)
 	return true
 }
 
@@ -256,10 +256,10 @@
 // ErrOtherBody says that a key is in use for a request with another body.
 var ErrOtherBody = errors.New("the key is in use for another request")
 
-// HeldAs is Held for a caller that sent a body: ErrOtherBody where the request
+// LocalAnswerTo is Held for a caller that sent a body: ErrOtherBody where the request
 // has another digest. A zero digest matches any.
-func (d *Dispatcher) HeldAs(workspace fleet.WorkspaceID, id fleet.RequestID, digest request.Digest) (gateway.Answer, error) {
-	r := d.run(request.Ref{Workspace: workspace, ID: id})
+func (d *Dispatcher) LocalAnswerTo(workspace fleet.WorkspaceID, id fleet.RequestID, digest request.Digest) (gateway.Answer, error) {
+	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
 	switch {
 	case r == nil:
 		return nil, nil
--- a/internal/dispatch/engines.go
+++ b/internal/dispatch/engines.go
@@ -24,8 +24,8 @@
 
 // StartOptions say how a completion is to be asked for.
 type StartOptions struct {
-	Priority int  // greater runs first
-	Once     bool // must leave this process at most once
+	Priority   int  // greater runs first
+	AtMostOnce bool // must leave this process at most once
 }
 
 // Stream is an open answer of an engine.
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -31,7 +31,7 @@
 	resumes  int
 	cancels  int
 	cutAfter int
-	refuse   error
+	startErr error
 	interval time.Duration
 	length   int
 }
@@ -47,8 +47,8 @@
 func (e *fakeEngines) Start(ctx context.Context, _ string, q *engineapi.CompletionRequest, _ fleet.RequestID, _ StartOptions) (Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.refuse != nil {
-		return nil, e.refuse
+	if e.startErr != nil {
+		return nil, e.startErr
 	}
 	e.starts++
 	cut := e.cutAfter
@@ -98,19 +98,19 @@
 
 // fakeDeps is everything else, friendly unless a field says otherwise.
 type fakeDeps struct {
-	noEndpoint bool
-	overloaded bool
-	intent     Intent
-	settled    []ledger.Outcome
-	refuse     *problem.Problem
-	released   atomic.Int64
-	peers      map[fleet.DaemonID]*Dispatcher
-	loseReply  int // replies to offers that get lost
-	offers     int
-	held       map[quarantine.Key]time.Duration
-	told       sync.Mutex // of cuts and ran
-	cuts       []ends.Cut
-	ran        []quarantine.Key
+	noEndpoint    bool
+	overloaded    bool
+	intent        Intent
+	settled       []ledger.Outcome
+	refusal       *problem.Problem
+	released      atomic.Int64
+	peers         map[fleet.DaemonID]*Dispatcher
+	repliesToLose int // replies to offers that get lost
+	offers        int
+	heldFor       map[quarantine.Key]time.Duration
+	mu            sync.Mutex // of cuts and ran
+	cuts          []ends.Cut
+	ran           []quarantine.Key
 }
 
 func (f *fakeDeps) Pick(*routing.Request) (routing.Choice, error) {
@@ -119,7 +119,7 @@
 	}
 	c := routing.Choice{Endpoint: "e", Address: "e:1"}
 	if f.overloaded {
-		c.PredictedFirstToken = 2 * refuseOver
+		c.PredictedFirstToken = 2 * maxPredictedFirstToken
 	}
 	return c, nil
 }
@@ -128,9 +128,9 @@
 func (f *fakeDeps) FirstToken(fleet.EndpointID, fleet.RequestID)                   {}
 func (f *fakeDeps) Finished(fleet.EndpointID, fleet.RequestID, routing.Outcome)    {}
 func (f *fakeDeps) Connected(fleet.EndpointID)                                     {}
-func (f *fakeDeps) Silent(fleet.EndpointID)                                        {}
+func (f *fakeDeps) Stalled(fleet.EndpointID)                                       {}
 func (f *fakeDeps) DialFailed(fleet.EndpointID)                                    {}
-func (f *fakeDeps) Admit(context.Context, admission.Request) *problem.Problem      { return f.refuse }
+func (f *fakeDeps) Admit(context.Context, admission.Request) *problem.Problem      { return f.refusal }
 func (f *fakeDeps) Extend(fleet.RequestID)                                         {}
 func (f *fakeDeps) Release(fleet.RequestID, admission.Usage)                       { f.released.Add(1) }
 func (f *fakeDeps) Announce(directory.Holding)                                     {}
@@ -145,17 +145,17 @@
 func (f *fakeDeps) Attempt(string)       {}
 func (f *fakeDeps) AttemptFailed(string) {}
 
-func (f *fakeDeps) Held(k quarantine.Key) time.Duration { return f.held[k] }
+func (f *fakeDeps) Held(k quarantine.Key) time.Duration { return f.heldFor[k] }
 
 func (f *fakeDeps) Cut(c ends.Cut) {
-	f.told.Lock()
-	defer f.told.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	f.cuts = append(f.cuts, c)
 }
 
 func (f *fakeDeps) Ran(_ fleet.EndpointID, _ time.Time, k quarantine.Key) {
-	f.told.Lock()
-	defer f.told.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	f.ran = append(f.ran, k)
 }
 func (f *fakeDeps) Ended(string)   {}
@@ -179,8 +179,8 @@
 func (f *fakeDeps) Offer(_ context.Context, t *Transfer) (request.Reply, error) {
 	f.offers++
 	reply := f.peers[t.Offer.To].Take(t)
-	if f.loseReply > 0 {
-		f.loseReply--
+	if f.repliesToLose > 0 {
+		f.repliesToLose--
 		return request.Reply{}, verdict.Wrap(verdict.MayHaveRun, errors.New("reply lost"))
 	}
 	return reply, nil
@@ -194,22 +194,22 @@
 }
 
 func (f *fakeDeps) Withdraw(_ context.Context, w request.Withdraw, deadline time.Time) (request.Rank, error) {
-	return f.peers[w.To].Withdrawn(w.Ref, w.Rank, deadline), nil
+	return f.peers[w.To].HandleWithdraw(w.Ref, w.Rank, deadline), nil
 }
 
-// newFake returns a dispatcher on fakes.
-func newFake(id fleet.DaemonID, e *fakeEngines, f *fakeDeps, nonIdempotent bool) *Dispatcher {
+// newFakeDispatcher returns a dispatcher on fakes.
+func newFakeDispatcher(id fleet.DaemonID, e *fakeEngines, f *fakeDeps, nonIdempotent bool) *Dispatcher {
 	if e.interval == 0 {
 		e.interval = 10 * time.Millisecond
 	}
 	return New(Options{
-		Instance: fleet.InstanceID(id), Daemon: id, Engines: e, Router: f, Guard: f, Admission: f, Locator: f, Intents: f, Peers: f,
+		Instance: fleet.InstanceID(id), Daemon: id, Engines: e, Router: f, Quarantine: f, Admission: f, Locator: f, Intents: f, Peers: f,
 		NonIdempotent: func(fleet.ModelRef, fleet.WorkspaceID) bool { return nonIdempotent },
 		Model:         func(_ fleet.WorkspaceID, m fleet.ModelRef) (fleet.ModelRef, bool) { return m, m.Model == "m" },
 		Priority:      func(fleet.WorkspaceID) int { return 0 },
 		Observer:      f,
 		Policy:        request.DefaultPolicy(),
-		Address:       func(d fleet.DaemonID) string { return "at " + string(d) },
+		CallerAddress: func(d fleet.DaemonID) string { return "at " + string(d) },
 		Timeout:       time.Minute,
 		Limits:        request.DefaultTableLimits(),
 		Log:           logrus.NewEntry(logrus.New()),
--- a/internal/dispatch/finished.go
+++ b/internal/dispatch/finished.go
@@ -20,28 +20,28 @@
 	Spec   request.Spec
 }
 
-// passOnTimeout bounds the time that a leaving daemon spends on answers that
+// finishedTimeout bounds the time that a leaving daemon spends on answers that
 // wait for their callers.
-const passOnTimeout = 5 * time.Second
+const finishedTimeout = 5 * time.Second
 
-// PassOn gives the whole answers that nobody has read to the end to daemons
+// HandOverFinished gives the whole answers that nobody has read to the end to daemons
 // that stay, and returns how many were taken.
 //
 // Failure: a caller's connection breaks just before its answer is whole, and
 // the daemon that keeps the answer leaves. Symptom: the caller resumes and is
 // told that the request is unknown. The daemon that takes the answer announces
 // it to the directory, so any entry finds it.
-func (d *Dispatcher) PassOn(ctx context.Context, self request.Member) int {
-	ctx, cancel := context.WithTimeout(ctx, passOnTimeout)
+func (d *Dispatcher) HandOverFinished(ctx context.Context, self request.Member) int {
+	ctx, cancel := context.WithTimeout(ctx, finishedTimeout)
 	defer cancel()
-	members := d.o.Peers.Members()
+	members := d.opts.Peers.Members()
 	taken := 0
 	for _, f := range d.unread() {
 		for _, to := range request.Successors(f.Ref.ID, self, members) {
 			if ctx.Err() != nil {
 				return taken
 			}
-			if d.o.Peers.Keep(ctx, to, f) == nil {
+			if d.opts.Peers.Keep(ctx, to, f) == nil {
 				taken++
 				break
 			}
@@ -93,11 +93,11 @@
 		return false
 	}
 	now := time.Now()
-	r := d.bareRun(f.Ref, f.Digest, engineapi.CompletionRequest{Model: f.Model}, nil)
+	r := d.newBareRun(f.Ref, f.Digest, engineapi.CompletionRequest{Model: f.Model}, nil)
 	r.transfer = f.Number
-	r.opened, r.released = true, true
+	r.accepted, r.admissionReleased = true, true
 	r.end = &gateway.Part{Done: true, Usage: f.Usage}
-	r.life, _ = request.Adopt(now, request.Snapshot{Spec: f.Spec, Attempt: 1, Stream: "ended", Generated: f.Tokens}, d.o.Policy, d.budget)
+	r.life, _ = request.Adopt(now, request.Snapshot{Spec: f.Spec, Attempt: 1, Stream: "ended", Generated: f.Tokens}, d.opts.Policy, d.budget)
 	r.life.Done(now, r.life.Attempt(), len(f.Tokens))
 	if !d.replace(now, r) {
 		return true // it is known here already
@@ -105,6 +105,6 @@
 	d.mu.Lock()
 	d.table.Finish(now, f.Ref)
 	d.mu.Unlock()
-	d.o.Locator.Announce(r.holding(true))
+	d.opts.Locator.Announce(r.holding(true))
 	return true
 }
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -10,8 +10,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// handoverTick is how often a leaving daemon looks what is due.
-const handoverTick = 50 * time.Millisecond
+// handoverInterval is how often a leaving daemon looks what is due.
+const handoverInterval = 50 * time.Millisecond
 
 // Transfer is an offer with all that its addressee needs.
 type Transfer struct {
@@ -33,13 +33,13 @@
 	Members() []request.Member
 }
 
-// handover is the daemon's custody of requests and, once it leaves, the
+// handoverState is the daemon's custody of requests and, once it leaves, the
 // hand-over of them.
-type handover struct {
-	mu       sync.Mutex
-	holdings *request.Holdings
-	leaving  *request.Handover // nil until the daemon leaves
-	held     map[request.Ref]*Transfer
+type handoverState struct {
+	mu        sync.Mutex
+	holdings  *request.Holdings
+	leaving   *request.Handover // nil until the daemon leaves
+	transfers map[request.Ref]*Transfer
 }
 
 // messageTimeout bounds one hand-over message; offers are repeated.
@@ -49,7 +49,7 @@
 // ctx ends. Requests that are accepted meanwhile are taken in as they come.
 func (d *Dispatcher) Leave(ctx context.Context, self request.Member, by time.Time) error {
 	d.beginLeaving(self, by)
-	ticker := time.NewTicker(handoverTick)
+	ticker := time.NewTicker(handoverInterval)
 	defer ticker.Stop()
 	for {
 		d.handOver(time.Now())
@@ -58,7 +58,7 @@
 		case <-ctx.Done():
 			return errors.New("requests were still running when the time ended")
 		}
-		if ctx.Err() == nil && d.settled() {
+		if ctx.Err() == nil && d.handoverDone() {
 			return nil
 		}
 	}
@@ -66,33 +66,33 @@
 
 // LeaveBy brings the end of the hand-over forward: a second notice.
 func (d *Dispatcher) LeaveBy(by time.Time) {
-	d.handing.mu.Lock()
-	defer d.handing.mu.Unlock()
-	if d.handing.leaving != nil {
-		d.handing.leaving.Leave(by)
+	d.handover.mu.Lock()
+	defer d.handover.mu.Unlock()
+	if d.handover.leaving != nil {
+		d.handover.leaving.Leave(by)
 	}
 }
 
 func (d *Dispatcher) beginLeaving(self request.Member, by time.Time) {
-	d.handing.mu.Lock()
-	defer d.handing.mu.Unlock()
-	if d.handing.leaving == nil {
-		d.handing.leaving = request.NewHandover(self, request.DefaultHandoverPolicy())
+	d.handover.mu.Lock()
+	defer d.handover.mu.Unlock()
+	if d.handover.leaving == nil {
+		d.handover.leaving = request.NewHandover(self, request.DefaultHandoverPolicy())
 	}
-	d.handing.leaving.Leave(by)
+	d.handover.leaving.Leave(by)
 }
 
 // isLeaving reports whether Leave was called: a leaving daemon takes nothing over.
 func (d *Dispatcher) isLeaving() bool {
-	d.handing.mu.Lock()
-	defer d.handing.mu.Unlock()
-	return d.handing.leaving != nil
+	d.handover.mu.Lock()
+	defer d.handover.mu.Unlock()
+	return d.handover.leaving != nil
 }
 
-func (d *Dispatcher) settled() bool {
-	d.handing.mu.Lock()
-	settled := d.handing.leaving.Settled()
-	d.handing.mu.Unlock()
+func (d *Dispatcher) handoverDone() bool {
+	d.handover.mu.Lock()
+	settled := d.handover.leaving.Settled()
+	d.handover.mu.Unlock()
 	return settled && d.Live() == 0
 }
 
@@ -105,23 +105,23 @@
 			candidates = append(candidates, c)
 		}
 	}
-	members := d.o.Peers.Members()
-	d.handing.mu.Lock()
-	h := d.handing.leaving
+	members := d.opts.Peers.Members()
+	d.handover.mu.Lock()
+	h := d.handover.leaving
 	h.SetMembers(members)
 	for _, c := range candidates {
-		h.Add(c, d.handing.holdings.Accept(c.Ref, now.Add(d.o.Timeout)))
+		h.Add(c, d.handover.holdings.Accept(c.Ref, now.Add(d.opts.Timeout)))
 	}
 	orders := h.Tick(now)
-	d.handing.mu.Unlock()
-	d.obey(orders)
+	d.handover.mu.Unlock()
+	d.perform(orders)
 }
 
 // candidate describes the run for the hand-over, false before it is accepted.
 func (r *run) candidate() (request.Candidate, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.opened || r.end != nil {
+	if !r.accepted || r.end != nil {
 		return request.Candidate{}, false
 	}
 	done := r.life.Answer().Len()
@@ -135,9 +135,9 @@
 // assumedTokenInterval is used for a stream whose pace is not known yet.
 const assumedTokenInterval = 34 * time.Millisecond
 
-// paceAfter is how long a stream is read before its pace is believed. One that
+// minPaceTime is how long a stream is read before its pace is believed. One that
 // is resumed begins with all that was generated meanwhile, at once.
-const paceAfter = 250 * time.Millisecond
+const minPaceTime = 250 * time.Millisecond
 
 // remaining estimates the time until the answer is whole from its pace here.
 // Tokens that another daemon read don't count: a request that was just taken
@@ -147,24 +147,24 @@
 	done := r.life.Answer().Len()
 	left := time.Duration(r.route.MaxTokens - done)
 	read := time.Duration(done - r.firstLen)
-	if r.firstAt.IsZero() || read == 0 || time.Since(r.firstAt) < paceAfter {
+	if r.firstAt.IsZero() || read == 0 || time.Since(r.firstAt) < minPaceTime {
 		return left * assumedTokenInterval
 	}
 	return left * time.Since(r.firstAt) / read
 }
 
-// event lets the hand-over take an event and obeys what it orders then.
-func (d *Dispatcher) event(f func(h *request.Handover, now time.Time) []request.Order) {
-	d.handing.mu.Lock()
+// applyHandover lets the hand-over take an applyHandover and obeys what it orders then.
+func (d *Dispatcher) applyHandover(f func(h *request.Handover, now time.Time) []request.Order) {
+	d.handover.mu.Lock()
 	var orders []request.Order
-	if h := d.handing.leaving; h != nil {
+	if h := d.handover.leaving; h != nil {
 		orders = f(h, time.Now())
 	}
-	d.handing.mu.Unlock()
-	d.obey(orders)
+	d.handover.mu.Unlock()
+	d.perform(orders)
 }
 
-func (d *Dispatcher) obey(orders []request.Order) {
+func (d *Dispatcher) perform(orders []request.Order) {
 	for _, o := range orders {
 		switch o := o.(type) {
 		case request.Prepare:
@@ -174,11 +174,11 @@
 		case request.Withdraw:
 			go d.withdraw(o)
 		case request.Release:
-			d.endHeld(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Released(now, o.To.Holder) })
+			d.endTransfer(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Released(now, o.To.Holder) })
 		case request.Keep:
-			d.endHeld(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Unhold(now) })
+			d.endTransfer(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Unhold(now) })
 		case request.GiveUp:
-			d.endHeld(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Lost(now) })
+			d.endTransfer(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Lost(now) })
 		}
 	}
 }
@@ -187,22 +187,22 @@
 func (d *Dispatcher) prepare(o request.Prepare) {
 	t := d.freeze(o)
 	if t == nil {
-		d.event(func(h *request.Handover, now time.Time) []request.Order {
+		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order {
 			h.NotReady(now, o.Ref)
 			return nil
 		})
 		return
 	}
-	d.handing.mu.Lock()
-	d.handing.held[o.Ref] = t
-	d.handing.mu.Unlock()
-	d.event(func(h *request.Handover, now time.Time) []request.Order {
+	d.handover.mu.Lock()
+	d.handover.transfers[o.Ref] = t
+	d.handover.mu.Unlock()
+	d.applyHandover(func(h *request.Handover, now time.Time) []request.Order {
 		return h.Ready(now, o.Ref, t.Snapshot.Repeatable())
 	})
 }
 
 func (d *Dispatcher) freeze(o request.Prepare) *Transfer {
-	r := d.run(o.Ref)
+	r := d.lookupRun(o.Ref)
 	if r == nil {
 		return nil
 	}
@@ -219,43 +219,43 @@
 	return &Transfer{Snapshot: s, Completion: completion, Digest: r.digest, Owner: r.owner}
 }
 
-// endHeld lets the life of a held run take an event, and forgets the transfer.
-func (d *Dispatcher) endHeld(ref request.Ref, f func(*request.Life, time.Time) []request.Action) {
-	d.handing.mu.Lock()
-	delete(d.handing.held, ref)
-	d.handing.mu.Unlock()
-	if r := d.run(ref); r != nil {
-		r.do(func(now time.Time) []request.Action { return f(r.life, now) })
+// endTransfer lets the life of a held run take an event, and forgets the transfer.
+func (d *Dispatcher) endTransfer(ref request.Ref, f func(*request.Life, time.Time) []request.Action) {
+	d.handover.mu.Lock()
+	delete(d.handover.transfers, ref)
+	d.handover.mu.Unlock()
+	if r := d.lookupRun(ref); r != nil {
+		r.apply(func(now time.Time) []request.Action { return f(r.life, now) })
 	}
 }
 
-// finishedHere tells the hand-over that a request ended by itself.
-func (d *Dispatcher) finishedHere(ref request.Ref) {
-	d.event(func(h *request.Handover, _ time.Time) []request.Order {
+// reportFinished tells the hand-over that a request ended by itself.
+func (d *Dispatcher) reportFinished(ref request.Ref) {
+	d.applyHandover(func(h *request.Handover, _ time.Time) []request.Order {
 		h.Finished(ref)
 		return nil
 	})
 }
 
-// Withdrawn takes a withdrawal from another daemon and returns the holder that
+// HandleWithdraw takes a withdrawal from another daemon and returns the holder that
 // was known before.
-func (d *Dispatcher) Withdrawn(ref request.Ref, rank request.Rank, deadline time.Time) request.Rank {
+func (d *Dispatcher) HandleWithdraw(ref request.Ref, rank request.Rank, deadline time.Time) request.Rank {
 	now := time.Now()
-	d.handing.mu.Lock()
-	d.adoptCustody(ref, deadline)
-	before, lost := d.handing.holdings.Withdraw(now, ref, rank, deadline)
-	d.handing.mu.Unlock()
-	d.event(func(h *request.Handover, now time.Time) []request.Order { return h.Learned(now, ref, rank) })
+	d.handover.mu.Lock()
+	d.ensureCustody(ref, deadline)
+	before, lost := d.handover.holdings.Withdraw(now, ref, rank, deadline)
+	d.handover.mu.Unlock()
+	d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Learned(now, ref, rank) })
 	if lost {
-		d.endHeld(ref, func(l *request.Life, now time.Time) []request.Action { return l.Withdrawn(now, rank.Holder) })
+		d.endTransfer(ref, func(l *request.Life, now time.Time) []request.Action { return l.Withdrawn(now, rank.Holder) })
 	}
 	return before
 }
 
-// adoptCustody enters custody of a request that was accepted here and is not
+// ensureCustody enters custody of a request that was accepted here and is not
 // known to the hand-over yet. Called with the hand-over's lock held.
-func (d *Dispatcher) adoptCustody(ref request.Ref, deadline time.Time) {
-	if d.handing.holdings.Get(ref) == nil && d.run(ref) != nil {
-		d.handing.holdings.Accept(ref, deadline)
+func (d *Dispatcher) ensureCustody(ref request.Ref, deadline time.Time) {
+	if d.handover.holdings.Get(ref) == nil && d.lookupRun(ref) != nil {
+		d.handover.holdings.Accept(ref, deadline)
 	}
 }
--- /dev/null
+++ b/internal/dispatch/handover_send.go
@@ -0,0 +1,56 @@
+package dispatch
+
+import (
+	"context"
+	"time"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
+)
+
+// send makes an offer and takes its reply. Silence needs no event: the offer
+// is repeated.
+func (d *Dispatcher) send(o request.Offer) {
+	d.handover.mu.Lock()
+	held := d.handover.transfers[o.Ref]
+	d.handover.mu.Unlock()
+	if held == nil {
+		return
+	}
+	t := *held
+	t.Offer = o
+	ctx, cancel := context.WithTimeout(d.ctx, messageTimeout)
+	defer cancel()
+	reply, err := d.opts.Peers.Offer(ctx, &t)
+	switch {
+	case err == nil:
+		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Replied(now, reply) })
+	case verdict.Of(err) == verdict.NotRun && d.isFirstCopy(o):
+		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Unsent(now, o) })
+	default:
+		d.opts.Log.WithField("request", o.Ref.ID).Infof("no answer to an offer to %s: %v", o.To, err)
+	}
+}
+
+// isFirstCopy reports whether this was the first copy of an offer. That nothing
+// of a later one left proves nothing about those before it.
+func (d *Dispatcher) isFirstCopy(o request.Offer) bool {
+	d.handover.mu.Lock()
+	defer d.handover.mu.Unlock()
+	t := d.handover.transfers[o.Ref]
+	if t == nil || t.Offer == o {
+		return false
+	}
+	t.Offer = o
+	return true
+}
+
+func (d *Dispatcher) withdraw(w request.Withdraw) {
+	ctx, cancel := context.WithTimeout(d.ctx, messageTimeout)
+	defer cancel()
+	before, err := d.opts.Peers.Withdraw(ctx, w, time.Now().Add(d.opts.Timeout))
+	if err != nil {
+		return
+	}
+	d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Withdrawn(now, w, before) })
+}
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -17,14 +17,14 @@
 // move exports the stream's KV cache and imports it elsewhere. Called with the
 // lock held.
 func (r *run) move(a request.MoveKV) {
-	timeout := r.d.o.Policy.Move
+	timeout := r.d.opts.Policy.Move
 	go func() {
 		ctx, cancel := context.WithTimeout(r.d.ctx, timeout)
 		defer cancel()
 		blob, err := r.transferKV(ctx, a)
-		r.do(func(now time.Time) []request.Action {
+		r.apply(func(now time.Time) []request.Action {
 			if err != nil {
-				r.d.o.Log.WithField("request", r.ref.ID).Infof("KV cache not moved from %s to %s: %v", a.From, a.To, err)
+				r.d.opts.Log.WithField("request", r.ref.ID).Infof("KV cache not moved from %s to %s: %v", a.From, a.To, err)
 				return r.life.MoveFailed(now, a.Attempt)
 			}
 			return r.life.Exported(now, a.Attempt, blob.ID, blob.Generated)
@@ -33,29 +33,29 @@
 }
 
 func (r *run) transferKV(ctx context.Context, a request.MoveKV) (engineapi.KVBlob, error) {
-	from, ok := r.d.o.Router.Address(a.From)
-	to, ok2 := r.d.o.Router.Address(a.To)
+	from, ok := r.d.opts.Router.Address(a.From)
+	to, ok2 := r.d.opts.Router.Address(a.To)
 	if !ok || !ok2 {
 		return engineapi.KVBlob{}, errors.New("endpoint not listed")
 	}
-	blob, err := r.d.o.Engines.Export(ctx, from, a.Stream)
+	blob, err := r.d.opts.Engines.Export(ctx, from, a.Stream)
 	if err != nil {
 		return blob, err
 	}
-	return blob, r.d.o.Engines.Import(ctx, to, blob)
+	return blob, r.d.opts.Engines.Import(ctx, to, blob)
 }
 
 // cancelStream stops a stream that nobody needs. Called with the lock held.
 func (r *run) cancelStream(a request.CancelStream) {
-	address, ok := r.d.o.Router.Address(a.Endpoint)
+	address, ok := r.d.opts.Router.Address(a.Endpoint)
 	if !ok {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(r.d.ctx, cancelTimeout)
 		defer cancel()
-		if err := r.d.o.Engines.Cancel(ctx, address, a.Stream); err != nil {
-			r.d.o.Log.WithField("request", r.ref.ID).Debugf("stream not cancelled: %v", err)
+		if err := r.d.opts.Engines.Cancel(ctx, address, a.Stream); err != nil {
+			r.d.opts.Log.WithField("request", r.ref.ID).Debugf("stream not cancelled: %v", err)
 		}
 	}()
 }
@@ -63,7 +63,7 @@
 // Notice tells every run on endpoint that it leaves at leaveAt.
 func (d *Dispatcher) Notice(endpoint fleet.EndpointID, leaveAt time.Time) {
 	for _, r := range d.running() {
-		r.do(func(now time.Time) []request.Action {
+		r.apply(func(now time.Time) []request.Action {
 			r.life.Notice(now, endpoint, leaveAt)
 			return nil
 		})
@@ -114,11 +114,11 @@
 
 // Move carries out a planned move of a run, if it is still where the plan saw it.
 func (d *Dispatcher) Move(m reclaim.Move) {
-	r := d.run(m.Ref)
+	r := d.lookupRun(m.Ref)
 	if r == nil {
 		return
 	}
-	r.do(func(now time.Time) []request.Action {
+	r.apply(func(now time.Time) []request.Action {
 		if r.life.Endpoint() != m.From {
 			return nil
 		}
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/quarantine.go
@@ -12,8 +12,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// sent is an attempt at an engine.
-type sent struct {
+// sentAttempt is an attempt at an engine.
+type sentAttempt struct {
 	number   uint32
 	endpoint fleet.EndpointID
 	address  string
@@ -21,16 +21,16 @@
 	begun    bool // a piece of the answer has come
 }
 
-// key names the request when it comes again: with another id, at another daemon.
-func (r *run) key() quarantine.Key {
+// quarantineKey names the request when it comes again: with another id, at another daemon.
+func (r *run) quarantineKey() quarantine.Key {
 	return quarantine.KeyOf(r.ref.Workspace, "", "", r.digest[:])
 }
 
-// held returns why the request isn't to be sent to any engine, nil where it may
+// checkQuarantine returns why the request isn't to be sent to any engine, nil where it may
 // be. Failure: the same request comes again and again under another key. Symptom:
 // four tries at a time, it ends one engine after the other.
-func (r *run) held() error {
-	left := r.d.o.Guard.Held(r.key())
+func (r *run) checkQuarantine() error {
+	left := r.d.opts.Quarantine.Held(r.quarantineKey())
 	if left <= 0 {
 		return nil
 	}
@@ -39,10 +39,10 @@
 
 var errCrashes = errors.New("the request crashes the engines that run it")
 
-// cut tells the guard of an attempt that ended with its connection.
-func (r *run) cut(ctx context.Context, s *sent, err error) {
+// reportCut tells the guard of an attempt that ended with its connection.
+func (r *run) reportCut(ctx context.Context, s *sentAttempt, err error) {
 	if ctx.Err() != nil || failureOf(s.number, err).Kind != request.Reset {
 		return
 	}
-	r.d.o.Guard.Cut(ends.Cut{Endpoint: s.endpoint, Address: s.address, Request: r.key(), Sent: s.at, Begun: s.begun})
+	r.d.opts.Quarantine.Cut(ends.Cut{Endpoint: s.endpoint, Address: s.address, Request: r.quarantineKey(), Sent: s.at, Begun: s.begun})
 }
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -18,11 +18,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
 		f := &fakeDeps{}
-		d := newFake("a", e, f, false)
+		d := newFakeDispatcher("a", e, f, false)
 		defer d.Close()
 		digest := sha256.Sum256([]byte("body"))
 		key := quarantine.KeyOf("w", "", "", digest[:])
-		f.held = map[quarantine.Key]time.Duration{key: time.Minute}
+		f.heldFor = map[quarantine.Key]time.Duration{key: time.Minute}
 		_, p := d.Submit(t.Context(), submission("r2", "body"))
 		assert.Equal(t, p.Status, 503)
 		assert.Equal(t, p.Verdict, verdict.NotRun)
@@ -36,11 +36,11 @@
 
 // A stream breaks after its first tokens. The guard hears of the request under
 // the name that it has when it comes again, and that it had begun.
-func TestGuardHearsOfCutStreams(t *testing.T) {
+func TestBrokenStreamsAreReportedToQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{cutAfter: 3}
 		f := &fakeDeps{}
-		d := newFake("a", e, f, false)
+		d := newFakeDispatcher("a", e, f, false)
 		defer d.Close()
 		a, p := d.Submit(t.Context(), submission("r1", "body"))
 		assert.Assert(t, p == nil)
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -21,15 +21,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// deadFirst is a router over endpoints of which only the last one lives, and
+// deadEndpointsFirst is a router over endpoints of which only the last one lives, and
 // which it chooses last.
-type deadFirst struct {
+type deadEndpointsFirst struct {
 	*fakeDeps
 	endpoints []fleet.EndpointID
 }
 
-func newDeadFirst(dead int) *deadFirst {
-	r := &deadFirst{fakeDeps: &fakeDeps{}}
+func newDeadEndpointsFirst(dead int) *deadEndpointsFirst {
+	r := &deadEndpointsFirst{fakeDeps: &fakeDeps{}}
 	for i := range dead {
 		r.endpoints = append(r.endpoints, fleet.EndpointID(fmt.Sprintf("dead-%d", i)))
 	}
@@ -37,7 +37,7 @@
 	return r
 }
 
-func (r *deadFirst) Pick(q *routing.Request) (routing.Choice, error) {
+func (r *deadEndpointsFirst) Pick(q *routing.Request) (routing.Choice, error) {
 	for _, e := range r.endpoints {
 		if !slices.Contains(q.Exclude, e) {
 			return routing.Choice{Endpoint: e, Address: string(e)}, nil
@@ -46,10 +46,10 @@
 	return routing.Choice{}, routing.NoEndpoint{Cause: routing.NotServed}
 }
 
-// refusingEngines takes connections at the address "alive" alone.
-type refusingEngines struct{ *fakeEngines }
+// oneAliveEngine takes connections at the address "alive" alone.
+type oneAliveEngine struct{ *fakeEngines }
 
-func (e refusingEngines) Start(ctx context.Context, address string, q *engineapi.CompletionRequest, id fleet.RequestID, o StartOptions) (Stream, error) {
+func (e oneAliveEngine) Start(ctx context.Context, address string, q *engineapi.CompletionRequest, id fleet.RequestID, o StartOptions) (Stream, error) {
 	if address != "alive" {
 		return nil, &AttemptError{Kind: request.Dial, Verdict: verdict.NotRun, Err: errors.New("connection refused")}
 	}
@@ -59,14 +59,14 @@
 // More engines than a request has attempts are gone without notice when it
 // comes. Its caller must get the answer from the one that lives, and the same
 // holds for a request that may be dispatched once only: nothing was sent.
-func TestDeadEnginesCostNoAttempts(t *testing.T) {
+func TestUnreachableEnginesUseNoAttempts(t *testing.T) {
 	for _, nonIdempotent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			e := &fakeEngines{}
-			r := newDeadFirst(10)
+			r := newDeadEndpointsFirst(10)
 			r.intent = Intent{Granted: true}
-			d := newFake("a", e, r.fakeDeps, nonIdempotent)
-			d.o.Router, d.o.Engines = r, refusingEngines{e}
+			d := newFakeDispatcher("a", e, r.fakeDeps, nonIdempotent)
+			d.opts.Router, d.opts.Engines = r, oneAliveEngine{e}
 			a, p := d.Submit(t.Context(), submission("r", "body"))
 			assert.Assert(t, p == nil, "%v", p)
 			assert.Assert(t, readAll(t, a).Done)
@@ -82,22 +82,22 @@
 	return nil, &AttemptError{Kind: request.NotFound, Err: errors.New("no such stream")}
 }
 
-// openAdmission admits everything and counts nothing, so that many runs may
+// admitAll admits everything and counts nothing, so that many runs may
 // end at the same time.
-type openAdmission struct{ *fakeDeps }
+type admitAll struct{ *fakeDeps }
 
-func (openAdmission) Release(fleet.RequestID, admission.Usage) {}
+func (admitAll) Release(fleet.RequestID, admission.Usage) {}
 
 // More streams break at once than the retry budget has retries. Their requests
 // were accepted, so each caller must get its whole answer all the same.
-func TestAcceptedRequestsOutliveTheRetryBudget(t *testing.T) {
+func TestAcceptedRequestsAreRetriedBeyondTheRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const streams = 100
 		e := &fakeEngines{}
 		f := &fakeDeps{}
-		d := newFake("a", e, f, false)
-		d.o.Engines, d.o.Admission = goneEngines{e}, openAdmission{f}
-		d.o.Log.Logger.SetOutput(io.Discard)
+		d := newFakeDispatcher("a", e, f, false)
+		d.opts.Engines, d.opts.Admission = goneEngines{e}, admitAll{f}
+		d.opts.Log.Logger.SetOutput(io.Discard)
 		var answers []gateway.Answer
 		for i := range streams {
 			e.cutAfter = 7
@@ -115,11 +115,11 @@
 // A daemon takes a half-finished answer over and reads its first token. Were
 // the tokens that the origin read counted as its own, it would think the answer
 // over in a moment, and leave it on an engine that is about to vanish.
-func TestAnswerTakenOverIsNotThoughtNearlyDone(t *testing.T) {
+func TestRemainingTimeAfterTakeoverIsNotUnderestimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{interval: time.Second} // 20 tokens
 		f := &fakeDeps{peers: map[fleet.DaemonID]*Dispatcher{}}
-		origin, successor := newFake("a", e, f, false), newFake("b", e, f, false)
+		origin, successor := newFakeDispatcher("a", e, f, false), newFakeDispatcher("b", e, f, false)
 		f.peers["b"] = successor
 		_, p := origin.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil, "%v", p)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -16,9 +16,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing"
 )
 
-// extendEvery is how often a run renews its lease on the workspace's
+// extendInterval is how often a run renews its lease on the workspace's
 // concurrency: well within the lease.
-const extendEvery = 5 * time.Second
+const extendInterval = 5 * time.Second
 
 // run is one request with its attempts and readers.
 type run struct {
@@ -30,38 +30,38 @@
 	route      routing.Request // its Exclude is set for each pick
 	owner      string          // in the ledger
 
-	mu        sync.Mutex
-	life      *request.Life
-	transfer  uint64 // under which it is held here
-	opened    bool   // some attempt was answered, so the request is accepted
-	end       *gateway.Part
-	usage     engineapi.Usage
-	readers   map[*reader]struct{}
-	timer     *time.Timer
-	armed     time.Time // when timer fires
-	extended  time.Time
-	cancel    context.CancelFunc // of the newest attempt's connection
-	released  bool               // given back to admission
-	firstAt   time.Time          // of the first piece here
-	firstLen  int                // of the answer with that piece
-	delivered bool               // some reader came to the end of the whole answer
-	moved     atomic.Bool        // handed over: only readers still ask for it
+	mu                sync.Mutex
+	life              *request.Life
+	transfer          uint64 // under which it is held here
+	accepted          bool   // some attempt was answered, so the request is accepted
+	end               *gateway.Part
+	usage             engineapi.Usage
+	readers           map[*reader]struct{}
+	timer             *time.Timer
+	firesAt           time.Time // when timer fires
+	lastExtended      time.Time
+	cancel            context.CancelFunc // of the newest attempt's connection
+	admissionReleased bool               // given back to admission
+	firstAt           time.Time          // of the first piece here
+	firstLen          int                // of the answer with that piece
+	delivered         bool               // some reader came to the end of the whole answer
+	handedOver        atomic.Bool        // handed over: only readers still ask for it
 }
 
 func (d *Dispatcher) newRun(now time.Time, s *gateway.Submission, ref request.Ref, digest request.Digest) *run {
-	r := d.bareRun(ref, digest, s.Completion, s.Body)
+	r := d.newBareRun(ref, digest, s.Completion, s.Body)
 	spec := request.Spec{
 		Ref:           ref,
-		NonIdempotent: d.o.NonIdempotent(r.route.Model, ref.Workspace),
-		Deadline:      now.Add(d.o.Timeout),
+		NonIdempotent: d.opts.NonIdempotent(r.route.Model, ref.Workspace),
+		Deadline:      now.Add(d.opts.Timeout),
 		PromptTokens:  r.route.PromptTokens,
 	}
-	r.life = request.NewLife(spec, d.o.Policy, runBudget{d.budget, r})
+	r.life = request.NewLife(spec, d.opts.Policy, runBudget{d.budget, r})
 	return r
 }
 
-// bareRun returns a run without a life.
-func (d *Dispatcher) bareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
+// newBareRun returns a run without a life.
+func (d *Dispatcher) newBareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
 	model := fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version}
 	blocks, tokens := prompt.Leading(model, c.Messages, nil)
 	return &run{
@@ -70,7 +70,7 @@
 		digest:     digest,
 		completion: c,
 		body:       body,
-		owner:      newOwner(d.o.Daemon),
+		owner:      newOwner(d.opts.Daemon),
 		readers:    make(map[*reader]struct{}),
 		route: routing.Request{
 			ID:           ref.ID,
@@ -79,7 +79,7 @@
 			Blocks:       blocks,
 			PromptTokens: tokens,
 			MaxTokens:    c.MaxTokens,
-			Priority:     d.o.Priority(ref.Workspace),
+			Priority:     d.opts.Priority(ref.Workspace),
 		},
 	}
 }
@@ -91,8 +91,8 @@
 	return string(daemon) + "/" + uuid.Must(uuid.NewV7()).String()
 }
 
-// do lets the life take an event and carries out its actions.
-func (r *run) do(event func(now time.Time) []request.Action) {
+// apply lets the life take an event and carries out its actions.
+func (r *run) apply(event func(now time.Time) []request.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perform(event(time.Now()))
@@ -103,9 +103,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case request.Dispatch:
-			r.attempt(attempt{number: a.Attempt, avoid: a.Avoid})
+			r.startAttempt(attempt{number: a.Attempt, avoid: a.Avoid})
 		case request.Continue:
-			r.attempt(attempt{number: a.Attempt, avoid: a.Avoid, endpoint: a.Endpoint, kv: a.KV, text: r.life.Answer().Tokens(0)[:a.From]})
+			r.startAttempt(attempt{number: a.Attempt, avoid: a.Avoid, endpoint: a.Endpoint, kv: a.KV, text: r.life.Answer().Tokens(0)[:a.From]})
 		case request.ResumeStream:
 			r.resume(a)
 		case request.MoveKV:
@@ -113,19 +113,19 @@
 		case request.CancelStream:
 			r.cancelStream(a)
 		case request.Finish:
-			r.finish(&gateway.Part{Done: true, Usage: r.wholeUsage()})
+			r.finish(&gateway.Part{Done: true, Usage: r.totalUsage()})
 		case request.Fail:
 			r.finish(&gateway.Part{Failure: problemOf(a)})
 		case request.Transfer:
-			r.movedTo(a.To)
+			r.endHandedOver(a.To)
 		}
 	}
 	r.arm()
 }
 
-// wholeUsage returns what the answer cost. The last attempt may have been
+// totalUsage returns what the answer cost. The last attempt may have been
 // given text that others generated, so the count is the answer's own.
-func (r *run) wholeUsage() engineapi.Usage {
+func (r *run) totalUsage() engineapi.Usage {
 	u := r.usage
 	u.PromptTokens = max(u.PromptTokens, r.route.PromptTokens)
 	u.CompletionTokens = r.life.Answer().Len()
@@ -143,10 +143,10 @@
 		}
 		return
 	}
-	if r.timer != nil && !r.armed.IsZero() && !next.Before(r.armed) {
+	if r.timer != nil && !r.firesAt.IsZero() && !next.Before(r.firesAt) {
 		return
 	}
-	r.armed = next
+	r.firesAt = next
 	wait := time.Until(next)
 	if r.timer == nil {
 		r.timer = time.AfterFunc(wait, r.tick)
@@ -158,7 +158,7 @@
 func (r *run) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.armed = time.Time{}
+	r.firesAt = time.Time{}
 	r.perform(r.life.Tick(time.Now()))
 }
 
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -17,7 +17,7 @@
 
 // start admits a new run and makes its first dispatch. A refusal ends it.
 func (d *Dispatcher) start(ctx context.Context, r *run) {
-	if p := d.o.Admission.Admit(ctx, r.ask()); p != nil {
+	if p := d.opts.Admission.Admit(ctx, r.admissionRequest()); p != nil {
 		r.refuse(p)
 		return
 	}
@@ -27,14 +27,14 @@
 			return
 		}
 	}
-	d.o.Locator.Announce(r.holding(false))
+	d.opts.Locator.Announce(r.holding(false))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.extended = time.Now()
-	r.perform(r.life.Start(r.extended))
+	r.lastExtended = time.Now()
+	r.perform(r.life.Start(r.lastExtended))
 }
 
-func (r *run) ask() admission.Request {
+func (r *run) admissionRequest() admission.Request {
 	return admission.Request{
 		ID:           r.ref.ID,
 		Workspace:    r.ref.Workspace,
@@ -47,7 +47,7 @@
 
 // intend records a non-idempotent request in the ledger before its dispatch.
 func (r *run) intend(ctx context.Context) *problem.Problem {
-	in := r.d.o.Intents.Intend(ctx, r.ref, r.owner, r.digest)
+	in := r.d.opts.Intents.Intend(ctx, r.ref, r.owner, r.digest)
 	switch {
 	case in.Granted:
 		r.owner = in.Owner
@@ -63,7 +63,7 @@
 	return directory.Holding{
 		Request:   r.ref.ID,
 		Workspace: r.ref.Workspace,
-		Holder:    r.d.o.Instance,
+		Holder:    r.d.opts.Instance,
 		Transfer:  r.transfer,
 		Finished:  finished,
 	}
@@ -77,23 +77,23 @@
 	r.wake()
 	r.mu.Unlock()
 	r.mu.Lock()
-	r.release()
+	r.releaseAdmission()
 	r.mu.Unlock()
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	r.d.table.Remove(r.ref)
-	r.d.drop(r)
+	r.d.removeRun(r)
 }
 
-// drop forgets a run, unless another took its place. Called with the lock held.
-func (d *Dispatcher) drop(r *run) {
+// removeRun forgets a run, unless another took its place. Called with the lock held.
+func (d *Dispatcher) removeRun(r *run) {
 	if d.runs[r.ref] == r {
 		delete(d.runs, r.ref)
 	}
 }
 
-// forget takes a run that was handed over out of the table.
-func (r *run) forget() {
+// removeFromTable takes a run that was handed over out of the table.
+func (r *run) removeFromTable() {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	if r.d.runs[r.ref] == r {
@@ -101,24 +101,24 @@
 	}
 }
 
-// accepted notes that an engine answers, from where on the request is
-// accepted. Called with the lock held.
-func (r *run) accepted(now time.Time) {
-	if r.opened {
+// markAccepted notes that an engine answers, from where on the request is
+// markAccepted. Called with the lock held.
+func (r *run) markAccepted(now time.Time) {
+	if r.accepted {
 		return
 	}
-	r.opened = true
+	r.accepted = true
 	r.life.Accepted(now)
 	r.wake()
 }
 
-// accept waits until the request is accepted or refused. Refusing is honest
+// waitAccepted waits until the request is accepted or refused. Refusing is honest
 // only until then, so an endpoint must have answered first.
-func (r *run) accept(ctx context.Context) (gateway.Answer, *problem.Problem) {
+func (r *run) waitAccepted(ctx context.Context) (gateway.Answer, *problem.Problem) {
 	rd := r.reader()
 	for {
 		r.mu.Lock()
-		opened, end := r.opened, r.end
+		opened, end := r.accepted, r.end
 		r.mu.Unlock()
 		if end != nil && end.Failure != nil && !opened {
 			rd.Close()
@@ -139,10 +139,10 @@
 // abandon ends a request whose only caller left before it was accepted.
 func (r *run) abandon() *problem.Problem {
 	r.mu.Lock()
-	alone := len(r.readers) == 0 && !r.opened
+	alone := len(r.readers) == 0 && !r.accepted
 	r.mu.Unlock()
 	if alone {
-		r.do(r.life.Cancel)
+		r.apply(r.life.Cancel)
 	}
 	return problem.New(http.StatusServiceUnavailable, verdict.MayHaveRun, "the caller left before the request was accepted")
 }
@@ -154,54 +154,54 @@
 		r.cancel()
 	}
 	r.wake()
-	r.release()
-	go r.ended()
+	r.releaseAdmission()
+	go r.cleanUp()
 }
 
-// release gives the run's place back to admission, once.
-func (r *run) release() {
-	if r.released {
+// releaseAdmission gives the run's place back to admission, once.
+func (r *run) releaseAdmission() {
+	if r.admissionReleased {
 		return
 	}
-	r.released = true
+	r.admissionReleased = true
 	answer := r.life.Answer().Len()
 	u := admission.Usage{PromptTokens: r.route.PromptTokens, CompletionTokens: answer}
 	u.NotRun = r.end != nil && r.end.Failure != nil && r.end.Failure.Verdict == verdict.NotRun
-	r.d.o.Admission.Release(r.ref.ID, u)
+	r.d.opts.Admission.Release(r.ref.ID, u)
 }
 
-// ended does what needs no lock of the run: the table, the directory, the ledger.
-func (r *run) ended() {
+// cleanUp does what needs no lock of the run: the table, the directory, the ledger.
+func (r *run) cleanUp() {
 	v := verdict.Ran
 	if r.end.Failure != nil {
 		v = r.end.Failure.Verdict
 	}
 	if r.end.MovedTo != "" {
-		r.forget()
+		r.removeFromTable()
 		return
 	}
-	r.d.finishedHere(r.ref)
-	r.d.o.Observer.Ended(v.String())
+	r.d.reportFinished(r.ref)
+	r.d.opts.Observer.Ended(v.String())
 	r.d.mu.Lock()
 	if v == verdict.NotRun {
 		r.d.table.Remove(r.ref)
-		r.d.drop(r)
+		r.d.removeRun(r)
 	} else {
 		r.d.table.Finish(time.Now(), r.ref)
 	}
 	r.d.mu.Unlock()
 	if v != verdict.NotRun {
-		r.d.o.Locator.Announce(r.holding(true))
+		r.d.opts.Locator.Announce(r.holding(true))
 	}
 	if r.life.Spec().NonIdempotent && v == verdict.Ran {
-		r.d.o.Intents.Settle(r.ref, r.owner, r.digest, ledger.Outcome{Status: http.StatusOK, ContentType: "text/plain", Body: []byte(r.life.Answer().Text())})
+		r.d.opts.Intents.Settle(r.ref, r.owner, r.digest, ledger.Outcome{Status: http.StatusOK, ContentType: "text/plain", Body: []byte(r.life.Answer().Text())})
 	}
 }
 
-// movedTo ends the run here because daemon to holds it now. Called with the lock held.
-func (r *run) movedTo(to fleet.DaemonID) {
-	r.moved.Store(true)
-	r.finish(&gateway.Part{MovedTo: r.d.o.Address(to)})
+// endHandedOver ends the run here because daemon to holds it now. Called with the lock held.
+func (r *run) endHandedOver(to fleet.DaemonID) {
+	r.handedOver.Store(true)
+	r.finish(&gateway.Part{MovedTo: r.d.opts.CallerAddress(to)})
 }
 
 // problemOf turns the life's failure into what the caller sees.
