--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -84,15 +84,15 @@
 	go pause.Every(ctx, crashInterval, func() { d.round(ctx) })
 }
 
-// Held implements dispatch.Guard.
+// Held implements dispatch.Quarantine.
 func (d *crashDuty) Held(k quarantine.Key) time.Duration {
 	return d.table.Held(time.Now(), func() quarantine.Key { return k })
 }
 
-// Cut implements dispatch.Guard.
+// Cut implements dispatch.Quarantine.
 func (d *crashDuty) Cut(c ends.Cut) { d.watch.Cut(c) }
 
-// Ran implements dispatch.Guard.
+// Ran implements dispatch.Quarantine.
 func (d *crashDuty) Ran(id fleet.EndpointID, sent time.Time, k quarantine.Key) {
 	d.changed(d.table.Ran(time.Now(), sent, quarantine.IncarnationOf(id, time.Time{}), func() quarantine.Key { return k }))
 }
--- a/internal/daemon/peerserver.go
+++ b/internal/daemon/peerserver.go
@@ -60,7 +60,7 @@
 // Follow implements peerpb.DRPCPeerServer. An empty piece comes first and says
 // that the request is held here.
 func (s *peerServer) Follow(q *peerpb.FollowRequest, stream peerpb.DRPCPeer_FollowStream) error {
-	a, err := s.dispatcher.LocalAnswerTo(fleet.WorkspaceID(q.GetWorkspace()), fleet.RequestID(q.GetRequest()), digestIn(stream.Context()))
+	a, err := s.dispatcher.LocalAnswerMatching(fleet.WorkspaceID(q.GetWorkspace()), fleet.RequestID(q.GetRequest()), digestIn(stream.Context()))
 	if err != nil {
 		return drpcerr.WithCode(err, codeOtherBody)
 	}
--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -14,16 +14,16 @@
 // Take decides an offer from a leaving daemon and carries its request on.
 func (d *Dispatcher) Take(t *Transfer) request.Reply {
 	now := time.Now()
-	can := !d.isLeaving() && d.hasRoom()
+	canTake := !d.isLeaving() && d.hasCapacity()
 	var completion engineapi.CompletionRequest
 	if json.Unmarshal(t.Completion, &completion) != nil {
-		can = false
+		canTake = false
 	}
 	ref := t.Offer.Ref
 	d.handover.mu.Lock()
 	d.ensureCustody(ref, t.Snapshot.Spec.Deadline)
 	d.handover.holdings.Expire(now)
-	reply, fresh := d.handover.holdings.Take(now, t.Offer, t.Snapshot.Spec.Deadline, can)
+	reply, fresh := d.handover.holdings.Take(now, t.Offer, t.Snapshot.Spec.Deadline, canTake)
 	d.handover.mu.Unlock()
 	if fresh {
 		d.adopt(now, t, completion)
@@ -31,7 +31,7 @@
 	return reply
 }
 
-func (d *Dispatcher) hasRoom() bool { return d.Live() < d.opts.Limits.Live }
+func (d *Dispatcher) hasCapacity() bool { return d.Live() < d.opts.Limits.Live }
 
 // adopt carries on a request that was taken over.
 func (d *Dispatcher) adopt(now time.Time, t *Transfer, c engineapi.CompletionRequest) {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -201,7 +201,7 @@
 			return routing.Failed
 		}
 		if p.Done {
-			r.done(s.number, p)
+			r.receiveEnd(s.number, p)
 			return routing.Answered
 		}
 		if first {
@@ -209,11 +209,11 @@
 			r.d.opts.Router.FirstToken(s.endpoint, r.ref.ID)
 			r.d.opts.Quarantine.Ran(s.endpoint, s.at, r.quarantineKey())
 		}
-		r.piece(s.number, p)
+		r.receivePiece(s.number, p)
 	}
 }
 
-func (r *run) piece(number uint32, p engineapi.Piece) {
+func (r *run) receivePiece(number uint32, p engineapi.Piece) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -233,7 +233,7 @@
 	}
 }
 
-func (r *run) done(number uint32, p engineapi.Piece) {
+func (r *run) receiveEnd(number uint32, p engineapi.Piece) {
 	r.apply(func(now time.Time) []request.Action {
 		if p.Usage != nil {
 			r.usage = *p.Usage
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -92,7 +92,7 @@
 func (d *Dispatcher) Submit(ctx context.Context, s *gateway.Submission) (gateway.Answer, *problem.Problem) {
 	ref := request.Ref{Workspace: s.Workspace, ID: s.ID}
 	digest := request.Digest(sha256.Sum256(s.Body))
-	if p := d.resolve(s); p != nil {
+	if p := d.resolveModel(s); p != nil {
 		return nil, p
 	}
 	if s.KeySent {
@@ -110,8 +110,8 @@
 	return r.waitAccepted(ctx)
 }
 
-// resolve puts the adapter and version of the workspace's template into s.
-func (d *Dispatcher) resolve(s *gateway.Submission) *problem.Problem {
+// resolveModel puts the adapter and version of the workspace's template into s.
+func (d *Dispatcher) resolveModel(s *gateway.Submission) *problem.Problem {
 	c := &s.Completion
 	m, ok := d.opts.Model(s.Workspace, fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version})
 	if !ok || (c.Version != "" && m.Version != "" && c.Version != m.Version) {
@@ -133,10 +133,10 @@
 		if r.digest != digest {
 			return nil, keyConflict()
 		}
-		return r.reader(), nil
+		return r.newReader(), nil
 	}
-	mine := directory.Holding{Request: ref.ID, Workspace: ref.Workspace, Holder: d.opts.Instance}
-	h := d.opts.Locator.Claim(ctx, mine)
+	own := directory.Holding{Request: ref.ID, Workspace: ref.Workspace, Holder: d.opts.Instance}
+	h := d.opts.Locator.Claim(ctx, own)
 	if h.Holder == d.opts.Instance {
 		return nil, nil
 	}
@@ -223,7 +223,7 @@
 	if r == nil {
 		return nil
 	}
-	return r.reader()
+	return r.newReader()
 }
 
 // Cancel implements gateway.Requests.
@@ -256,9 +256,9 @@
 // ErrOtherBody says that a key is in use for a request with another body.
 var ErrOtherBody = errors.New("the key is in use for another request")
 
-// LocalAnswerTo is Held for a caller that sent a body: ErrOtherBody where the request
+// LocalAnswerMatching is Held for a caller that sent a body: ErrOtherBody where the request
 // has another digest. A zero digest matches any.
-func (d *Dispatcher) LocalAnswerTo(workspace fleet.WorkspaceID, id fleet.RequestID, digest request.Digest) (gateway.Answer, error) {
+func (d *Dispatcher) LocalAnswerMatching(workspace fleet.WorkspaceID, id fleet.RequestID, digest request.Digest) (gateway.Answer, error) {
 	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
 	switch {
 	case r == nil:
@@ -266,7 +266,7 @@
 	case digest != request.Digest{} && digest != r.digest:
 		return nil, ErrOtherBody
 	default:
-		return r.reader(), nil
+		return r.newReader(), nil
 	}
 }
 
--- a/internal/dispatch/finished.go
+++ b/internal/dispatch/finished.go
@@ -36,7 +36,7 @@
 	defer cancel()
 	members := d.opts.Peers.Members()
 	taken := 0
-	for _, f := range d.unread() {
+	for _, f := range d.unreadAnswers() {
 		for _, to := range request.Successors(f.Ref.ID, self, members) {
 			if ctx.Err() != nil {
 				return taken
@@ -50,8 +50,8 @@
 	return taken
 }
 
-// unread returns the whole answers that no reader has come to the end of.
-func (d *Dispatcher) unread() []*Finished {
+// unreadAnswers returns the whole answers that no reader has come to the end of.
+func (d *Dispatcher) unreadAnswers() []*Finished {
 	d.mu.Lock()
 	runs := make([]*run, 0, len(d.runs))
 	for ref, r := range d.runs {
@@ -62,14 +62,14 @@
 	d.mu.Unlock()
 	var out []*Finished
 	for _, r := range runs {
-		if f := r.unread(); f != nil {
+		if f := r.unreadAnswer(); f != nil {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-func (r *run) unread() *Finished {
+func (r *run) unreadAnswer() *Finished {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.end == nil || !r.end.Done || r.delivered {
@@ -89,7 +89,7 @@
 // Keep takes a whole answer from a leaving daemon. It reports false when this
 // one leaves as well or has no room.
 func (d *Dispatcher) Keep(f *Finished) bool {
-	if d.isLeaving() || !d.hasRoom() {
+	if d.isLeaving() || !d.hasCapacity() {
 		return false
 	}
 	now := time.Now()
--- a/internal/dispatch/handover_send.go
+++ b/internal/dispatch/handover_send.go
@@ -12,12 +12,12 @@
 // is repeated.
 func (d *Dispatcher) send(o request.Offer) {
 	d.handover.mu.Lock()
-	held := d.handover.transfers[o.Ref]
+	stored := d.handover.transfers[o.Ref]
 	d.handover.mu.Unlock()
-	if held == nil {
+	if stored == nil {
 		return
 	}
-	t := *held
+	t := *stored
 	t.Offer = o
 	ctx, cancel := context.WithTimeout(d.ctx, messageTimeout)
 	defer cancel()
--- a/internal/dispatch/reader.go
+++ b/internal/dispatch/reader.go
@@ -15,7 +15,7 @@
 
 var _ gateway.Answer = (*reader)(nil)
 
-func (r *run) reader() *reader {
+func (r *run) newReader() *reader {
 	rd := &reader{run: r, wake: make(chan struct{}, 1)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -115,16 +115,16 @@
 // waitAccepted waits until the request is accepted or refused. Refusing is honest
 // only until then, so an endpoint must have answered first.
 func (r *run) waitAccepted(ctx context.Context) (gateway.Answer, *problem.Problem) {
-	rd := r.reader()
+	rd := r.newReader()
 	for {
 		r.mu.Lock()
-		opened, end := r.accepted, r.end
+		accepted, end := r.accepted, r.end
 		r.mu.Unlock()
-		if end != nil && end.Failure != nil && !opened {
+		if end != nil && end.Failure != nil && !accepted {
 			rd.Close()
 			return nil, end.Failure
 		}
-		if opened || end != nil {
+		if accepted || end != nil {
 			return rd, nil
 		}
 		select {
