--- a/internal/daemon/reclaim.go
+++ b/internal/daemon/reclaim.go
@@ -80,7 +80,7 @@
 			Endpoint:   e.ID,
 			DataCentre: e.DataCentre,
 			LeaveAt:    at,
-			LinkBytes:  linkBytes / float64(max(1, d.daemons())),
+			LinkRate:   linkBytes / float64(max(1, d.daemons())),
 		}
 	})
 }
@@ -104,7 +104,7 @@
 // forget drops the notices of endpoints that are long gone.
 func (d *reclaimDuty) forget(now time.Time, s *reclaimState) {
 	for id, n := range s.notices {
-		if now.Sub(n.LeaveAt) > reclaim.DefaultPolicy().Keep {
+		if now.Sub(n.LeaveAt) > reclaim.DefaultPolicy().ReservationTTL {
 			delete(s.notices, id)
 		}
 	}
@@ -119,7 +119,7 @@
 	for _, n := range s.notices {
 		notices = append(notices, n)
 	}
-	s.recent = slices.DeleteFunc(s.recent, func(at time.Time) bool { return now.Sub(at) > reclaim.DefaultPolicy().Keep })
+	s.recent = slices.DeleteFunc(s.recent, func(at time.Time) bool { return now.Sub(at) > reclaim.DefaultPolicy().ReservationTTL })
 	targets := d.targets(streams)
 	spread(targets, len(streams)+len(s.recent))
 	for _, m := range s.planner.Plan(now, notices, streams, targets) {
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -101,14 +101,14 @@
 	}
 	done := r.life.Answer().Len()
 	return reclaim.Stream{
-		Ref:       r.ref,
-		Endpoint:  r.life.Endpoint(),
-		Model:     r.route.Model,
-		Prompt:    r.route.PromptTokens,
-		Generated: done,
-		Remaining: r.remaining(),
-		KVBytes:   int64(r.route.PromptTokens+done) * kvBytes,
-		Fixed:     r.life.Spec().NonIdempotent,
+		Ref:           r.ref,
+		Endpoint:      r.life.Endpoint(),
+		Model:         r.route.Model,
+		Prompt:        r.route.PromptTokens,
+		Generated:     done,
+		Remaining:     r.remaining(),
+		KVBytes:       int64(r.route.PromptTokens+done) * kvBytes,
+		NonIdempotent: r.life.Spec().NonIdempotent,
 	}, true
 }
 
--- /dev/null
+++ b/internal/reclaim/candidate.go
@@ -0,0 +1,24 @@
+package reclaim
+
+// candidate is what is left of a target during one plan.
+type candidate struct {
+	target     *Target
+	freeSlots  int
+	freeTokens int
+}
+
+func (c *candidate) weight() float64 {
+	if c.freeSlots <= 0 || c.freeTokens <= 0 {
+		return 0
+	}
+	return float64(c.freeTokens)
+}
+
+func (c *candidate) reserve(tokens int) bool {
+	if c.freeSlots < 1 || c.freeTokens < tokens {
+		return false
+	}
+	c.freeSlots--
+	c.freeTokens -= tokens
+	return true
+}
--- /dev/null
+++ b/internal/reclaim/candidates.go
@@ -0,0 +1,95 @@
+package reclaim
+
+import (
+	"time"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
+)
+
+// candidates is the targets of one plan with the room that is left on them.
+type candidates struct {
+	all        []*candidate
+	leaving    map[fleet.DataCentre]bool
+	preferred  map[fleet.ModelRef]*pool // outside leaving data centres
+	fallback   map[fleet.ModelRef]*pool
+	exportsEnd map[fleet.EndpointID]time.Time // when the exports planned before are over
+}
+
+// newCandidates takes the targets that are not under notice, less what is reserved.
+func (p *Planner) newCandidates(targets []Target) *candidates {
+	c := &candidates{
+		leaving:    p.leavingDataCentres(targets),
+		preferred:  make(map[fleet.ModelRef]*pool),
+		fallback:   make(map[fleet.ModelRef]*pool),
+		exportsEnd: make(map[fleet.EndpointID]time.Time),
+	}
+	byID := make(map[fleet.EndpointID]*candidate, len(targets))
+	for i := range targets {
+		t := &targets[i]
+		if p.UnderNotice(t.Endpoint) {
+			continue
+		}
+		candidate := &candidate{target: t, freeSlots: t.FreeSlots, freeTokens: t.FreeTokens}
+		byID[t.Endpoint] = candidate
+		c.all = append(c.all, candidate)
+	}
+	for _, entry := range p.planned {
+		if entry.exportEnd.After(c.exportsEnd[entry.move.From]) {
+			c.exportsEnd[entry.move.From] = entry.exportEnd
+		}
+		if candidate := byID[entry.move.To]; candidate != nil {
+			candidate.freeSlots--
+			candidate.freeTokens -= entry.reservedTokens
+		}
+	}
+	return c
+}
+
+// leavingDataCentres returns the data centres of which so many endpoints are under
+// notice that the rest is expected to follow: a stream moved within one would
+// soon have to move again.
+func (p *Planner) leavingDataCentres(targets []Target) map[fleet.DataCentre]bool {
+	all := make(map[fleet.DataCentre]int)
+	underNotice := make(map[fleet.DataCentre]int)
+	for _, n := range p.notices {
+		all[n.DataCentre]++
+		underNotice[n.DataCentre]++
+	}
+	for i := range targets {
+		if !p.UnderNotice(targets[i].Endpoint) {
+			all[targets[i].DataCentre]++
+		}
+	}
+	out := make(map[fleet.DataCentre]bool)
+	for dc, n := range underNotice {
+		if float64(n) >= p.policy.LeavingShare*float64(all[dc]) {
+			out[dc] = true
+		}
+	}
+	return out
+}
+
+// reserve reserves a target for the stream, nil where none has room. One outside
+// the leaving data centres is preferred.
+func (c *candidates) reserve(s Stream) *candidate {
+	key := drawKey(s)
+	if found := c.pool(c.preferred, s.Model, true).reserve(key, s.prefillTokens()); found != nil {
+		return found
+	}
+	return c.pool(c.fallback, s.Model, false).reserve(key, s.prefillTokens())
+}
+
+func (c *candidates) pool(pools map[fleet.ModelRef]*pool, model fleet.ModelRef, avoidLeaving bool) *pool {
+	if p := pools[model]; p != nil {
+		return p
+	}
+	var serving []*candidate
+	for _, candidate := range c.all {
+		if candidate.target.serves(model) && !(avoidLeaving && c.leaving[candidate.target.DataCentre]) {
+			serving = append(serving, candidate)
+		}
+	}
+	p := newPool(serving)
+	pools[model] = p
+	return p
+}
--- a/internal/reclaim/knapsack.go
+++ b/internal/reclaim/knapsack.go
@@ -23,7 +23,7 @@
 		need := int((int64(l.transfer(s.KVBytes)) + step - 1) / step)
 		row := with[i*(knapsackSlots+1):]
 		for at := knapsackSlots; at >= need; at-- {
-			if v := best[at-need] + s.saved(); v > best[at] {
+			if v := best[at-need] + s.savedTokens(); v > best[at] {
 				best[at] = v
 				row[at] = true
 			}
--- a/internal/reclaim/notice.go
+++ b/internal/reclaim/notice.go
@@ -11,7 +11,7 @@
 	Endpoint   fleet.EndpointID
 	DataCentre fleet.DataCentre
 	LeaveAt    time.Time
-	// LinkBytes is what this daemon's exports may use of the endpoint's link,
+	// LinkRate is what this daemon's exports may use of the endpoint's link,
 	// in bytes a second: its share where several daemons export from it.
-	LinkBytes float64
+	LinkRate float64
 }
--- a/internal/reclaim/planner.go
+++ b/internal/reclaim/planner.go
@@ -16,14 +16,14 @@
 type Planner struct {
 	policy  Policy
 	notices map[fleet.EndpointID]Notice
-	planned map[request.Ref]planned
+	planned map[request.Ref]plannedMove
 }
 
-type planned struct {
-	move   Move
-	ends   time.Time // of an export
-	tokens int       // reserved on move.To
-	until  time.Time
+type plannedMove struct {
+	move           Move
+	exportEnd      time.Time // of an export
+	reservedTokens int       // reserved on move.To
+	expiresAt      time.Time
 }
 
 // NewPlanner returns a planner without plans.
@@ -31,7 +31,7 @@
 	return &Planner{
 		policy:  policy,
 		notices: make(map[fleet.EndpointID]Notice),
-		planned: make(map[request.Ref]planned),
+		planned: make(map[request.Ref]plannedMove),
 	}
 }
 
@@ -39,76 +39,76 @@
 // endpoint and start. Streams of endpoints without a notice are ignored.
 func (p *Planner) Plan(now time.Time, notices []Notice, streams []Stream, targets []Target) []Move {
 	p.expire(now)
-	p.learn(now, notices)
-	doomed := p.unplanned(now, streams)
-	if len(doomed) == 0 {
+	p.mergeNotices(now, notices)
+	unplanned := p.unplanned(now, streams)
+	if len(unplanned) == 0 {
 		return nil
 	}
-	m := p.market(targets)
+	c := p.newCandidates(targets)
 	var out []Move
-	for from := 0; from < len(doomed); {
+	for from := 0; from < len(unplanned); {
 		to := from
-		for to < len(doomed) && doomed[to].Endpoint == doomed[from].Endpoint {
+		for to < len(unplanned) && unplanned[to].Endpoint == unplanned[from].Endpoint {
 			to++
 		}
-		out = append(out, p.endpoint(now, p.notices[doomed[from].Endpoint], doomed[from:to], m)...)
+		out = append(out, p.planEndpoint(now, p.notices[unplanned[from].Endpoint], unplanned[from:to], c)...)
 		from = to
 	}
 	return out
 }
 
-// Settled says that a stream has moved or ended. Its reservation stays until
+// MoveDone says that a stream has moved or ended. Its reservation stays until
 // the target's report shows it.
-func (p *Planner) Settled(now time.Time, ref request.Ref) {
-	known, ok := p.planned[ref]
+func (p *Planner) MoveDone(now time.Time, ref request.Ref) {
+	entry, ok := p.planned[ref]
 	if !ok {
 		return
 	}
-	known.until = now.Add(p.policy.Keep)
-	p.planned[ref] = known
+	entry.expiresAt = now.Add(p.policy.ReservationTTL)
+	p.planned[ref] = entry
 }
 
-// Noticed reports whether an endpoint is under notice.
-func (p *Planner) Noticed(e fleet.EndpointID) bool {
+// UnderNotice reports whether an endpoint is under notice.
+func (p *Planner) UnderNotice(e fleet.EndpointID) bool {
 	_, ok := p.notices[e]
 	return ok
 }
 
 func (p *Planner) expire(now time.Time) {
 	for e, n := range p.notices {
-		if now.Sub(n.LeaveAt) > p.policy.Keep {
+		if now.Sub(n.LeaveAt) > p.policy.ReservationTTL {
 			delete(p.notices, e)
 		}
 	}
-	for ref, known := range p.planned {
-		if now.After(known.until) {
+	for ref, entry := range p.planned {
+		if now.After(entry.expiresAt) {
 			delete(p.planned, ref)
 		}
 	}
 }
 
-// learn merges notices: the earliest end counts. One that comes forward makes
+// mergeNotices merges notices: the earliest end counts. One that comes forward makes
 // the endpoint's moves that have not started be planned anew.
-func (p *Planner) learn(now time.Time, notices []Notice) {
+func (p *Planner) mergeNotices(now time.Time, notices []Notice) {
 	for _, n := range notices {
-		if now.Sub(n.LeaveAt) > p.policy.Keep {
+		if now.Sub(n.LeaveAt) > p.policy.ReservationTTL {
 			continue
 		}
-		known, ok := p.notices[n.Endpoint]
-		if ok && !n.LeaveAt.Before(known.LeaveAt) {
+		old, ok := p.notices[n.Endpoint]
+		if ok && !n.LeaveAt.Before(old.LeaveAt) {
 			continue
 		}
 		p.notices[n.Endpoint] = n
 		if ok {
-			p.replan(now, n.Endpoint)
+			p.discardPending(now, n.Endpoint)
 		}
 	}
 }
 
-func (p *Planner) replan(now time.Time, from fleet.EndpointID) {
-	for ref, known := range p.planned {
-		waits := known.move.Method == Finish || known.move.At.After(now)
-		if known.move.From == from && waits {
+func (p *Planner) discardPending(now time.Time, from fleet.EndpointID) {
+	for ref, entry := range p.planned {
+		pending := entry.move.Method == Finish || entry.move.At.After(now)
+		if entry.move.From == from && pending {
 			delete(p.planned, ref)
 		}
 	}
@@ -119,7 +119,7 @@
 func (p *Planner) unplanned(now time.Time, streams []Stream) []Stream {
 	var out []Stream
 	for _, s := range streams {
-		if p.Noticed(s.Endpoint) && !p.valid(now, s) {
+		if p.UnderNotice(s.Endpoint) && !p.hasValidPlan(now, s) {
 			delete(p.planned, s.Ref)
 			out = append(out, s)
 		}
@@ -134,18 +134,18 @@
 	return out
 }
 
-// valid reports whether the stream's plan still stands: it is about the
+// hasValidPlan reports whether the stream's plan still stands: it is about the
 // endpoint where the stream is, and its target is not under notice as well
 // unless the move has started, which is left to end.
-func (p *Planner) valid(now time.Time, s Stream) bool {
-	known, ok := p.planned[s.Ref]
-	if !ok || known.move.From != s.Endpoint {
+func (p *Planner) hasValidPlan(now time.Time, s Stream) bool {
+	entry, ok := p.planned[s.Ref]
+	if !ok || entry.move.From != s.Endpoint {
 		return false
 	}
-	return !p.Noticed(known.move.To) || !known.move.At.After(now)
+	return !p.UnderNotice(entry.move.To) || !entry.move.At.After(now)
 }
 
-// keyOf is what a stream's targets are drawn by.
-func keyOf(s Stream) uint64 {
+// drawKey is what a stream's targets are drawn by.
+func drawKey(s Stream) uint64 {
 	return rendezvous.Score(rendezvous.Key(string(s.Ref.ID)), string(s.Ref.Workspace))
 }
--- a/internal/reclaim/planner_test.go
+++ b/internal/reclaim/planner_test.go
@@ -17,12 +17,12 @@
 	model = fleet.ModelRef{Model: "m"}
 )
 
-const kvToken = 128 << 10 // bytes a token
+const kvBytesPerToken = 128 << 10 // bytes a token
 
 func stream(id string, on fleet.EndpointID, tokens int, remaining time.Duration) Stream {
 	return Stream{
 		Ref: request.Ref{Workspace: "w", ID: fleet.RequestID(id)}, Endpoint: on, Model: model,
-		Prompt: tokens, Remaining: remaining, KVBytes: int64(tokens) * kvToken,
+		Prompt: tokens, Remaining: remaining, KVBytes: int64(tokens) * kvBytesPerToken,
 	}
 }
 
@@ -31,7 +31,7 @@
 }
 
 func notice(on fleet.EndpointID, in time.Duration) Notice {
-	return Notice{Endpoint: on, DataCentre: "a", LeaveAt: t0.Add(in), LinkBytes: 1 << 30}
+	return Notice{Endpoint: on, DataCentre: "a", LeaveAt: t0.Add(in), LinkRate: 1 << 30}
 }
 
 func byID(moves []Move) map[string]Move {
@@ -45,10 +45,10 @@
 // Ten seconds of a link move some 80,000 tokens. What ends in time stays, what
 // saves most per second moves, the rest is recomputed, as late as possible.
 // A parts order may not be dispatched again and stays whatever happens.
-func TestPlanSpendsTheNoticeWhereItSavesMost(t *testing.T) {
+func TestPlanExportsWhatSavesMostTokens(t *testing.T) {
 	p := NewPlanner(DefaultPolicy())
 	order := stream("order", "e1", 500, time.Minute)
-	order.Fixed = true
+	order.NonIdempotent = true
 	streams := []Stream{
 		stream("ends", "e1", 90_000, 2*time.Second),
 		stream("large", "e1", 40_000, time.Minute),
@@ -88,9 +88,9 @@
 	assert.Equal(t, moved["r2"].To, fleet.EndpointID("e3"))
 	assert.Assert(t, moved["r2"].At.After(t0.Add(2*time.Second)), "shares the link with the first")
 
-	hurried := byID(p.Plan(later, []Notice{notice("e1", 4*time.Second)}, streams, targets))
-	assert.Equal(t, len(hurried), 2)
-	assert.Equal(t, hurried["r2"].Method, Recompute)
+	shortened := byID(p.Plan(later, []Notice{notice("e1", 4*time.Second)}, streams, targets))
+	assert.Equal(t, len(shortened), 2)
+	assert.Equal(t, shortened["r2"].Method, Recompute)
 
 	streams[0].Endpoint = "e2" // it has moved, and e2 leaves too
 	onward := p.Plan(later, nil, streams[:1], targets)
@@ -101,7 +101,7 @@
 // A data centre leaves engine by engine. Streams go elsewhere, although its
 // last engine has the most room; room that one notice took is not there for the
 // next, and who finds none is left to routing.
-func TestDataCentreLeavesInParts(t *testing.T) {
+func TestDataCentreLeavesEngineByEngine(t *testing.T) {
 	p := NewPlanner(DefaultPolicy())
 	streams := []Stream{stream("r2", "e2", 1000, time.Hour)}
 	for i := range 4 {
@@ -144,7 +144,7 @@
 // Any wave: no target gets more than its room, none is itself under notice, the
 // safe data centres come first, exports of an endpoint don't exceed their lanes
 // and end in time, and telling it all again changes nothing.
-func TestPlanKeepsItsBounds(t *testing.T) {
+func TestPlanStaysWithinCapacityAndTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
 		p := NewPlanner(policy)
@@ -166,14 +166,14 @@
 			for j := range rapid.IntRange(0, 6).Draw(t, "streams") {
 				tokens := rapid.IntRange(1, 50_000).Draw(t, "tokens")
 				s := stream(fmt.Sprintf("%s-%d", id, j), id, tokens, time.Duration(rapid.IntRange(0, 90).Draw(t, "left"))*time.Second)
-				s.Fixed = rapid.IntRange(0, 5).Draw(t, "fixed") == 0
+				s.NonIdempotent = rapid.IntRange(0, 5).Draw(t, "fixed") == 0
 				streams = append(streams, s)
 			}
 		}
 		moves := p.Plan(t0, notices, streams, targets)
 		assert.Equal(t, len(p.Plan(t0, notices, streams, targets)), 0)
 		for _, m := range moves {
-			assert.Assert(t, m.To == "" || !p.Noticed(m.To))
+			assert.Assert(t, m.To == "" || !p.UnderNotice(m.To))
 			assert.Assert(t, wave == "any" || m.To == "" || m.From != m.To)
 			slots[m.To]--
 			assert.Assert(t, m.To == "" || slots[m.To] >= 0, "%s has more streams than slots", m.To)
@@ -183,23 +183,23 @@
 }
 
 func checkExports(t *rapid.T, p *Planner, policy Policy, moves []Move, streams []Stream) {
-	fixed := map[request.Ref]bool{}
+	nonIdempotent := map[request.Ref]bool{}
 	for _, s := range streams {
-		fixed[s.Ref] = s.Fixed
+		nonIdempotent[s.Ref] = s.NonIdempotent
 	}
 	for _, m := range moves {
 		if m.Method != ExportKV {
-			assert.Assert(t, m.Method == Finish || !fixed[m.Ref])
+			assert.Assert(t, m.Method == Finish || !nonIdempotent[m.Ref])
 			continue
 		}
-		ends := p.planned[m.Ref].ends
+		ends := p.planned[m.Ref].exportEnd
 		assert.Assert(t, !ends.After(p.notices[m.From].LeaveAt.Add(-policy.Margin)), "an export ends late")
 		running := 0
 		for _, o := range moves {
-			if o.Method == ExportKV && o.From == m.From && !o.At.After(m.At) && p.planned[o.Ref].ends.After(m.At) {
+			if o.Method == ExportKV && o.From == m.From && !o.At.After(m.At) && p.planned[o.Ref].exportEnd.After(m.At) {
 				running++
 			}
 		}
-		assert.Assert(t, running <= policy.Exports, "%d exports at once", running)
+		assert.Assert(t, running <= policy.MaxExports, "%d exports at once", running)
 	}
 }
--- a/internal/reclaim/pool.go
+++ b/internal/reclaim/pool.go
@@ -6,56 +6,56 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// probes is how often a target is drawn before all are looked at.
-const probes = 6
+// maxDraws is how often a target is drawn before all are looked at.
+const maxDraws = 6
 
 // pool is the targets that serve one model.
 type pool struct {
-	targets []*room
-	upTo    []float64 // upTo[i] is the weight of targets[0..i]
+	candidates []*candidate
+	cumulative []float64 // upTo[i] is the weight of targets[0..i]
 }
 
 // newPool weighs each target by its free room. Daemons plan apart from each
 // other with the same reports: if all took the target with the most room, a
 // wave would bury it. Drawing by weight spreads them in proportion to the room.
-func newPool(targets []*room) *pool {
-	p := &pool{targets: targets, upTo: make([]float64, len(targets))}
+func newPool(candidates []*candidate) *pool {
+	p := &pool{candidates: candidates, cumulative: make([]float64, len(candidates))}
 	sum := 0.0
-	for i, t := range targets {
-		sum += t.weight()
-		p.upTo[i] = sum
+	for i, c := range candidates {
+		sum += c.weight()
+		p.cumulative[i] = sum
 	}
 	return p
 }
 
-// take reserves room for a stream of so many tokens, nil where there is none.
-func (p *pool) take(key uint64, tokens int) *room {
-	if len(p.targets) == 0 {
+// reserve reserves room for a stream of so many tokens, nil where there is none.
+func (p *pool) reserve(key uint64, tokens int) *candidate {
+	if len(p.candidates) == 0 {
 		return nil
 	}
-	total := p.upTo[len(p.upTo)-1]
-	for n := range probes {
+	total := p.cumulative[len(p.cumulative)-1]
+	for n := range maxDraws {
 		at := p.draw(key, n, total)
-		if p.targets[at].reserve(tokens) {
-			return p.targets[at]
+		if p.candidates[at].reserve(tokens) {
+			return p.candidates[at]
 		}
 	}
-	return p.roomiest(tokens)
+	return p.reserveMostFree(tokens)
 }
 
 // draw returns the index of the n-th target drawn for key.
 func (p *pool) draw(key uint64, n int, total float64) int {
 	unit := float64(rendezvous.Score(key+uint64(n), "")>>11) / (1 << 53)
-	at := sort.SearchFloat64s(p.upTo, unit*total)
-	return min(at, len(p.targets)-1)
+	at := sort.SearchFloat64s(p.cumulative, unit*total)
+	return min(at, len(p.candidates)-1)
 }
 
-func (p *pool) roomiest(tokens int) *room {
-	var best *room
-	for _, t := range p.targets {
-		if best == nil || t.tokens > best.tokens {
-			if t.slots > 0 {
-				best = t
+func (p *pool) reserveMostFree(tokens int) *candidate {
+	var best *candidate
+	for _, c := range p.candidates {
+		if best == nil || c.freeTokens > best.freeTokens {
+			if c.freeSlots > 0 {
+				best = c
 			}
 		}
 	}
--- a/internal/reclaim/wave_bench_test.go
+++ b/internal/reclaim/wave_bench_test.go
@@ -12,23 +12,23 @@
 
 // The figures that the waves assume.
 const (
-	waveStreams  = 16                    // on each engine
-	waveToken    = 34 * time.Millisecond // between tokens
-	waveLink     = 1.25e9                // bytes a second, 10 Gbit/s
-	waveMaxToken = 2000                  // of an answer
+	waveStreams       = 16                    // on each engine
+	waveTokenInterval = 34 * time.Millisecond // between tokens
+	waveLinkRate      = 1.25e9                // bytes a second, 10 Gbit/s
+	waveMaxTokens     = 2000                  // of an answer
 )
 
 // wave is half of the engines under notice, whole data centres first.
 type wave struct {
-	notices []Notice
-	streams []Stream
-	targets []Target
-	actual  map[fleet.RequestID]time.Duration // true time to the end
+	notices         []Notice
+	streams         []Stream
+	targets         []Target
+	actualRemaining map[fleet.RequestID]time.Duration // true time to the end
 }
 
 func newWave(engines int, left time.Duration) wave {
 	random := rand.New(rand.NewPCG(7, uint64(engines)))
-	w := wave{actual: map[fleet.RequestID]time.Duration{}}
+	w := wave{actualRemaining: map[fleet.RequestID]time.Duration{}}
 	for e := range engines {
 		id := fleet.EndpointID(fmt.Sprintf("engine-%03d", e))
 		dc := fleet.DataCentre(fmt.Sprint("dc", e*11/engines))
@@ -37,7 +37,7 @@
 			continue
 		}
 		n := notice(id, left)
-		n.DataCentre, n.LinkBytes = dc, waveLink
+		n.DataCentre, n.LinkRate = dc, waveLinkRate
 		w.notices = append(w.notices, n)
 		for i := range waveStreams {
 			w.add(random, id, i)
@@ -51,15 +51,15 @@
 func (w *wave) add(random *rand.Rand, on fleet.EndpointID, i int) {
 	s := stream(fmt.Sprintf("%s-%d", on, i), on, 0, 0)
 	s.Prompt = min(32_000, int(4000*math.Exp(random.NormFloat64())))
-	s.Generated = random.IntN(waveMaxToken)
-	s.Remaining = time.Duration(waveMaxToken-s.Generated) * waveToken
-	s.KVBytes = int64(s.tokens()) * kvToken
-	w.actual[s.Ref.ID] = time.Duration(float64(s.Remaining) * (0.8 + 0.6*random.Float64()))
+	s.Generated = random.IntN(waveMaxTokens)
+	s.Remaining = time.Duration(waveMaxTokens-s.Generated) * waveTokenInterval
+	s.KVBytes = int64(s.prefillTokens()) * kvBytesPerToken
+	w.actualRemaining[s.Ref.ID] = time.Duration(float64(s.Remaining) * (0.8 + 0.6*random.Float64()))
 	w.streams = append(w.streams, s)
 }
 
-// cost returns the tokens that the moves recompute.
-func (w *wave) cost(moves []Move) int {
+// recomputedTokens returns the tokens that the moves recompute.
+func (w *wave) recomputedTokens(moves []Move) int {
 	planned := byID(moves)
 	sum := 0
 	for _, s := range w.streams {
@@ -69,11 +69,11 @@
 			at = m.At
 		}
 		ran := at.Sub(t0)
-		if m.Method == ExportKV || w.actual[s.Ref.ID] <= ran {
+		if m.Method == ExportKV || w.actualRemaining[s.Ref.ID] <= ran {
 			continue
 		}
-		speed := float64(s.Remaining) / float64(w.actual[s.Ref.ID])
-		sum += s.tokens() + int(float64(ran/waveToken)*speed)
+		speed := float64(s.Remaining) / float64(w.actualRemaining[s.Ref.ID])
+		sum += s.prefillTokens() + int(float64(ran/waveTokenInterval)*speed)
 	}
 	return sum
 }
@@ -90,12 +90,12 @@
 				for b.Loop() {
 					moves = NewPlanner(DefaultPolicy()).Plan(t0, w.notices, w.streams, w.targets)
 				}
-				plan := w.cost(moves)
+				plan := w.recomputedTokens(moves)
 				for i := range w.notices {
-					w.notices[i].LinkBytes = 0
+					w.notices[i].LinkRate = 0
 				}
-				recompute := w.cost(NewPlanner(DefaultPolicy()).Plan(t0, w.notices, w.streams, w.targets))
-				restart := w.cost(nil)
+				recompute := w.recomputedTokens(NewPlanner(DefaultPolicy()).Plan(t0, w.notices, w.streams, w.targets))
+				restart := w.recomputedTokens(nil)
 				b.ReportMetric(float64(len(w.streams)), "streams")
 				b.ReportMetric(float64(plan), "plan-tokens")
 				b.ReportMetric(float64(recompute), "recompute-tokens")
--- a/internal/scale/reclaim_bench_test.go
+++ b/internal/scale/reclaim_bench_test.go
@@ -43,7 +43,7 @@
 	var notices []reclaim.Notice
 	for i := range targetEngines / 2 {
 		notices = append(notices, reclaim.Notice{
-			Endpoint: engineID(i), DataCentre: dataCentre(i), LeaveAt: now.Add(30 * time.Second), LinkBytes: linkBytes / targetDaemons,
+			Endpoint: engineID(i), DataCentre: dataCentre(i), LeaveAt: now.Add(30 * time.Second), LinkRate: linkBytes / targetDaemons,
 		})
 	}
 	var own []reclaim.Stream
