--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -8,10 +8,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// encode returns the run's completion request for a successor.
+// encode returns the run's completion request as JSON, for a successor.
 func (r *run) encode() ([]byte, error) { return json.Marshal(r.completion) }
 
-// Take decides an offer from a leaving daemon and carries its request on.
+// Take handles an offer from a leaving daemon. If it is taken, the request
+// continues here.
 func (d *Dispatcher) Take(t *Transfer) request.Reply {
 	now := time.Now()
 	canTake := !d.isLeaving() && d.hasCapacity()
@@ -33,14 +34,14 @@
 
 func (d *Dispatcher) hasCapacity() bool { return d.Live() < d.opts.Limits.Live }
 
-// adopt carries on a request that was taken over.
+// adopt continues a request that was taken over.
 func (d *Dispatcher) adopt(now time.Time, t *Transfer, c engineapi.CompletionRequest) {
 	ref := t.Offer.Ref
 	r := d.newBareRun(ref, t.Digest, c, nil)
 	r.transfer = t.Offer.Number
 	r.owner = t.Owner
 	r.accepted = true
-	r.admissionReleased = true // its place was taken, and is given back, at the origin
+	r.admissionReleased = true // the daemon that admitted the request releases it
 	life, actions := request.Adopt(now, t.Snapshot, d.opts.Policy, runBudget{d.budget, r})
 	r.life = life
 	if !d.replace(now, r) {
@@ -53,8 +54,9 @@
 	r.perform(actions)
 }
 
-// replace enters a run that was taken over. It replaces one that was handed
-// over from here and comes back.
+// replace adds a run that was taken over, or replaces the one of a request that
+// was handed over from here and has come back. It reports false if the request
+// is already here.
 func (d *Dispatcher) replace(now time.Time, r *run) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -12,24 +12,24 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// attempt is a dispatch to an engine.
+// attempt describes a dispatch to an engine.
 type attempt struct {
 	number   uint32
-	endpoint fleet.EndpointID // empty: routing chooses
+	endpoint fleet.EndpointID // empty: the router chooses
 	avoid    []fleet.EndpointID
-	text     []string // generated so far
+	text     []string // tokens generated so far
 	kv       string   // imported blob that covers prompt and text
 }
 
-// startAttempt starts a dispatch. Called with the lock held.
+// startAttempt dispatches in the background. Called with r.mu held.
 func (r *run) startAttempt(a attempt) {
-	a.avoid = append([]fleet.EndpointID(nil), a.avoid...) // valid until the next event only
+	a.avoid = append([]fleet.EndpointID(nil), a.avoid...) // the slice is only valid until the next event
 	ctx := r.newAttemptContext()
 	go r.dispatch(ctx, a)
 }
 
-// newAttemptContext returns the context of a new attempt's newAttemptContext, and ends the
-// one before. Called with the lock held.
+// newAttemptContext returns the context of a new attempt and cancels that of the
+// previous one. Called with r.mu held.
 func (r *run) newAttemptContext() context.Context {
 	if r.cancel != nil {
 		r.cancel()
@@ -39,16 +39,16 @@
 	return ctx
 }
 
-// maxDials bounds the endpoints that one attempt tries to connect to. With half
-// of them gone at once, sixteen dead ones in a row come once in 65,000.
+// maxDials bounds the endpoints that one attempt tries to connect to. If half of
+// the endpoints are gone, sixteen failures in a row have a probability of 1 in
+// 65,000.
 const maxDials = 16
 
-// dispatch finds an endpoint that takes the attempt.
-//
-// Failure: many endpoints vanish at once without notice. Symptom: a request
-// that was accepted runs out of attempts on dead ones while others live. A dial
-// that fails proves that nothing was sent and costs next to nothing, so the
-// same attempt goes on to the next endpoint.
+// dispatch sends the attempt to the first endpoint that accepts a connection. A
+// failed dial proves that nothing was sent and is cheap, so the same attempt
+// goes on to the next endpoint. Otherwise, when many endpoints disappear at once
+// without notice, an accepted request would use up its attempts on dead
+// endpoints while others are alive.
 func (r *run) dispatch(ctx context.Context, a attempt) {
 	q := r.route
 	q.Exclude = a.avoid
@@ -78,15 +78,15 @@
 			return
 		}
 		if ctx.Err() != nil {
-			return // another attempt took over
+			return // superseded by another attempt
 		}
 		r.endpointFailed(a.number, choice.Endpoint, err)
 		q.Exclude = append(q.Exclude, choice.Endpoint)
 	}
 }
 
-// tryEndpoint sends the attempt to an endpoint and reads the answer. It returns an
-// error where no answer was opened.
+// tryEndpoint sends the attempt to an endpoint and reads the answer to its end.
+// It returns an error only if the endpoint did not begin to answer.
 func (r *run) tryEndpoint(ctx context.Context, a attempt, q *routing.Request, choice routing.Choice) error {
 	router := r.d.opts.Router
 	router.Dispatched(choice.Endpoint, q, choice)
@@ -125,13 +125,14 @@
 	}
 }
 
-// maxPredictedFirstToken is the predicted time to the first token, at the best endpoint,
-// from which a new request is refused: above the users' 1.5 s, since predictions err,
-// and admission bounds what waits at the endpoints; this is for what it missed.
+// maxPredictedFirstToken is the predicted time to the first token, at the best
+// endpoint, above which a new request is refused. It is above the latency target
+// of 1.5 s because predictions are inexact, and because admission already bounds
+// the queues at the endpoints: this check covers what admission missed.
 const maxPredictedFirstToken = 2 * time.Second
 
-// errTooLate refuses a request that the best endpoint would answer far too
-// late. To accept it would make the ones behind it late as well.
+// errTooLate refuses a request that even the best endpoint would answer far too
+// late. Accepting it would delay those behind it as well.
 var errTooLate = &AttemptError{
 	Kind:       request.NoEndpoint,
 	Verdict:    verdict.NotRun,
@@ -139,14 +140,15 @@
 	Err:        errors.New("every endpoint would answer too late"),
 }
 
-// mayRefuse reports whether the request has not been accepted yet.
+// mayRefuse reports whether the request can still be refused, which it can until
+// it is accepted.
 func (r *run) mayRefuse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.accepted
 }
 
-// choose asks routing, unless the life named the endpoint.
+// choose asks the router, unless the attempt names its endpoint.
 func (r *run) choose(a attempt, q *routing.Request) (routing.Choice, error) {
 	if a.endpoint == "" {
 		return r.d.opts.Router.Pick(q)
@@ -158,7 +160,7 @@
 	return routing.Choice{Endpoint: a.endpoint, Address: address, PredictedCachedTokens: q.PromptTokens}, nil
 }
 
-// resume reads an engine's stream again. Called with the lock held.
+// resume reopens an engine's stream in the background. Called with r.mu held.
 func (r *run) resume(a request.ResumeStream) {
 	ctx := r.newAttemptContext()
 	go func() {
@@ -183,7 +185,7 @@
 	}()
 }
 
-// read takes an open stream's pieces until it ends.
+// read reads the pieces of an open stream until it ends.
 func (r *run) read(ctx context.Context, s *sentAttempt, stream Stream) routing.Outcome {
 	r.apply(func(now time.Time) []request.Action {
 		r.markAccepted(now)
@@ -194,7 +196,7 @@
 		p, err := stream.Next()
 		if err != nil {
 			if ctx.Err() != nil {
-				return routing.Cancelled // another attempt took over
+				return routing.Cancelled // superseded by another attempt
 			}
 			r.reportCut(ctx, s, err)
 			r.attemptFailed(ctx, s.number, s.endpoint, err)
@@ -242,8 +244,9 @@
 	})
 }
 
-// attemptFailed tells routing and the life. An attempt that was cancelled
-// because another took over says nothing about the endpoint.
+// attemptFailed reports a failed attempt to the router, the observer and the
+// life. An attempt that was cancelled is ignored: another one has superseded it,
+// and its endpoint may be healthy.
 func (r *run) attemptFailed(ctx context.Context, number uint32, endpoint fleet.EndpointID, err error) {
 	if ctx.Err() != nil {
 		return
@@ -252,7 +255,7 @@
 	r.applyFailure(number, err)
 }
 
-// endpointFailed tells routing alone.
+// endpointFailed reports a failed attempt to the router and the observer.
 func (r *run) endpointFailed(number uint32, endpoint fleet.EndpointID, err error) {
 	f := failureOf(number, err)
 	r.d.opts.Observer.AttemptFailed(f.Kind.String())
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -7,7 +7,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// lockedBudget is the daemon's one retry budget, shared by all runs.
+// lockedBudget is the daemon's retry budget, which all runs share.
 type lockedBudget struct {
 	mu     sync.Mutex
 	budget *request.RetryBudget
@@ -33,13 +33,12 @@
 	return b.budget.Take(now)
 }
 
-// runBudget is the budget of one run.
-//
-// Failure: a data centre's engines vanish, and more streams break at once than
-// the budget has retries. Symptom: accepted requests are given up though other
-// engines live, and their callers send them again from the start, which costs
-// more. So an accepted request's retries are counted and never refused; their
-// number is bounded by its attempts.
+// runBudget is the daemon's retry budget as one run uses it. Retries of an
+// accepted request are counted but never refused; the limit on its attempts
+// bounds them. When a data centre's engines disappear, more streams break at
+// once than the budget has retries: giving up accepted requests while other
+// engines are alive would make their callers send them again from the start,
+// which costs more.
 type runBudget struct {
 	*lockedBudget
 	run *run
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -17,8 +17,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// readAll reads an answer to its end and checks that no token is missing or
-// comes twice.
+// readAll reads an answer to its end and checks that each token comes exactly
+// once. It returns the last part.
 func readAll(t *testing.T, a gateway.Answer) gateway.Part {
 	t.Helper()
 	n := 0
@@ -35,9 +35,9 @@
 	}
 }
 
-// The connection to the engine breaks in the middle of an answer. The caller
-// sees nothing of it: the engine's stream is read on from the next token, and
-// the prompt isn't dispatched again.
+// When the connection to the engine breaks in the middle of an answer, the
+// engine's stream is resumed at the next token. The prompt isn't dispatched
+// again, and the caller doesn't notice.
 func TestBrokenStreamIsResumedNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{cutAfter: 7}
@@ -52,6 +52,8 @@
 	})
 }
 
+// A second request with the same key and body reads the same answer; one with
+// another body is refused.
 func TestSameKeyAttachesAndOtherBodyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
@@ -69,8 +71,8 @@
 	})
 }
 
-// No endpoint serves the model. Nothing was accepted, so the refusal is
-// not-run, and the same key may be used again.
+// When no endpoint serves the model, the request is refused with the verdict
+// not-run and not remembered, so that its key can be used again.
 func TestKeyOfRefusedRequestMayBeReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, f := &fakeEngines{}, &fakeDeps{noEndpoint: true}
@@ -88,8 +90,8 @@
 	})
 }
 
-// Every endpoint would miss the latency target. A new request is refused
-// before anything left; one that was accepted goes on, however late.
+// When every endpoint would miss the latency target, a new request is refused
+// before it is sent anywhere. One that was accepted continues, however late.
 func TestOverloadRefusesNewRequestsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, f := &fakeEngines{}, &fakeDeps{overloaded: true}
@@ -110,8 +112,9 @@
 	})
 }
 
-// The ledger knows the key of a non-idempotent request from another daemon,
-// or can't be written. Neither may be dispatched; only the second is not-run.
+// A non-idempotent request must not be dispatched if the ledger has its key from
+// another daemon or can't be written. Only in the second case is it certain that
+// the request has not run.
 func TestNonIdempotentRequestNeedsTheLedgersGrant(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -134,6 +137,8 @@
 	}
 }
 
+// The ledger must hold the outcome of a non-idempotent request, for later
+// requests with its key.
 func TestOutcomeIsStoredInLedger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeDeps{intent: Intent{Granted: true}}
@@ -147,13 +152,15 @@
 	})
 }
 
+// Cancelling a request must also cancel the stream at the engine, and only the
+// request's own workspace may do it.
 func TestCancelEndsTheAnswerAndTheStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
 		d := newFakeDispatcher("a", e, &fakeDeps{}, false)
 		a, p := d.Submit(t.Context(), submission("r", "body"))
 		assert.Assert(t, p == nil)
-		time.Sleep(50 * time.Millisecond) // of the bubble's clock
+		time.Sleep(50 * time.Millisecond) // on the fake clock of synctest
 		assert.Assert(t, d.Cancel(t.Context(), "w", "r") == nil)
 		assert.Assert(t, readAll(t, a).Failure != nil)
 		synctest.Wait()
@@ -162,10 +169,10 @@
 	})
 }
 
-// A daemon leaves with a request running, and the reply to its first offer is
-// lost. The successor may hold the request by then, so the same offer is
-// repeated. The caller is sent on, the engine's stream is resumed once, and
-// nothing is dispatched a second time.
+// A daemon leaves while a request is running, and the reply to its first offer is
+// lost. The successor may have taken the request, so the same offer must be
+// repeated. The caller is redirected to the successor, the engine's stream is
+// resumed once, and the request is not dispatched a second time.
 func TestHandOverWithALostReplyDispatchesNothingTwice(t *testing.T) {
 	for _, nonIdempotent := range []bool{false, true} {
 		t.Run(fmt.Sprint("non-idempotent ", nonIdempotent), func(t *testing.T) {
@@ -199,9 +206,9 @@
 	}
 }
 
-// A caller's connection breaks before its answer is whole; the answer is
-// finished meanwhile, and the daemon that keeps it leaves. The caller asks the
-// successor and must get the whole answer without a second dispatch.
+// A caller's connection breaks before its answer is complete. The answer is
+// completed, then its daemon leaves. The caller must get the complete answer
+// from the successor, without a second dispatch.
 func TestUnreadAnswerIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, f := &fakeEngines{}, &fakeDeps{peers: map[fleet.DaemonID]*Dispatcher{}}
@@ -213,7 +220,7 @@
 		read, p := origin.Submit(t.Context(), submission("read", "body"))
 		assert.Assert(t, p == nil)
 		assert.Assert(t, readAll(t, read).Done)
-		time.Sleep(time.Second) // of the bubble's clock
+		time.Sleep(time.Second) // on the fake clock of synctest
 		self := request.Member{Daemon: "a", DataCentre: "dc"}
 		assert.Equal(t, origin.HandOverFinished(t.Context(), self), 1)
 		kept := successor.LocalAnswer("w", "unread")
@@ -227,8 +234,8 @@
 	})
 }
 
-// The last daemon of a fleet leaves: there is no successor. Its request
-// finishes where it is before Leave returns.
+// When the last daemon of a fleet leaves, there is no successor: Leave must wait
+// until its requests have finished.
 func TestLeavingWithoutSuccessorFinishesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newFakeDispatcher("a", &fakeEngines{interval: time.Second}, &fakeDeps{}, false)
@@ -240,8 +247,8 @@
 	})
 }
 
-// A caller leaves before any engine answered. Nobody knows the request's id,
-// so it is given up instead of running for nobody.
+// When the caller disconnects before any engine has answered, no one can resume
+// the request, so it must be cancelled rather than left running.
 func TestRequestIsCancelledIfCallerLeavesBeforeAcceptance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{startErr: &AttemptError{Kind: request.Dial, Verdict: verdict.NotRun, Err: context.DeadlineExceeded}}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -18,7 +18,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Options are what a Dispatcher is made of.
+// Options are the dependencies and settings of a Dispatcher.
 type Options struct {
 	Instance   fleet.InstanceID
 	Daemon     fleet.DaemonID
@@ -32,36 +32,39 @@
 	// NonIdempotent reports whether a completion must not run twice.
 	NonIdempotent func(m fleet.ModelRef, workspace fleet.WorkspaceID) bool
 	// Model returns the model that serves a workspace's request, with the
-	// adapter and version that its template names; false when it may not use it.
+	// adapter and version from its template; false if the workspace may not use
+	// it.
 	Model func(workspace fleet.WorkspaceID, m fleet.ModelRef) (fleet.ModelRef, bool)
-	// Priority returns a workspace's priority at the engines.
+	// Priority returns the priority of a workspace's requests at the engines;
+	// higher runs first.
 	Priority func(workspace fleet.WorkspaceID) int
 	Observer Observer
 	Policy   request.Policy
-	// CallerAddress returns the callers' address of a daemon, empty when unknown.
+	// CallerAddress returns the address at which a daemon serves callers, empty
+	// if it is unknown.
 	CallerAddress func(fleet.DaemonID) string
-	Timeout       time.Duration // of a request, from acceptance to the whole answer
+	Timeout       time.Duration // of a request, from its submission to the end of its answer
 	Limits        request.TableLimits
 	Log           *logrus.Entry
 }
 
-// Dispatcher holds a daemon's requests.
+// Dispatcher runs a daemon's requests. It is safe for concurrent use.
 type Dispatcher struct {
 	opts   Options
-	ctx    context.Context // ends when the daemon stops
+	ctx    context.Context // ends with Close
 	stop   context.CancelFunc
 	budget *lockedBudget
 
 	handover handoverState
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards table and runs
 	table *request.Table
-	runs  map[request.Ref]*run
+	runs  map[request.Ref]*run // those in table, and handed-over ones
 }
 
 var _ gateway.Requests = (*Dispatcher)(nil)
 
-// New returns a dispatcher. Close ends its attempts.
+// New returns a dispatcher, to be closed after use.
 func New(o Options) *Dispatcher {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Dispatcher{
@@ -78,10 +81,10 @@
 	}
 }
 
-// Close ends all attempts. Requests that still run are lost.
+// Close ends all attempts. Requests that are still running are lost.
 func (d *Dispatcher) Close() { d.stop() }
 
-// Live returns how many requests run.
+// Live returns the number of running requests.
 func (d *Dispatcher) Live() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +113,7 @@
 	return r.waitAccepted(ctx)
 }
 
-// resolveModel puts the adapter and version of the workspace's template into s.
+// resolveModel sets the adapter and version of s from the workspace's template.
 func (d *Dispatcher) resolveModel(s *gateway.Submission) *problem.Problem {
 	c := &s.Completion
 	m, ok := d.opts.Model(s.Workspace, fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version})
@@ -124,11 +127,12 @@
 	return nil
 }
 
-// attachExisting attaches to a request that has the key already, here or elsewhere.
+// attachExisting attaches to a request with the same key, on this daemon or on
+// another. Without an answer and a problem, the caller goes on with begin.
 func (d *Dispatcher) attachExisting(ctx context.Context, ref request.Ref, digest request.Digest) (gateway.Answer, *problem.Problem) {
 	if r := d.lookupRun(ref); r != nil {
 		if !r.handedOver.Load() {
-			return nil, nil // begin attaches, and compares the bodies
+			return nil, nil // begin attaches and compares the bodies
 		}
 		if r.digest != digest {
 			return nil, keyConflict()
@@ -148,15 +152,15 @@
 		return nil, keyConflict()
 	}
 	if err != nil {
-		// The holder is gone or has forgotten the request. An idempotent one
-		// runs here; the ledger decides about the others.
-		d.opts.Log.WithField("request", ref.ID).WithError(err).Debug("holder not reached")
+		// The holder is gone or has dropped the request. An idempotent one runs
+		// here; for the others the ledger decides.
+		d.opts.Log.WithField("request", ref.ID).WithError(err).Debug("answer not read from the holder of the request")
 		return nil, nil
 	}
 	return a, nil
 }
 
-// begin enters the request in the table, or finds it there.
+// begin adds the request to the table, or attaches to the one that is there.
 func (d *Dispatcher) begin(s *gateway.Submission, ref request.Ref, digest request.Digest) (*run, request.Attach, *problem.Problem) {
 	now := time.Now()
 	r := d.newRun(now, s, ref, digest)
@@ -176,7 +180,7 @@
 	return r, attach, nil
 }
 
-// sweep forgets runs that the table has dropped. Called with the lock held.
+// sweep removes runs that the table has dropped. Called with d.mu held.
 func (d *Dispatcher) sweep() {
 	if len(d.runs) <= 2*d.table.Len() {
 		return
@@ -188,8 +192,9 @@
 	}
 }
 
-// lookupRun returns the request held here, or the trace of one that was handed over,
-// which still says where it went; nil when it is unknown.
+// lookupRun returns the run of a request that this daemon holds, or of one that
+// it has handed over, whose readers get the address of the new holder; nil if
+// neither is there.
 func (d *Dispatcher) lookupRun(ref request.Ref) *run {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,7 +222,8 @@
 	return a, nil
 }
 
-// LocalAnswer returns the answer of a request that this daemon holds, nil otherwise.
+// LocalAnswer returns the answer of a request that this daemon holds or has
+// handed over, nil otherwise.
 func (d *Dispatcher) LocalAnswer(workspace fleet.WorkspaceID, id fleet.RequestID) gateway.Answer {
 	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
 	if r == nil {
@@ -238,8 +244,8 @@
 	return unknownRequest()
 }
 
-// CancelLocal cancels a request that this daemon holds. It reports whether the
-// request is known.
+// CancelLocal cancels a request that this daemon holds. It reports whether there
+// is one.
 func (d *Dispatcher) CancelLocal(workspace fleet.WorkspaceID, id fleet.RequestID) bool {
 	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
 	if r == nil || r.handedOver.Load() {
@@ -253,11 +259,12 @@
 	return problem.New(http.StatusNotFound, verdict.MayHaveRun, "no such request is known, or its answer is no longer kept")
 }
 
-// ErrOtherBody says that a key is in use for a request with another body.
+// ErrOtherBody is returned for a key that is in use for a request with another
+// body.
 var ErrOtherBody = errors.New("the key is in use for another request")
 
-// LocalAnswerMatching is Held for a caller that sent a body: ErrOtherBody where the request
-// has another digest. A zero digest matches any.
+// LocalAnswerMatching is LocalAnswer for a caller that sent a body. It returns
+// ErrOtherBody if the request has another digest. A zero digest matches any.
 func (d *Dispatcher) LocalAnswerMatching(workspace fleet.WorkspaceID, id fleet.RequestID, digest request.Digest) (gateway.Answer, error) {
 	r := d.lookupRun(request.Ref{Workspace: workspace, ID: id})
 	switch {
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,6 +1,8 @@
-// Package dispatch runs accepted completions: it carries out the actions of
-// request.Life against engines and gives the growing answers to their readers.
+// Package dispatch runs completions: it performs the actions of request.Life,
+// the state machine of a request, against the engines and streams the growing
+// answers to their readers. When the daemon leaves, it hands its requests over
+// to other daemons.
 //
-// A run's state is guarded by a mutex and not owned by a goroutine of its own:
+// A mutex guards the state of each run, rather than a goroutine that owns it:
 // a token then costs one lock instead of two goroutine switches.
 package dispatch
--- a/internal/dispatch/engines.go
+++ b/internal/dispatch/engines.go
@@ -11,32 +11,33 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Engines calls model engines. Errors are AttemptErrors.
+// Engines calls model engines. Its errors are AttemptErrors.
 type Engines interface {
 	Start(ctx context.Context, address string, q *engineapi.CompletionRequest, id fleet.RequestID, o StartOptions) (Stream, error)
-	// Resume reads a stream again from a token on. With replace, idle
-	// connections of the lost one's age are closed first.
+	// Resume reads a stream again, beginning with token number from. With
+	// replace, idle connections as old as the one that stalled are closed first.
 	Resume(ctx context.Context, address, stream string, from int, replace bool) (Stream, error)
 	Cancel(ctx context.Context, address, stream string) error
 	Export(ctx context.Context, address, stream string) (engineapi.KVBlob, error)
 	Import(ctx context.Context, address string, blob engineapi.KVBlob) error
 }
 
-// StartOptions say how a completion is to be asked for.
+// StartOptions are the options of a call of Engines.Start.
 type StartOptions struct {
-	Priority   int  // greater runs first
-	AtMostOnce bool // must leave this process at most once
+	Priority   int  // higher runs first
+	AtMostOnce bool // the request may be written to a connection only once
 }
 
 // Stream is an open answer of an engine.
 type Stream interface {
+	// ID returns the engine's id of the stream.
 	ID() string
 	// Next returns the next piece, or an AttemptError.
 	Next() (engineapi.Piece, error)
 	Close()
 }
 
-// AttemptError says how an attempt failed.
+// AttemptError describes how an attempt failed.
 type AttemptError struct {
 	Kind       request.FailureKind
 	Verdict    verdict.Verdict // of the attempt alone
@@ -49,8 +50,8 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// failureOf turns an attempt's error into the life's event. An error of
-// another type proves nothing.
+// failureOf converts an attempt's error to an event of request.Life. An error of
+// another type proves nothing, so the request may have run.
 func failureOf(attempt uint32, err error) request.Failure {
 	var e *AttemptError
 	if errors.As(err, &e) {
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -24,23 +24,23 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// fakeEngines is one engine whose stream breaks after cutAfter tokens, once.
+// fakeEngines is one engine that generates the tokens " t0", " t1" and so on.
 type fakeEngines struct {
 	mu       sync.Mutex
 	starts   int
 	resumes  int
 	cancels  int
-	cutAfter int
-	startErr error
-	interval time.Duration
-	length   int
+	cutAfter int           // tokens after which the next stream breaks; 0: it does not
+	startErr error         // of every Start, if not nil
+	interval time.Duration // between tokens
+	length   int           // of the newest answer, in tokens
 }
 
 type fakeStream struct {
 	e      *fakeEngines
 	ctx    context.Context
-	at     int
-	cut    int
+	at     int // the next token
+	cut    int // the token before which it breaks; 0: it does not
 	length int
 }
 
@@ -96,19 +96,19 @@
 	return p, nil
 }
 
-// fakeDeps is everything else, friendly unless a field says otherwise.
+// fakeDeps is all other dependencies. They succeed unless a field is set.
 type fakeDeps struct {
 	noEndpoint    bool
-	overloaded    bool
+	overloaded    bool // every endpoint would answer too late
 	intent        Intent
 	settled       []ledger.Outcome
 	refusal       *problem.Problem
 	released      atomic.Int64
 	peers         map[fleet.DaemonID]*Dispatcher
-	repliesToLose int // replies to offers that get lost
+	repliesToLose int // number of replies to offers that are lost
 	offers        int
 	heldFor       map[quarantine.Key]time.Duration
-	mu            sync.Mutex // of cuts and ran
+	mu            sync.Mutex // guards cuts and ran
 	cuts          []ends.Cut
 	ran           []quarantine.Key
 }
@@ -165,7 +165,7 @@
 }
 
 func (f *fakeDeps) Follow(context.Context, directory.Holding, request.Digest) (gateway.Answer, error) {
-	return nil, errors.New("nobody holds it")
+	return nil, errors.New("no daemon holds it")
 }
 
 func (f *fakeDeps) Members() []request.Member {
@@ -197,7 +197,7 @@
 	return f.peers[w.To].HandleWithdraw(w.Ref, w.Rank, deadline), nil
 }
 
-// newFakeDispatcher returns a dispatcher on fakes.
+// newFakeDispatcher returns a dispatcher with fake dependencies.
 func newFakeDispatcher(id fleet.DaemonID, e *fakeEngines, f *fakeDeps, nonIdempotent bool) *Dispatcher {
 	if e.interval == 0 {
 		e.interval = 10 * time.Millisecond
--- a/internal/dispatch/finished.go
+++ b/internal/dispatch/finished.go
@@ -9,28 +9,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// Finished is a whole answer that no caller has read to its end.
+// Finished is a complete answer that no caller has read to its end.
 type Finished struct {
 	Ref    request.Ref
 	Digest request.Digest
-	Number uint64 // of its transfer
+	Number uint64 // of the transfer to the daemon that is to store it
 	Model  string
 	Tokens []string
 	Usage  engineapi.Usage
 	Spec   request.Spec
 }
 
-// finishedTimeout bounds the time that a leaving daemon spends on answers that
-// wait for their callers.
+// finishedTimeout bounds the time that a leaving daemon spends on handing over
+// finished answers.
 const finishedTimeout = 5 * time.Second
 
-// HandOverFinished gives the whole answers that nobody has read to the end to daemons
-// that stay, and returns how many were taken.
-//
-// Failure: a caller's connection breaks just before its answer is whole, and
-// the daemon that keeps the answer leaves. Symptom: the caller resumes and is
-// told that the request is unknown. The daemon that takes the answer announces
-// it to the directory, so any entry finds it.
+// HandOverFinished hands the complete answers that no caller has read to the end
+// to daemons that stay, and returns how many were stored. Without it, a caller
+// whose connection broke just before the end of its answer could not resume
+// after the daemon has left: the request would be unknown. The daemon that
+// stores the answer announces it to the directory, so that any entry finds it.
 func (d *Dispatcher) HandOverFinished(ctx context.Context, self request.Member) int {
 	ctx, cancel := context.WithTimeout(ctx, finishedTimeout)
 	defer cancel()
@@ -50,7 +48,7 @@
 	return taken
 }
 
-// unreadAnswers returns the whole answers that no reader has come to the end of.
+// unreadAnswers returns the complete answers that no reader has read to the end.
 func (d *Dispatcher) unreadAnswers() []*Finished {
 	d.mu.Lock()
 	runs := make([]*run, 0, len(d.runs))
@@ -86,8 +84,8 @@
 	}
 }
 
-// Keep takes a whole answer from a leaving daemon. It reports false when this
-// one leaves as well or has no room.
+// Keep stores a complete answer of a leaving daemon. It reports false if this
+// daemon is leaving as well or has no room.
 func (d *Dispatcher) Keep(f *Finished) bool {
 	if d.isLeaving() || !d.hasCapacity() {
 		return false
@@ -100,7 +98,7 @@
 	r.life, _ = request.Adopt(now, request.Snapshot{Spec: f.Spec, Attempt: 1, Stream: "ended", Generated: f.Tokens}, d.opts.Policy, d.budget)
 	r.life.Done(now, r.life.Attempt(), len(f.Tokens))
 	if !d.replace(now, r) {
-		return true // it is known here already
+		return true // the request is already here
 	}
 	d.mu.Lock()
 	d.table.Finish(now, f.Ref)
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -10,43 +10,49 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// handoverInterval is how often a leaving daemon looks what is due.
+// handoverInterval is how often a leaving daemon performs what is due.
 const handoverInterval = 50 * time.Millisecond
 
-// Transfer is an offer with all that its addressee needs.
+// Transfer is an offer of a request with everything that its addressee needs to
+// continue it.
 type Transfer struct {
 	Offer      request.Offer
 	Snapshot   request.Snapshot
 	Completion []byte // engineapi.CompletionRequest, JSON
 	Digest     request.Digest
-	Owner      string // of the ledger's intent
+	Owner      string // of the intent in the ledger
 }
 
-// Peers carries hand-over messages to other daemons. An error of verdict
-// NotRun proves that nothing left.
+// Peers sends hand-over messages to other daemons. An error of verdict NotRun
+// proves that nothing was sent.
 type Peers interface {
 	Offer(ctx context.Context, t *Transfer) (request.Reply, error)
+	// Withdraw returns the holder that the addressee had recorded before. deadline
+	// is an upper bound of the request's deadline.
 	Withdraw(ctx context.Context, w request.Withdraw, deadline time.Time) (request.Rank, error)
-	// Keep gives a whole answer to a daemon. An error says that it was not taken.
+	// Keep sends a finished answer to a daemon. Without an error, the daemon has
+	// stored it.
 	Keep(ctx context.Context, to fleet.DaemonID, f *Finished) error
-	// Members returns the daemons that might take requests over.
+	// Members returns the daemons that may take over requests.
 	Members() []request.Member
 }
 
-// handoverState is the daemon's custody of requests and, once it leaves, the
-// hand-over of them.
+// handoverState is the record of which daemon holds each request and, once this
+// daemon leaves, the state of the hand-over.
 type handoverState struct {
 	mu        sync.Mutex
 	holdings  *request.Holdings
-	leaving   *request.Handover // nil until the daemon leaves
-	transfers map[request.Ref]*Transfer
+	leaving   *request.Handover         // nil until the daemon leaves
+	transfers map[request.Ref]*Transfer // of the requests that are frozen for an offer
 }
 
-// messageTimeout bounds one hand-over message; offers are repeated.
+// messageTimeout bounds one hand-over message. It can be short, since messages are
+// repeated.
 const messageTimeout = time.Second
 
-// Leave hands all requests over, or lets them finish, until none is left or
-// ctx ends. Requests that are accepted meanwhile are taken in as they come.
+// Leave hands all requests over, or lets them finish, until none is left or ctx
+// ends. by is when the hand-over must be over. Requests that are accepted in the
+// meantime are included.
 func (d *Dispatcher) Leave(ctx context.Context, self request.Member, by time.Time) error {
 	d.beginLeaving(self, by)
 	ticker := time.NewTicker(handoverInterval)
@@ -56,7 +62,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.New("requests were still running when the time ended")
+			return errors.New("requests are still running at the end of the hand-over")
 		}
 		if ctx.Err() == nil && d.handoverDone() {
 			return nil
@@ -64,7 +70,7 @@
 	}
 }
 
-// LeaveBy brings the end of the hand-over forward: a second notice.
+// LeaveBy sets an earlier end of the hand-over, after a second notice.
 func (d *Dispatcher) LeaveBy(by time.Time) {
 	d.handover.mu.Lock()
 	defer d.handover.mu.Unlock()
@@ -82,7 +88,8 @@
 	d.handover.leaving.Leave(by)
 }
 
-// isLeaving reports whether Leave was called: a leaving daemon takes nothing over.
+// isLeaving reports whether Leave was called. A leaving daemon takes over no
+// requests.
 func (d *Dispatcher) isLeaving() bool {
 	d.handover.mu.Lock()
 	defer d.handover.mu.Unlock()
@@ -96,7 +103,7 @@
 	return settled && d.Live() == 0
 }
 
-// handOver enters new requests, forgets ended ones and does what is due.
+// handOver adds new requests to the hand-over and performs what is due.
 func (d *Dispatcher) handOver(now time.Time) {
 	running := d.running()
 	candidates := make([]request.Candidate, 0, len(running))
@@ -117,7 +124,8 @@
 	d.perform(orders)
 }
 
-// candidate describes the run for the hand-over, false before it is accepted.
+// candidate describes the run for the hand-over; false before it is accepted and
+// after it has ended.
 func (r *run) candidate() (request.Candidate, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,17 +140,19 @@
 	}, true
 }
 
-// assumedTokenInterval is used for a stream whose pace is not known yet.
+// assumedTokenInterval is the time between tokens that is assumed until the pace
+// of a stream has been measured.
 const assumedTokenInterval = 34 * time.Millisecond
 
-// minPaceTime is how long a stream is read before its pace is believed. One that
-// is resumed begins with all that was generated meanwhile, at once.
+// minPaceTime is how long a stream must have been read before its measured pace
+// is used. A resumed stream first delivers at once what was generated in the
+// meantime, which would make it look too fast.
 const minPaceTime = 250 * time.Millisecond
 
-// remaining estimates the time until the answer is whole from its pace here.
-// Tokens that another daemon read don't count: a request that was just taken
-// over would seem to be over in a moment, and would be left on an endpoint that
-// leaves. Called with the lock held.
+// remaining estimates the time until the answer is complete, from the pace at
+// which this daemon reads it. Tokens that another daemon read don't count:
+// otherwise a request that was just taken over would look nearly complete, and
+// would be left on an endpoint that leaves. Called with r.mu held.
 func (r *run) remaining() time.Duration {
 	done := r.life.Answer().Len()
 	left := time.Duration(r.route.MaxTokens - done)
@@ -153,7 +163,8 @@
 	return left * time.Since(r.firstAt) / read
 }
 
-// applyHandover lets the hand-over take an applyHandover and obeys what it orders then.
+// applyHandover applies an event to the hand-over, if one has begun, and performs
+// the resulting orders.
 func (d *Dispatcher) applyHandover(f func(h *request.Handover, now time.Time) []request.Order) {
 	d.handover.mu.Lock()
 	var orders []request.Order
@@ -164,6 +175,7 @@
 	d.perform(orders)
 }
 
+// perform performs orders of the hand-over.
 func (d *Dispatcher) perform(orders []request.Order) {
 	for _, o := range orders {
 		switch o := o.(type) {
@@ -183,7 +195,7 @@
 	}
 }
 
-// prepare freezes a run and keeps what its successor needs.
+// prepare freezes a run and stores the transfer for its successor.
 func (d *Dispatcher) prepare(o request.Prepare) {
 	t := d.freeze(o)
 	if t == nil {
@@ -201,6 +213,8 @@
 	})
 }
 
+// freeze stops new attempts of a run and returns its transfer, nil if the run
+// can't be handed over now.
 func (d *Dispatcher) freeze(o request.Prepare) *Transfer {
 	r := d.lookupRun(o.Ref)
 	if r == nil {
@@ -219,7 +233,8 @@
 	return &Transfer{Snapshot: s, Completion: completion, Digest: r.digest, Owner: r.owner}
 }
 
-// endTransfer lets the life of a held run take an event, and forgets the transfer.
+// endTransfer removes the transfer of a frozen run and applies an event to its
+// life.
 func (d *Dispatcher) endTransfer(ref request.Ref, f func(*request.Life, time.Time) []request.Action) {
 	d.handover.mu.Lock()
 	delete(d.handover.transfers, ref)
@@ -229,7 +244,7 @@
 	}
 }
 
-// reportFinished tells the hand-over that a request ended by itself.
+// reportFinished reports to the hand-over that a request ended on this daemon.
 func (d *Dispatcher) reportFinished(ref request.Ref) {
 	d.applyHandover(func(h *request.Handover, _ time.Time) []request.Order {
 		h.Finished(ref)
@@ -237,8 +252,8 @@
 	})
 }
 
-// HandleWithdraw takes a withdrawal from another daemon and returns the holder that
-// was known before.
+// HandleWithdraw handles a withdrawal by another daemon: rank is the holder that
+// supersedes this one. It returns the holder that was recorded before.
 func (d *Dispatcher) HandleWithdraw(ref request.Ref, rank request.Rank, deadline time.Time) request.Rank {
 	now := time.Now()
 	d.handover.mu.Lock()
@@ -252,8 +267,8 @@
 	return before
 }
 
-// ensureCustody enters custody of a request that was accepted here and is not
-// known to the hand-over yet. Called with the hand-over's lock held.
+// ensureCustody records that this daemon holds a request that it accepted, if
+// that is not recorded yet. Called with d.handover.mu held.
 func (d *Dispatcher) ensureCustody(ref request.Ref, deadline time.Time) {
 	if d.handover.holdings.Get(ref) == nil && d.lookupRun(ref) != nil {
 		d.handover.holdings.Accept(ref, deadline)
--- a/internal/dispatch/handover_send.go
+++ b/internal/dispatch/handover_send.go
@@ -8,8 +8,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// send makes an offer and takes its reply. Silence needs no event: the offer
-// is repeated.
+// send sends an offer and applies the reply. A missing reply needs no event,
+// since the offer is repeated.
 func (d *Dispatcher) send(o request.Offer) {
 	d.handover.mu.Lock()
 	stored := d.handover.transfers[o.Ref]
@@ -28,12 +28,12 @@
 	case verdict.Of(err) == verdict.NotRun && d.isFirstCopy(o):
 		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Unsent(now, o) })
 	default:
-		d.opts.Log.WithField("request", o.Ref.ID).Infof("no answer to an offer to %s: %v", o.To, err)
+		d.opts.Log.WithField("request", o.Ref.ID).Infof("no reply to the offer to %s: %v", o.To, err)
 	}
 }
 
-// isFirstCopy reports whether this was the first copy of an offer. That nothing
-// of a later one left proves nothing about those before it.
+// isFirstCopy reports whether o is the first copy of an offer, and records it.
+// That a later copy was not sent proves nothing about the earlier ones.
 func (d *Dispatcher) isFirstCopy(o request.Offer) bool {
 	d.handover.mu.Lock()
 	defer d.handover.mu.Unlock()
@@ -45,6 +45,8 @@
 	return true
 }
 
+// withdraw sends a withdrawal and applies the reply. A missing reply needs no
+// event, since the withdrawal is repeated.
 func (d *Dispatcher) withdraw(w request.Withdraw) {
 	ctx, cancel := context.WithTimeout(d.ctx, messageTimeout)
 	defer cancel()
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -11,11 +11,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// cancelTimeout bounds a cancellation, which nobody waits for.
+// cancelTimeout bounds the call that cancels a stream; nothing waits for it.
 const cancelTimeout = 2 * time.Second
 
-// move exports the stream's KV cache and imports it elsewhere. Called with the
-// lock held.
+// move exports the stream's KV cache and imports it at another engine, in the
+// background. Called with r.mu held.
 func (r *run) move(a request.MoveKV) {
 	timeout := r.d.opts.Policy.Move
 	go func() {
@@ -45,7 +45,8 @@
 	return blob, r.d.opts.Engines.Import(ctx, to, blob)
 }
 
-// cancelStream stops a stream that nobody needs. Called with the lock held.
+// cancelStream stops a stream that is no longer needed, best effort. Called with
+// r.mu held.
 func (r *run) cancelStream(a request.CancelStream) {
 	address, ok := r.d.opts.Router.Address(a.Endpoint)
 	if !ok {
@@ -60,7 +61,7 @@
 	}()
 }
 
-// Notice tells every run on endpoint that it leaves at leaveAt.
+// Notice informs the runs that endpoint leaves at leaveAt.
 func (d *Dispatcher) Notice(endpoint fleet.EndpointID, leaveAt time.Time) {
 	for _, r := range d.running() {
 		r.apply(func(now time.Time) []request.Action {
@@ -81,8 +82,8 @@
 	return out
 }
 
-// Streams describes the runs on endpoints for a plan of their moves. kvBytes
-// is the size of one token's KV cache.
+// Streams returns the runs that are on an endpoint, as input for planning their
+// moves. kvBytes is the size of one token's KV cache in bytes.
 func (d *Dispatcher) Streams(kvBytes int64) []reclaim.Stream {
 	var out []reclaim.Stream
 	for _, r := range d.running() {
@@ -112,7 +113,8 @@
 	}, true
 }
 
-// Move carries out a planned move of a run, if it is still where the plan saw it.
+// Move performs a planned move of a run, unless the run has left the endpoint
+// from which it was to be moved.
 func (d *Dispatcher) Move(m reclaim.Move) {
 	r := d.lookupRun(m.Ref)
 	if r == nil {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -12,23 +12,25 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// sentAttempt is an attempt at an engine.
+// sentAttempt is an attempt that was sent to an engine.
 type sentAttempt struct {
 	number   uint32
 	endpoint fleet.EndpointID
 	address  string
 	at       time.Time
-	begun    bool // a piece of the answer has come
+	begun    bool // a piece of the answer was received
 }
 
-// quarantineKey names the request when it comes again: with another id, at another daemon.
+// quarantineKey identifies the request by its content, so that it is recognised
+// when it is sent again with another id or to another daemon.
 func (r *run) quarantineKey() quarantine.Key {
 	return quarantine.KeyOf(r.ref.Workspace, "", "", r.digest[:])
 }
 
-// checkQuarantine returns why the request isn't to be sent to any engine, nil where it may
-// be. Failure: the same request comes again and again under another key. Symptom:
-// four tries at a time, it ends one engine after the other.
+// checkQuarantine returns an error if the request must not be sent to any engine.
+// Without it, a request that crashes engines and is sent again and again, each
+// time with another key, would crash up to four engines each time, one per
+// attempt.
 func (r *run) checkQuarantine() error {
 	left := r.d.opts.Quarantine.Held(r.quarantineKey())
 	if left <= 0 {
@@ -39,7 +41,8 @@
 
 var errCrashes = errors.New("the request crashes the engines that run it")
 
-// reportCut tells the guard of an attempt that ended with its connection.
+// reportCut reports an attempt whose connection broke to the quarantine. An
+// attempt that was cancelled is ignored.
 func (r *run) reportCut(ctx context.Context, s *sentAttempt, err error) {
 	if ctx.Err() != nil || failureOf(s.number, err).Kind != request.Reset {
 		return
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -12,8 +12,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// A completion that crashes engines comes again under another key. It is refused
-// at once, as not run, with a time.
+// When a completion that crashes engines is sent again with another key, it must
+// be refused at once with the verdict not-run and the time after which to retry.
 func TestHeldCompletionReachesNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
@@ -34,8 +34,9 @@
 	})
 }
 
-// A stream breaks after its first tokens. The guard hears of the request under
-// the name that it has when it comes again, and that it had begun.
+// When a stream breaks after its first tokens, the quarantine must get the key
+// that identifies the request when it is sent again, and that its answer had
+// begun.
 func TestBrokenStreamsAreReportedToQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{cutAfter: 3}
--- a/internal/dispatch/reader.go
+++ b/internal/dispatch/reader.go
@@ -9,8 +9,8 @@
 // reader is one caller's view of a run.
 type reader struct {
 	run  *run
-	wake chan struct{} // of size 1: wakes are joined
-	buf  []string      // of the last part, reused
+	wake chan struct{} // of capacity 1: pending signals are merged
+	buf  []string      // tokens of the last part, reused
 }
 
 var _ gateway.Answer = (*reader)(nil)
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -21,8 +21,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// deadEndpointsFirst is a router over endpoints of which only the last one lives, and
-// which it chooses last.
+// deadEndpointsFirst is a router that chooses the endpoints in their order; only
+// the last one is alive.
 type deadEndpointsFirst struct {
 	*fakeDeps
 	endpoints []fleet.EndpointID
@@ -46,7 +46,7 @@
 	return routing.Choice{}, routing.NoEndpoint{Cause: routing.NotServed}
 }
 
-// oneAliveEngine takes connections at the address "alive" alone.
+// oneAliveEngine accepts connections only at the address "alive".
 type oneAliveEngine struct{ *fakeEngines }
 
 func (e oneAliveEngine) Start(ctx context.Context, address string, q *engineapi.CompletionRequest, id fleet.RequestID, o StartOptions) (Stream, error) {
@@ -56,9 +56,9 @@
 	return e.fakeEngines.Start(ctx, address, q, id, o)
 }
 
-// More engines than a request has attempts are gone without notice when it
-// comes. Its caller must get the answer from the one that lives, and the same
-// holds for a request that may be dispatched once only: nothing was sent.
+// More engines than a request has attempts have disappeared without notice. The
+// caller must get the answer from the one that is alive. This also holds for a
+// non-idempotent request, since nothing was sent to the dead engines.
 func TestUnreachableEnginesUseNoAttempts(t *testing.T) {
 	for _, nonIdempotent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -75,21 +75,21 @@
 	}
 }
 
-// goneEngines loses the streams of an engine that vanished: none can be resumed.
+// goneEngines has lost its streams: none can be resumed.
 type goneEngines struct{ *fakeEngines }
 
 func (goneEngines) Resume(context.Context, string, string, int, bool) (Stream, error) {
 	return nil, &AttemptError{Kind: request.NotFound, Err: errors.New("no such stream")}
 }
 
-// admitAll admits everything and counts nothing, so that many runs may
+// admitAll admits every request and doesn't count releases, so that many runs may
 // end at the same time.
 type admitAll struct{ *fakeDeps }
 
 func (admitAll) Release(fleet.RequestID, admission.Usage) {}
 
 // More streams break at once than the retry budget has retries. Their requests
-// were accepted, so each caller must get its whole answer all the same.
+// were accepted, so each caller must still get its complete answer.
 func TestAcceptedRequestsAreRetriedBeyondTheRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const streams = 100
@@ -112,9 +112,9 @@
 	})
 }
 
-// A daemon takes a half-finished answer over and reads its first token. Were
-// the tokens that the origin read counted as its own, it would think the answer
-// over in a moment, and leave it on an engine that is about to vanish.
+// A daemon takes over a half-finished answer and reads its first tokens. If it
+// counted the tokens that the previous daemon read, it would underestimate the
+// remaining time and leave the request on an engine that is about to leave.
 func TestRemainingTimeAfterTakeoverIsNotUnderestimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{interval: time.Second} // 20 tokens
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -16,8 +16,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing"
 )
 
-// extendInterval is how often a run renews its lease on the workspace's
-// concurrency: well within the lease.
+// extendInterval is how often a run renews its lease on its workspace's
+// concurrency. It must be well below the duration of the lease.
 const extendInterval = 5 * time.Second
 
 // run is one request with its attempts and readers.
@@ -28,24 +28,24 @@
 	completion engineapi.CompletionRequest
 	body       []byte
 	route      routing.Request // its Exclude is set for each pick
-	owner      string          // in the ledger
+	owner      string          // of the intent in the ledger
 
 	mu                sync.Mutex
 	life              *request.Life
-	transfer          uint64 // under which it is held here
-	accepted          bool   // some attempt was answered, so the request is accepted
+	transfer          uint64 // number of the transfer by which it came here, 0 if none
+	accepted          bool   // an engine has begun to answer
 	end               *gateway.Part
 	usage             engineapi.Usage
 	readers           map[*reader]struct{}
 	timer             *time.Timer
-	firesAt           time.Time // when timer fires
+	firesAt           time.Time // when timer fires, zero after it has fired
 	lastExtended      time.Time
 	cancel            context.CancelFunc // of the newest attempt's connection
-	admissionReleased bool               // given back to admission
-	firstAt           time.Time          // of the first piece here
-	firstLen          int                // of the answer with that piece
-	delivered         bool               // some reader came to the end of the whole answer
-	handedOver        atomic.Bool        // handed over: only readers still ask for it
+	admissionReleased bool               // or the admission is another daemon's to release
+	firstAt           time.Time          // when this daemon read its first piece
+	firstLen          int                // length of the answer with that piece, in tokens
+	delivered         bool               // a reader has read the complete answer to its end
+	handedOver        atomic.Bool        // to another daemon; the run is only kept for readers
 }
 
 func (d *Dispatcher) newRun(now time.Time, s *gateway.Submission, ref request.Ref, digest request.Digest) *run {
@@ -60,7 +60,7 @@
 	return r
 }
 
-// newBareRun returns a run without a life.
+// newBareRun returns a run whose life is still to be set.
 func (d *Dispatcher) newBareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
 	model := fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version}
 	blocks, tokens := prompt.Leading(model, c.Messages, nil)
@@ -84,21 +84,22 @@
 	}
 }
 
-// newOwner names one wish to dispatch in the ledger. Failure: the answer is no
-// longer kept and its key is sent again. Symptom: an owner named by the key
-// alone would find its own record and run the request a second time.
+// newOwner returns a unique owner for an intent in the ledger. An owner derived
+// from the request's key alone would take an old record for its own when the
+// key is sent again after its answer was dropped, and the request would run a
+// second time.
 func newOwner(daemon fleet.DaemonID) string {
 	return string(daemon) + "/" + uuid.Must(uuid.NewV7()).String()
 }
 
-// apply lets the life take an event and carries out its actions.
+// apply applies an event to the life and performs the resulting actions.
 func (r *run) apply(event func(now time.Time) []request.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perform(event(time.Now()))
 }
 
-// perform carries out actions. Called with the lock held.
+// perform performs actions of the life. Called with r.mu held.
 func (r *run) perform(actions []request.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -123,8 +124,9 @@
 	r.arm()
 }
 
-// totalUsage returns what the answer cost. The last attempt may have been
-// given text that others generated, so the count is the answer's own.
+// totalUsage returns the usage of the complete answer. The last engine may have
+// continued text that others generated, so the completion tokens are those of
+// the answer.
 func (r *run) totalUsage() engineapi.Usage {
 	u := r.usage
 	u.PromptTokens = max(u.PromptTokens, r.route.PromptTokens)
@@ -132,9 +134,9 @@
 	return u
 }
 
-// arm sets the timer for the life's next deadline. The timer is left alone
-// while it fires early enough: a token moves the deadline on, and must not
-// cost a timer operation.
+// arm sets the timer for the life's next deadline. A timer that fires no later
+// than that is left as it is: each token postpones the deadline, and must not
+// cost a timer operation. Called with r.mu held.
 func (r *run) arm() {
 	next := r.life.Next()
 	if next.IsZero() {
@@ -162,7 +164,7 @@
 	r.perform(r.life.Tick(time.Now()))
 }
 
-// wake tells every reader that there is something to read.
+// wake signals all readers that there is something to read. Called with r.mu held.
 func (r *run) wake() {
 	for reader := range r.readers {
 		select {
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -15,7 +15,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// start admits a new run and makes its first dispatch. A refusal ends it.
+// start admits a new run and performs its first dispatch. A refusal ends the run.
 func (d *Dispatcher) start(ctx context.Context, r *run) {
 	if p := d.opts.Admission.Admit(ctx, r.admissionRequest()); p != nil {
 		r.refuse(p)
@@ -45,7 +45,7 @@
 	}
 }
 
-// intend records a non-idempotent request in the ledger before its dispatch.
+// intend records a non-idempotent request in the ledger before it is dispatched.
 func (r *run) intend(ctx context.Context) *problem.Problem {
 	in := r.d.opts.Intents.Intend(ctx, r.ref, r.owner, r.digest)
 	switch {
@@ -69,8 +69,8 @@
 	}
 }
 
-// refuse ends a run that was never dispatched, and forgets it: a later try
-// with the same key starts afresh.
+// refuse ends a run that was never dispatched and removes it, so that a later
+// request with the same key starts from scratch.
 func (r *run) refuse(p *problem.Problem) {
 	r.mu.Lock()
 	r.end = &gateway.Part{Failure: p}
@@ -85,14 +85,16 @@
 	r.d.removeRun(r)
 }
 
-// removeRun forgets a run, unless another took its place. Called with the lock held.
+// removeRun removes a run, unless another has replaced it. Called with d.mu held.
 func (d *Dispatcher) removeRun(r *run) {
 	if d.runs[r.ref] == r {
 		delete(d.runs, r.ref)
 	}
 }
 
-// removeFromTable takes a run that was handed over out of the table.
+// removeFromTable removes the table's entry of a run that was handed over, unless
+// another run has replaced it. The run stays in d.runs until a sweep, so that
+// readers get the address of the new holder.
 func (r *run) removeFromTable() {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
@@ -101,8 +103,8 @@
 	}
 }
 
-// markAccepted notes that an engine answers, from where on the request is
-// markAccepted. Called with the lock held.
+// markAccepted marks the request as accepted, because an engine has begun to
+// answer. Called with r.mu held.
 func (r *run) markAccepted(now time.Time) {
 	if r.accepted {
 		return
@@ -112,8 +114,9 @@
 	r.wake()
 }
 
-// waitAccepted waits until the request is accepted or refused. Refusing is honest
-// only until then, so an endpoint must have answered first.
+// waitAccepted waits until the request is accepted or refused. An accepted
+// request can't be refused any more, so it is only accepted once an endpoint has
+// begun to answer.
 func (r *run) waitAccepted(ctx context.Context) (gateway.Answer, *problem.Problem) {
 	rd := r.newReader()
 	for {
@@ -136,7 +139,7 @@
 	}
 }
 
-// abandon ends a request whose only caller left before it was accepted.
+// abandon cancels a request whose only caller left before it was accepted.
 func (r *run) abandon() *problem.Problem {
 	r.mu.Lock()
 	alone := len(r.readers) == 0 && !r.accepted
@@ -147,7 +150,7 @@
 	return problem.New(http.StatusServiceUnavailable, verdict.MayHaveRun, "the caller left before the request was accepted")
 }
 
-// finish ends the run. Called with the lock held.
+// finish ends the run; end is the last part of its answer. Called with r.mu held.
 func (r *run) finish(end *gateway.Part) {
 	r.end = end
 	if r.cancel != nil {
@@ -158,7 +161,7 @@
 	go r.cleanUp()
 }
 
-// releaseAdmission gives the run's place back to admission, once.
+// releaseAdmission ends the run's admission, once. Called with r.mu held.
 func (r *run) releaseAdmission() {
 	if r.admissionReleased {
 		return
@@ -170,7 +173,8 @@
 	r.d.opts.Admission.Release(r.ref.ID, u)
 }
 
-// cleanUp does what needs no lock of the run: the table, the directory, the ledger.
+// cleanUp updates the table, the directory and the ledger after the end of the
+// run. It runs without r.mu.
 func (r *run) cleanUp() {
 	v := verdict.Ran
 	if r.end.Failure != nil {
@@ -198,13 +202,14 @@
 	}
 }
 
-// endHandedOver ends the run here because daemon to holds it now. Called with the lock held.
+// endHandedOver ends the run because daemon to holds the request now. Called
+// with r.mu held.
 func (r *run) endHandedOver(to fleet.DaemonID) {
 	r.handedOver.Store(true)
 	r.finish(&gateway.Part{MovedTo: r.d.opts.CallerAddress(to)})
 }
 
-// problemOf turns the life's failure into what the caller sees.
+// problemOf returns the response to the caller of a failed request.
 func problemOf(f request.Fail) *problem.Problem {
 	status := http.StatusBadGateway
 	switch f.Reason {
