--- a/internal/reclaim/candidates.go
+++ b/internal/reclaim/candidates.go
@@ -30,17 +30,17 @@
 		if p.UnderNotice(t.Endpoint) {
 			continue
 		}
-		candidate := &candidate{target: t, freeSlots: t.FreeSlots, freeTokens: t.FreeTokens}
-		byID[t.Endpoint] = candidate
-		c.all = append(c.all, candidate)
+		cand := &candidate{target: t, freeSlots: t.FreeSlots, freeTokens: t.FreeTokens}
+		byID[t.Endpoint] = cand
+		c.all = append(c.all, cand)
 	}
 	for _, entry := range p.planned {
 		if entry.exportEnd.After(c.exportsEnd[entry.move.From]) {
 			c.exportsEnd[entry.move.From] = entry.exportEnd
 		}
-		if candidate := byID[entry.move.To]; candidate != nil {
-			candidate.freeSlots--
-			candidate.freeTokens -= entry.reservedTokens
+		if cand := byID[entry.move.To]; cand != nil {
+			cand.freeSlots--
+			cand.freeTokens -= entry.reservedTokens
 		}
 	}
 	return c
@@ -86,9 +86,9 @@
 		return p
 	}
 	var serving []*candidate
-	for _, candidate := range c.all {
-		if candidate.target.serves(model) && !(avoidLeaving && c.leaving[candidate.target.DataCentre]) {
-			serving = append(serving, candidate)
+	for _, cand := range c.all {
+		if cand.target.serves(model) && !(avoidLeaving && c.leaving[cand.target.DataCentre]) {
+			serving = append(serving, cand)
 		}
 	}
 	p := newPool(serving)
