--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -128,7 +128,8 @@
 }
 
 // attachExisting attaches to a request with the same key, on this daemon or on
-// another. Without an answer and a problem, the caller goes on with begin.
+// another. If it returns neither an answer nor a problem, the caller goes on with
+// begin.
 func (d *Dispatcher) attachExisting(ctx context.Context, ref request.Ref, digest request.Digest) (gateway.Answer, *problem.Problem) {
 	if r := d.lookupRun(ref); r != nil {
 		if !r.handedOver.Load() {
--- a/internal/dispatch/finished.go
+++ b/internal/dispatch/finished.go
@@ -25,7 +25,7 @@
 const finishedTimeout = 5 * time.Second
 
 // HandOverFinished hands the complete answers that no caller has read to the end
-// to daemons that stay, and returns how many were stored. Without it, a caller
+// to daemons that aren't leaving, and returns how many were stored. Without it, a caller
 // whose connection broke just before the end of its answer could not resume
 // after the daemon has left: the request would be unknown. The daemon that
 // stores the answer announces it to the directory, so that any entry finds it.
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -173,8 +173,8 @@
 	r.d.opts.Admission.Release(r.ref.ID, u)
 }
 
-// cleanUp updates the table, the directory and the ledger after the end of the
-// run. It runs without r.mu.
+// cleanUp updates the hand-over, the table, the directory and the ledger after
+// the end of the run. Called without r.mu.
 func (r *run) cleanUp() {
 	v := verdict.Ran
 	if r.end.Failure != nil {
