--- a/internal/dispatch/finished.go
+++ b/internal/dispatch/finished.go
@@ -9,39 +9,37 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/request"
 )
 
-// Finished is a whole answer that no caller has read to its end.
+// Finished is a complete answer that no caller has read to its end.
 type Finished struct {
 	Ref    request.Ref
 	Digest request.Digest
-	Number uint64 // of its transfer
+	Number uint64 // of the transfer to the daemon that is to store it
 	Model  string
 	Tokens []string
 	Usage  engineapi.Usage
 	Spec   request.Spec
 }
 
-// passOnTimeout bounds the time that a leaving daemon spends on answers that
-// wait for their callers.
-const passOnTimeout = 5 * time.Second
+// finishedTimeout bounds the time that a leaving daemon spends on handing over
+// finished answers.
+const finishedTimeout = 5 * time.Second
 
-// PassOn gives the whole answers that nobody has read to the end to daemons
-// that stay, and returns how many were taken.
-//
-// Failure: a caller's connection breaks just before its answer is whole, and
-// the daemon that keeps the answer leaves. Symptom: the caller resumes and is
-// told that the request is unknown. The daemon that takes the answer announces
-// it to the directory, so any entry finds it.
-func (d *Dispatcher) PassOn(ctx context.Context, self request.Member) int {
-	ctx, cancel := context.WithTimeout(ctx, passOnTimeout)
+// HandOverFinished hands the complete answers that no caller has read to the end
+// to daemons that aren't leaving, and returns how many were stored. Without it, a caller
+// whose connection broke just before the end of its answer could not resume
+// after the daemon has left: the request would be unknown. The daemon that
+// stores the answer announces it to the directory, so that any entry finds it.
+func (d *Dispatcher) HandOverFinished(ctx context.Context, self request.Member) int {
+	ctx, cancel := context.WithTimeout(ctx, finishedTimeout)
 	defer cancel()
-	members := d.o.Peers.Members()
+	members := d.opts.Peers.Members()
 	taken := 0
-	for _, f := range d.unread() {
+	for _, f := range d.unreadAnswers() {
 		for _, to := range request.Successors(f.Ref.ID, self, members) {
 			if ctx.Err() != nil {
 				return taken
 			}
-			if d.o.Peers.Keep(ctx, to, f) == nil {
+			if d.opts.Peers.Keep(ctx, to, f) == nil {
 				taken++
 				break
 			}
@@ -50,8 +48,8 @@
 	return taken
 }
 
-// unread returns the whole answers that no reader has come to the end of.
-func (d *Dispatcher) unread() []*Finished {
+// unreadAnswers returns the complete answers that no reader has read to the end.
+func (d *Dispatcher) unreadAnswers() []*Finished {
 	d.mu.Lock()
 	runs := make([]*run, 0, len(d.runs))
 	for ref, r := range d.runs {
@@ -62,14 +60,14 @@
 	d.mu.Unlock()
 	var out []*Finished
 	for _, r := range runs {
-		if f := r.unread(); f != nil {
+		if f := r.unreadAnswer(); f != nil {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-func (r *run) unread() *Finished {
+func (r *run) unreadAnswer() *Finished {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.end == nil || !r.end.Done || r.delivered {
@@ -86,25 +84,25 @@
 	}
 }
 
-// Keep takes a whole answer from a leaving daemon. It reports false when this
-// one leaves as well or has no room.
+// Keep stores a complete answer of a leaving daemon. It reports false if this
+// daemon is leaving as well or has no room.
 func (d *Dispatcher) Keep(f *Finished) bool {
-	if d.isLeaving() || !d.hasRoom() {
+	if d.isLeaving() || !d.hasCapacity() {
 		return false
 	}
 	now := time.Now()
-	r := d.bareRun(f.Ref, f.Digest, engineapi.CompletionRequest{Model: f.Model}, nil)
+	r := d.newBareRun(f.Ref, f.Digest, engineapi.CompletionRequest{Model: f.Model}, nil)
 	r.transfer = f.Number
-	r.opened, r.released = true, true
+	r.accepted, r.admissionReleased = true, true
 	r.end = &gateway.Part{Done: true, Usage: f.Usage}
-	r.life, _ = request.Adopt(now, request.Snapshot{Spec: f.Spec, Attempt: 1, Stream: "ended", Generated: f.Tokens}, d.o.Policy, d.budget)
+	r.life, _ = request.Adopt(now, request.Snapshot{Spec: f.Spec, Attempt: 1, Stream: "ended", Generated: f.Tokens}, d.opts.Policy, d.budget)
 	r.life.Done(now, r.life.Attempt(), len(f.Tokens))
 	if !d.replace(now, r) {
-		return true // it is known here already
+		return true // the request is already here
 	}
 	d.mu.Lock()
 	d.table.Finish(now, f.Ref)
 	d.mu.Unlock()
-	d.o.Locator.Announce(r.holding(true))
+	d.opts.Locator.Announce(r.holding(true))
 	return true
 }
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -12,17 +12,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// A completion that crashes engines comes again under another key. It is refused
-// at once, as not run, with a time.
+// When a completion that crashes engines is sent again with another key, it must
+// be refused at once with the verdict not-run and the time after which to retry.
 func TestHeldCompletionReachesNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{}
 		f := &fakeDeps{}
-		d := newFake("a", e, f, false)
+		d := newFakeDispatcher("a", e, f, false)
 		defer d.Close()
 		digest := sha256.Sum256([]byte("body"))
 		key := quarantine.KeyOf("w", "", "", digest[:])
-		f.held = map[quarantine.Key]time.Duration{key: time.Minute}
+		f.heldFor = map[quarantine.Key]time.Duration{key: time.Minute}
 		_, p := d.Submit(t.Context(), submission("r2", "body"))
 		assert.Equal(t, p.Status, 503)
 		assert.Equal(t, p.Verdict, verdict.NotRun)
@@ -34,13 +34,14 @@
 	})
 }
 
-// A stream breaks after its first tokens. The guard hears of the request under
-// the name that it has when it comes again, and that it had begun.
-func TestGuardHearsOfCutStreams(t *testing.T) {
+// When a stream breaks after its first tokens, the quarantine must get the key
+// that identifies the request when it is sent again, and that its answer had
+// begun.
+func TestBrokenStreamsAreReportedToQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngines{cutAfter: 3}
 		f := &fakeDeps{}
-		d := newFake("a", e, f, false)
+		d := newFakeDispatcher("a", e, f, false)
 		defer d.Close()
 		a, p := d.Submit(t.Context(), submission("r1", "body"))
 		assert.Assert(t, p == nil)
--- a/internal/dispatch/reader.go
+++ b/internal/dispatch/reader.go
@@ -9,13 +9,13 @@
 // reader is one caller's view of a run.
 type reader struct {
 	run  *run
-	wake chan struct{} // of size 1: wakes are joined
-	buf  []string      // of the last part, reused
+	wake chan struct{} // of capacity 1: pending signals are merged
+	buf  []string      // tokens of the last part, reused
 }
 
 var _ gateway.Answer = (*reader)(nil)
 
-func (r *run) reader() *reader {
+func (r *run) newReader() *reader {
 	rd := &reader{run: r, wake: make(chan struct{}, 1)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -16,9 +16,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/routing"
 )
 
-// extendEvery is how often a run renews its lease on the workspace's
-// concurrency: well within the lease.
-const extendEvery = 5 * time.Second
+// extendInterval is how often a run renews its lease on its workspace's
+// concurrency. It must be well below the duration of the lease.
+const extendInterval = 5 * time.Second
 
 // run is one request with its attempts and readers.
 type run struct {
@@ -28,40 +28,40 @@
 	completion engineapi.CompletionRequest
 	body       []byte
 	route      routing.Request // its Exclude is set for each pick
-	owner      string          // in the ledger
+	owner      string          // of the intent in the ledger
 
-	mu        sync.Mutex
-	life      *request.Life
-	transfer  uint64 // under which it is held here
-	opened    bool   // some attempt was answered, so the request is accepted
-	end       *gateway.Part
-	usage     engineapi.Usage
-	readers   map[*reader]struct{}
-	timer     *time.Timer
-	armed     time.Time // when timer fires
-	extended  time.Time
-	cancel    context.CancelFunc // of the newest attempt's connection
-	released  bool               // given back to admission
-	firstAt   time.Time          // of the first piece here
-	firstLen  int                // of the answer with that piece
-	delivered bool               // some reader came to the end of the whole answer
-	moved     atomic.Bool        // handed over: only readers still ask for it
+	mu                sync.Mutex
+	life              *request.Life
+	transfer          uint64 // number of the transfer by which it came here, 0 if none
+	accepted          bool   // an engine has begun to answer
+	end               *gateway.Part
+	usage             engineapi.Usage
+	readers           map[*reader]struct{}
+	timer             *time.Timer
+	firesAt           time.Time // when timer fires, zero after it has fired
+	lastExtended      time.Time
+	cancel            context.CancelFunc // of the newest attempt's connection
+	admissionReleased bool               // or the admission is another daemon's to release
+	firstAt           time.Time          // when this daemon read its first piece
+	firstLen          int                // length of the answer with that piece, in tokens
+	delivered         bool               // a reader has read the complete answer to its end
+	handedOver        atomic.Bool        // to another daemon; the run is only kept for readers
 }
 
 func (d *Dispatcher) newRun(now time.Time, s *gateway.Submission, ref request.Ref, digest request.Digest) *run {
-	r := d.bareRun(ref, digest, s.Completion, s.Body)
+	r := d.newBareRun(ref, digest, s.Completion, s.Body)
 	spec := request.Spec{
 		Ref:           ref,
-		NonIdempotent: d.o.NonIdempotent(r.route.Model, ref.Workspace),
-		Deadline:      now.Add(d.o.Timeout),
+		NonIdempotent: d.opts.NonIdempotent(r.route.Model, ref.Workspace),
+		Deadline:      now.Add(d.opts.Timeout),
 		PromptTokens:  r.route.PromptTokens,
 	}
-	r.life = request.NewLife(spec, d.o.Policy, runBudget{d.budget, r})
+	r.life = request.NewLife(spec, d.opts.Policy, runBudget{d.budget, r})
 	return r
 }
 
-// bareRun returns a run without a life.
-func (d *Dispatcher) bareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
+// newBareRun returns a run whose life is still to be set.
+func (d *Dispatcher) newBareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
 	model := fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version}
 	blocks, tokens := prompt.Leading(model, c.Messages, nil)
 	return &run{
@@ -70,7 +70,7 @@
 		digest:     digest,
 		completion: c,
 		body:       body,
-		owner:      newOwner(d.o.Daemon),
+		owner:      newOwner(d.opts.Daemon),
 		readers:    make(map[*reader]struct{}),
 		route: routing.Request{
 			ID:           ref.ID,
@@ -79,33 +79,34 @@
 			Blocks:       blocks,
 			PromptTokens: tokens,
 			MaxTokens:    c.MaxTokens,
-			Priority:     d.o.Priority(ref.Workspace),
+			Priority:     d.opts.Priority(ref.Workspace),
 		},
 	}
 }
 
-// newOwner names one wish to dispatch in the ledger. Failure: the answer is no
-// longer kept and its key is sent again. Symptom: an owner named by the key
-// alone would find its own record and run the request a second time.
+// newOwner returns a unique owner for an intent in the ledger. An owner derived
+// from the request's key alone would take an old record for its own when the
+// key is sent again after its answer was dropped, and the request would run a
+// second time.
 func newOwner(daemon fleet.DaemonID) string {
 	return string(daemon) + "/" + uuid.Must(uuid.NewV7()).String()
 }
 
-// do lets the life take an event and carries out its actions.
-func (r *run) do(event func(now time.Time) []request.Action) {
+// apply applies an event to the life and performs the resulting actions.
+func (r *run) apply(event func(now time.Time) []request.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perform(event(time.Now()))
 }
 
-// perform carries out actions. Called with the lock held.
+// perform performs actions of the life. Called with r.mu held.
 func (r *run) perform(actions []request.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case request.Dispatch:
-			r.attempt(attempt{number: a.Attempt, avoid: a.Avoid})
+			r.startAttempt(attempt{number: a.Attempt, avoid: a.Avoid})
 		case request.Continue:
-			r.attempt(attempt{number: a.Attempt, avoid: a.Avoid, endpoint: a.Endpoint, kv: a.KV, text: r.life.Answer().Tokens(0)[:a.From]})
+			r.startAttempt(attempt{number: a.Attempt, avoid: a.Avoid, endpoint: a.Endpoint, kv: a.KV, text: r.life.Answer().Tokens(0)[:a.From]})
 		case request.ResumeStream:
 			r.resume(a)
 		case request.MoveKV:
@@ -113,28 +114,29 @@
 		case request.CancelStream:
 			r.cancelStream(a)
 		case request.Finish:
-			r.finish(&gateway.Part{Done: true, Usage: r.wholeUsage()})
+			r.finish(&gateway.Part{Done: true, Usage: r.totalUsage()})
 		case request.Fail:
 			r.finish(&gateway.Part{Failure: problemOf(a)})
 		case request.Transfer:
-			r.movedTo(a.To)
+			r.endHandedOver(a.To)
 		}
 	}
 	r.arm()
 }
 
-// wholeUsage returns what the answer cost. The last attempt may have been
-// given text that others generated, so the count is the answer's own.
-func (r *run) wholeUsage() engineapi.Usage {
+// totalUsage returns the usage of the complete answer. The last engine may have
+// continued text that others generated, so the completion tokens are those of
+// the answer.
+func (r *run) totalUsage() engineapi.Usage {
 	u := r.usage
 	u.PromptTokens = max(u.PromptTokens, r.route.PromptTokens)
 	u.CompletionTokens = r.life.Answer().Len()
 	return u
 }
 
-// arm sets the timer for the life's next deadline. The timer is left alone
-// while it fires early enough: a token moves the deadline on, and must not
-// cost a timer operation.
+// arm sets the timer for the life's next deadline. A timer that fires no later
+// than that is left as it is: each token postpones the deadline, and must not
+// cost a timer operation. Called with r.mu held.
 func (r *run) arm() {
 	next := r.life.Next()
 	if next.IsZero() {
@@ -143,10 +145,10 @@
 		}
 		return
 	}
-	if r.timer != nil && !r.armed.IsZero() && !next.Before(r.armed) {
+	if r.timer != nil && !r.firesAt.IsZero() && !next.Before(r.firesAt) {
 		return
 	}
-	r.armed = next
+	r.firesAt = next
 	wait := time.Until(next)
 	if r.timer == nil {
 		r.timer = time.AfterFunc(wait, r.tick)
@@ -158,11 +160,11 @@
 func (r *run) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.armed = time.Time{}
+	r.firesAt = time.Time{}
 	r.perform(r.life.Tick(time.Now()))
 }
 
-// wake tells every reader that there is something to read.
+// wake signals all readers that there is something to read. Called with r.mu held.
 func (r *run) wake() {
 	for reader := range r.readers {
 		select {
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -15,9 +15,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// start admits a new run and makes its first dispatch. A refusal ends it.
+// start admits a new run and performs its first dispatch. A refusal ends the run.
 func (d *Dispatcher) start(ctx context.Context, r *run) {
-	if p := d.o.Admission.Admit(ctx, r.ask()); p != nil {
+	if p := d.opts.Admission.Admit(ctx, r.admissionRequest()); p != nil {
 		r.refuse(p)
 		return
 	}
@@ -27,14 +27,14 @@
 			return
 		}
 	}
-	d.o.Locator.Announce(r.holding(false))
+	d.opts.Locator.Announce(r.holding(false))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.extended = time.Now()
-	r.perform(r.life.Start(r.extended))
+	r.lastExtended = time.Now()
+	r.perform(r.life.Start(r.lastExtended))
 }
 
-func (r *run) ask() admission.Request {
+func (r *run) admissionRequest() admission.Request {
 	return admission.Request{
 		ID:           r.ref.ID,
 		Workspace:    r.ref.Workspace,
@@ -45,9 +45,9 @@
 	}
 }
 
-// intend records a non-idempotent request in the ledger before its dispatch.
+// intend records a non-idempotent request in the ledger before it is dispatched.
 func (r *run) intend(ctx context.Context) *problem.Problem {
-	in := r.d.o.Intents.Intend(ctx, r.ref, r.owner, r.digest)
+	in := r.d.opts.Intents.Intend(ctx, r.ref, r.owner, r.digest)
 	switch {
 	case in.Granted:
 		r.owner = in.Owner
@@ -63,37 +63,39 @@
 	return directory.Holding{
 		Request:   r.ref.ID,
 		Workspace: r.ref.Workspace,
-		Holder:    r.d.o.Instance,
+		Holder:    r.d.opts.Instance,
 		Transfer:  r.transfer,
 		Finished:  finished,
 	}
 }
 
-// refuse ends a run that was never dispatched, and forgets it: a later try
-// with the same key starts afresh.
+// refuse ends a run that was never dispatched and removes it, so that a later
+// request with the same key starts from scratch.
 func (r *run) refuse(p *problem.Problem) {
 	r.mu.Lock()
 	r.end = &gateway.Part{Failure: p}
 	r.wake()
 	r.mu.Unlock()
 	r.mu.Lock()
-	r.release()
+	r.releaseAdmission()
 	r.mu.Unlock()
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	r.d.table.Remove(r.ref)
-	r.d.drop(r)
+	r.d.removeRun(r)
 }
 
-// drop forgets a run, unless another took its place. Called with the lock held.
-func (d *Dispatcher) drop(r *run) {
+// removeRun removes a run, unless another has replaced it. Called with d.mu held.
+func (d *Dispatcher) removeRun(r *run) {
 	if d.runs[r.ref] == r {
 		delete(d.runs, r.ref)
 	}
 }
 
-// forget takes a run that was handed over out of the table.
-func (r *run) forget() {
+// removeFromTable removes the table's entry of a run that was handed over, unless
+// another run has replaced it. The run stays in d.runs until a sweep, so that
+// readers get the address of the new holder.
+func (r *run) removeFromTable() {
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
 	if r.d.runs[r.ref] == r {
@@ -101,30 +103,31 @@
 	}
 }
 
-// accepted notes that an engine answers, from where on the request is
-// accepted. Called with the lock held.
-func (r *run) accepted(now time.Time) {
-	if r.opened {
+// markAccepted marks the request as accepted, because an engine has begun to
+// answer. Called with r.mu held.
+func (r *run) markAccepted(now time.Time) {
+	if r.accepted {
 		return
 	}
-	r.opened = true
+	r.accepted = true
 	r.life.Accepted(now)
 	r.wake()
 }
 
-// accept waits until the request is accepted or refused. Refusing is honest
-// only until then, so an endpoint must have answered first.
-func (r *run) accept(ctx context.Context) (gateway.Answer, *problem.Problem) {
-	rd := r.reader()
+// waitAccepted waits until the request is accepted or refused. An accepted
+// request can't be refused any more, so it is only accepted once an endpoint has
+// begun to answer.
+func (r *run) waitAccepted(ctx context.Context) (gateway.Answer, *problem.Problem) {
+	rd := r.newReader()
 	for {
 		r.mu.Lock()
-		opened, end := r.opened, r.end
+		accepted, end := r.accepted, r.end
 		r.mu.Unlock()
-		if end != nil && end.Failure != nil && !opened {
+		if end != nil && end.Failure != nil && !accepted {
 			rd.Close()
 			return nil, end.Failure
 		}
-		if opened || end != nil {
+		if accepted || end != nil {
 			return rd, nil
 		}
 		select {
@@ -136,75 +139,77 @@
 	}
 }
 
-// abandon ends a request whose only caller left before it was accepted.
+// abandon cancels a request whose only caller left before it was accepted.
 func (r *run) abandon() *problem.Problem {
 	r.mu.Lock()
-	alone := len(r.readers) == 0 && !r.opened
+	alone := len(r.readers) == 0 && !r.accepted
 	r.mu.Unlock()
 	if alone {
-		r.do(r.life.Cancel)
+		r.apply(r.life.Cancel)
 	}
 	return problem.New(http.StatusServiceUnavailable, verdict.MayHaveRun, "the caller left before the request was accepted")
 }
 
-// finish ends the run. Called with the lock held.
+// finish ends the run; end is the last part of its answer. Called with r.mu held.
 func (r *run) finish(end *gateway.Part) {
 	r.end = end
 	if r.cancel != nil {
 		r.cancel()
 	}
 	r.wake()
-	r.release()
-	go r.ended()
+	r.releaseAdmission()
+	go r.cleanUp()
 }
 
-// release gives the run's place back to admission, once.
-func (r *run) release() {
-	if r.released {
+// releaseAdmission ends the run's admission, once. Called with r.mu held.
+func (r *run) releaseAdmission() {
+	if r.admissionReleased {
 		return
 	}
-	r.released = true
+	r.admissionReleased = true
 	answer := r.life.Answer().Len()
 	u := admission.Usage{PromptTokens: r.route.PromptTokens, CompletionTokens: answer}
 	u.NotRun = r.end != nil && r.end.Failure != nil && r.end.Failure.Verdict == verdict.NotRun
-	r.d.o.Admission.Release(r.ref.ID, u)
+	r.d.opts.Admission.Release(r.ref.ID, u)
 }
 
-// ended does what needs no lock of the run: the table, the directory, the ledger.
-func (r *run) ended() {
+// cleanUp updates the hand-over, the table, the directory and the ledger after
+// the end of the run. Called without r.mu.
+func (r *run) cleanUp() {
 	v := verdict.Ran
 	if r.end.Failure != nil {
 		v = r.end.Failure.Verdict
 	}
 	if r.end.MovedTo != "" {
-		r.forget()
+		r.removeFromTable()
 		return
 	}
-	r.d.finishedHere(r.ref)
-	r.d.o.Observer.Ended(v.String())
+	r.d.reportFinished(r.ref)
+	r.d.opts.Observer.Ended(v.String())
 	r.d.mu.Lock()
 	if v == verdict.NotRun {
 		r.d.table.Remove(r.ref)
-		r.d.drop(r)
+		r.d.removeRun(r)
 	} else {
 		r.d.table.Finish(time.Now(), r.ref)
 	}
 	r.d.mu.Unlock()
 	if v != verdict.NotRun {
-		r.d.o.Locator.Announce(r.holding(true))
+		r.d.opts.Locator.Announce(r.holding(true))
 	}
 	if r.life.Spec().NonIdempotent && v == verdict.Ran {
-		r.d.o.Intents.Settle(r.ref, r.owner, r.digest, ledger.Outcome{Status: http.StatusOK, ContentType: "text/plain", Body: []byte(r.life.Answer().Text())})
+		r.d.opts.Intents.Settle(r.ref, r.owner, r.digest, ledger.Outcome{Status: http.StatusOK, ContentType: "text/plain", Body: []byte(r.life.Answer().Text())})
 	}
 }
 
-// movedTo ends the run here because daemon to holds it now. Called with the lock held.
-func (r *run) movedTo(to fleet.DaemonID) {
-	r.moved.Store(true)
-	r.finish(&gateway.Part{MovedTo: r.d.o.Address(to)})
+// endHandedOver ends the run because daemon to holds the request now. Called
+// with r.mu held.
+func (r *run) endHandedOver(to fleet.DaemonID) {
+	r.handedOver.Store(true)
+	r.finish(&gateway.Part{MovedTo: r.d.opts.CallerAddress(to)})
 }
 
-// problemOf turns the life's failure into what the caller sees.
+// problemOf returns the response to the caller of a failed request.
 func problemOf(f request.Fail) *problem.Problem {
 	status := http.StatusBadGateway
 	switch f.Reason {
