--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -20,7 +20,7 @@
 		Loads:         packLoads(p.Soft.Load),
 		WantLevels:    p.WantLevels,
 		Fetches:       p.Fetches,
-		Recent:        p.Soft.Recent,
+		Recent:        p.Soft.JustStarted,
 		WallMs:        p.Wall.UnixMilli(),
 		Holder:        encodeHolder(p.Holder),
 		Endpoints:     encodePosition(p.Endpoints),
@@ -43,7 +43,7 @@
 	}
 	for service, w := range p.Soft.Work {
 		out.Works = append(out.Works, &exchangepb.Work{
-			Service: service, Requests: uint64(w.Requests), Refused: uint64(w.Refused), Hold: w.Hold, Read: w.Read, Prompt: w.Prompt,
+			Service: service, Requests: uint64(w.Requests), Refused: uint64(w.Refused), Hold: w.SlotSeconds, Read: w.Prefill, Prompt: w.Prompt,
 		})
 	}
 	for id, begun := range p.Windows {
@@ -60,11 +60,11 @@
 	p := Part{
 		Daemon:  fleet.DaemonID(r.Daemon),
 		Version: r.ConfigVersion,
-		Soft: relay.Soft{
-			Spent:  decodeSpent(r.Spent),
-			Recent: r.Recent,
-			Load:   unpackLoads(r.Loads),
-			Work:   make(map[string]relay.Work, len(r.Works)),
+		Soft: relay.SoftState{
+			Spent:       decodeSpent(r.Spent),
+			JustStarted: r.Recent,
+			Load:        unpackLoads(r.Loads),
+			Work:        make(map[string]relay.Work, len(r.Works)),
 		},
 		Windows: make(map[uint64]Begun, len(r.Windows)),
 		Wall:    time.UnixMilli(r.WallMs),
@@ -97,7 +97,7 @@
 	}
 	for _, w := range r.Works {
 		p.Soft.Work[w.Service] = relay.Work{
-			Requests: int(w.Requests), Refused: int(w.Refused), Hold: w.Hold, Read: w.Read, Prompt: w.Prompt,
+			Requests: int(w.Requests), Refused: int(w.Refused), SlotSeconds: w.Hold, Prefill: w.Read, Prompt: w.Prompt,
 		}
 	}
 	for _, w := range r.Windows {
@@ -126,7 +126,7 @@
 func encodeSum(s *Sum) *exchangepb.Totals {
 	out := &exchangepb.Totals{
 		Spent:         encodeSpent(s.Soft.Spent),
-		Recent:        s.Soft.Recent,
+		Recent:        s.Soft.JustStarted,
 		ConfigVersion: s.Version,
 		Config:        s.Text,
 		Holder:        encodeHolder(s.Holder),
@@ -155,7 +155,7 @@
 		Version:   t.ConfigVersion,
 		Text:      t.Config,
 		VersionAt: t.ConfigRevision,
-		Soft:      relay.Soft{Spent: decodeSpent(t.Spent), Recent: t.Recent, Levels: decodeSpent(t.Levels)},
+		Soft:      relay.SoftState{Spent: decodeSpent(t.Spent), JustStarted: t.Recent, Levels: decodeSpent(t.Levels)},
 		Holder:    decodeHolder(t.Holder),
 		Endpoints: decodeList(t.Endpoints),
 		Fresh:     time.Duration(t.FreshMs) * time.Millisecond,
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -194,7 +194,7 @@
 func fleetPart(i int) Part {
 	p := Part{
 		Daemon: fleet.DaemonID(fmt.Sprintf("5-%036d", i)), Wall: start,
-		Soft: relay.Soft{
+		Soft: relay.SoftState{
 			Spent: map[fleet.WorkspaceID]float64{}, Load: balance.Loads{},
 			Work: map[string]relay.Work{"engines": {Requests: 1}, "services": {Requests: 1}},
 		},
@@ -230,7 +230,7 @@
 			for b.Loop() {
 				part := decodePart(report)
 				h.Take(start, time.Second, part)
-				sum := Sum{Soft: relay.Soft{Spent: h.Spent(start, part.Daemon)}, Loads: h.Loads(start, part.Daemon)}
+				sum := Sum{Soft: relay.SoftState{Spent: h.Spent(start, part.Daemon)}, Loads: h.Loads(start, part.Daemon)}
 				bytes = sizeOf(encodeSum(&sum))
 			}
 			b.ReportMetric(float64(sizeOf(report)), "B/report")
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -110,7 +110,7 @@
 		part: p, at: at, skew: time.Duration(p.Wall.UnixNano()) - steady, base: p.Soft.Spent,
 		direct: direct, turn: h.turn, counted: h.turn,
 	}
-	if p.Soft.Recent {
+	if p.Soft.JustStarted {
 		next.base = nil
 	}
 	old, moved := h.parts[p.Daemon], false
@@ -305,8 +305,8 @@
 			sum := out[s]
 			sum.Requests += w.Requests
 			sum.Refused += w.Refused
-			sum.Hold += w.Hold
-			sum.Read += w.Read
+			sum.SlotSeconds += w.SlotSeconds
+			sum.Prefill += w.Prefill
 			sum.Prompt += w.Prompt
 			out[s] = sum
 		}
--- a/internal/exchange/hub_test.go
+++ b/internal/exchange/hub_test.go
@@ -26,7 +26,7 @@
 func part(id fleet.DaemonID, spent float64, requests int, begun uint64) Part {
 	return Part{
 		Daemon: id,
-		Soft: relay.Soft{
+		Soft: relay.SoftState{
 			Spent: map[fleet.WorkspaceID]float64{"w": spent},
 			Load:  balance.Loads{anEndpoint: {Requests: requests}},
 		},
@@ -70,7 +70,7 @@
 	p := part("a", 1.5, 2, 3)
 	p.Holder = Holder{Daemon: "b", Token: 6}
 	p.Version = 4
-	p.Soft.Work = map[string]relay.Work{"s": {Requests: 1, Refused: 2, Hold: 2.5, Read: 7}}
+	p.Soft.Work = map[string]relay.Work{"s": {Requests: 1, Refused: 2, SlotSeconds: 2.5, Prefill: 7}}
 	p.Endpoints, p.Brief, p.WantLevels, p.Fetches = feed.Position{Epoch: 8, Seq: 9, Revision: 4}, true, true, true
 	p.Rollouts = []rollout.Report{{
 		Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Asked: 3, Exposed: 1, Running: 2, Moved: true,
@@ -84,7 +84,7 @@
 		}},
 	}
 	assert.DeepEqual(t, decodePart(encodePart(&p)), p)
-	s := Sum{Version: 4, Text: []byte("text"), VersionAt: 77, Soft: relay.Soft{Spent: p.Soft.Spent, Levels: p.Soft.Spent}, True: start, Holder: Holder{Daemon: "a", Token: 7}}
+	s := Sum{Version: 4, Text: []byte("text"), VersionAt: 77, Soft: relay.SoftState{Spent: p.Soft.Spent, Levels: p.Soft.Spent}, True: start, Holder: Holder{Daemon: "a", Token: 7}}
 	s.Fresh, s.Rollouts = 300*time.Millisecond, p.RolloutNews
 	s.Endpoints = feed.Update{
 		To: feed.Position{Epoch: 1, Seq: 2, Revision: 6}, Full: true, Keys: []rendezvous.Short{7, 8},
--- a/internal/exchange/part.go
+++ b/internal/exchange/part.go
@@ -18,7 +18,7 @@
 type Part struct {
 	Daemon  fleet.DaemonID
 	Version uint64 // of its configuration
-	Soft    relay.Soft
+	Soft    relay.SoftState
 	Windows map[uint64]Begun // none: as told before
 	Wall    time.Time        // the daemon's time of day
 	Holder  Holder
@@ -71,9 +71,9 @@
 	// VersionAt is the store's revision up to which the hub knows all versions,
 	// 0 where it has not listed them.
 	VersionAt uint64
-	Soft      relay.Soft // Spent and Levels
-	Loads     *Loads     // nil where the report was brief
-	True      time.Time  // the fleet's time; zero where not known
+	Soft      relay.SoftState // Spent and Levels
+	Loads     *Loads          // nil where the report was brief
+	True      time.Time       // the fleet's time; zero where not known
 	Holder    Holder
 	// Endpoints leads to the hub's list.
 	Endpoints feed.Update
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Held implements relay.Guard.
-func (c *crashes) Held(key func() quarantine.Key) time.Duration {
+// HeldFor implements relay.Guard.
+func (c *crashes) HeldFor(key func() quarantine.Key) time.Duration {
 	if c.table.HeldCount() == 0 { // nearly always: the clock is a system call
 		return 0
 	}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -81,9 +81,9 @@
 }
 func (s *sinkLog) Refuse(r relay.Refusal) { s.refusal = &r }
 func (s *sinkLog) Begin(int, http.Header) {}
-func (s *sinkLog) Events([]byte) error    { return nil }
+func (s *sinkLog) WriteBody([]byte) error { return nil }
 func (s *sinkLog) End()                   {}
-func (s *sinkLog) Break()                 {}
+func (s *sinkLog) Abort()                 {}
 
 // fleetOf is daemons on one store.
 type fleetOf struct {
--- a/internal/node/keptlimits.go
+++ b/internal/node/keptlimits.go
@@ -41,7 +41,7 @@
 // was spent since that no reader could know of.
 func (k *limitsKeeper) due(now time.Time) bool {
 	ago := now.Sub(k.last)
-	return !k.busy && (ago >= checkpointInterval || k.duties.node.state.LimitsFallen(now, ago, k.limits))
+	return !k.busy && (ago >= checkpointInterval || k.duties.node.state.CheckpointsOutdated(now, ago, k.limits))
 }
 
 // step writes when that is due.
@@ -50,7 +50,7 @@
 		return
 	}
 	n := k.duties.node
-	k.last, k.limits = now, n.state.KeepLimits(now)
+	k.last, k.limits = now, n.state.LimitCheckpoints(now)
 	text, err := json.Marshal(keptLimits{n.clock.Now(), n.members.number(), k.limits, n.crashes.table.Snapshot()})
 	if err != nil {
 		k.duties.log.WithError(err).Error("limits not encoded")
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -54,7 +54,7 @@
 		outcome = "failed"
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf(`cyclamenbeam_requests_total{route=%q,outcome=%q}`, o.Route, outcome)).Inc()
-	if o.Rollout != "" {
+	if o.RolloutTarget != "" {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`cyclamenbeam_version_requests_total{service=%q,version=%q,outcome=%q}`, o.Service, o.Version, outcome)).Inc()
 	}
 	if o.First > 0 {
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -149,7 +149,7 @@
 	t.mu.Lock()
 	t.holder = t.holder.Newer(sum.Holder)
 	t.mu.Unlock()
-	t.node.state.Adopt(time.Now(), sum.Soft.Levels)
+	t.node.state.AdoptLevels(time.Now(), sum.Soft.Levels)
 }
 
 // fresh returns how old this daemon's word from the store is: its own, or that of the
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -73,19 +73,19 @@
 func (r *requestLog) write(o *relay.Outcome) {
 	f := logrus.Fields{
 		"part": "requests", "id": o.ID, "route": o.Route, "workspace": o.Workspace, "endpoint": o.Endpoint,
-		"config": o.Config, "reached": o.Reached, "unreached": o.Unreached, "status": o.Status,
+		"config": o.ConfigVersion, "reached": o.Reached, "unreached": o.Unreached, "status": o.Status,
 		"verdict": o.Verdict.String(), "predicted_ms": o.Predicted.Milliseconds(),
 		"first_ms": o.First.Milliseconds(), "total_ms": o.Total.Milliseconds(), "events": o.Events,
-		"left_ms": o.Left.Milliseconds(), "tokens": o.Tokens, "retry_after_ms": o.RetryAfter.Milliseconds(),
+		"left_ms": o.TimeLeft.Milliseconds(), "tokens": o.Tokens, "retry_after_ms": o.RetryAfter.Milliseconds(),
 	}
-	if !o.Since.IsZero() {
-		f["config_since"] = o.Since.UTC().Format(logging.TimeFormat)
+	if !o.ConfiguredAt.IsZero() {
+		f["config_since"] = o.ConfiguredAt.UTC().Format(logging.TimeFormat)
 	}
-	if o.Rollout != "" {
-		f["version"], f["rollout"], f["rollout_share"] = o.Version, o.Rollout, o.Share
+	if o.RolloutTarget != "" {
+		f["version"], f["rollout"], f["rollout_share"] = o.Version, o.RolloutTarget, o.RolloutShare
 	}
-	if o.Pause > 0 {
-		f["pause_ms"] = o.Pause.Milliseconds()
+	if o.LongestPause > 0 {
+		f["pause_ms"] = o.LongestPause.Milliseconds()
 	}
 	if o.Late != relay.InTime {
 		f["late"] = o.Late
@@ -93,8 +93,8 @@
 	if o.Cause != nil {
 		f["cause"] = o.Cause.Error()
 	}
-	if o.Request != (quarantine.Key{}) {
-		f["request"] = o.Request.String()
+	if o.RequestKey != (quarantine.Key{}) {
+		f["request"] = o.RequestKey.String()
 	}
 	if o.FirstCause != nil {
 		f["first_cause"] = o.FirstCause.Error()
--- a/internal/node/rolloutduty.go
+++ b/internal/node/rolloutduty.go
@@ -205,7 +205,7 @@
 func (d *rolloutDuty) view(service string) rollout.View {
 	n := d.node
 	v := rollout.View{Routes: map[string]bool{}, ReportInterval: n.movingInterval()}
-	v.Old, v.New = n.state.Versions(service)
+	v.Old, v.New = n.state.VersionCounts(service)
 	for _, id := range n.members.ids() {
 		v.Daemons = append(v.Daemons, string(id))
 	}
@@ -232,7 +232,7 @@
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
 		news.Splits = append(news.Splits, d.running[service].decider.Split(fleetNow))
 	}
-	d.node.state.HearRollouts(now, news)
+	d.node.state.MergeRollouts(now, news)
 }
 
 // movingInterval is the time between two reports while a service moves: what is
--- a/internal/node/scalingduty.go
+++ b/internal/node/scalingduty.go
@@ -61,14 +61,14 @@
 		Service:         service,
 		Serving:         map[scaling.Place]int{},
 		Leaving:         map[scaling.Place]int{},
-		PrefillCapacity: s.duties.node.state.ReadRate(),
+		PrefillCapacity: s.duties.node.state.PrefillRate(),
 		Seconds:         elapsed.Seconds(),
 	}
 	// A total is smaller than before where a daemon that is gone was forgotten,
 	// and a holder's first totals are no difference.
 	if last, ok := s.work[service.Name]; ok {
-		out.Slots = max(work.Hold-last.Hold, 0) / out.Seconds
-		out.Prefill = max(work.Read-last.Read, 0) / out.Seconds
+		out.Slots = max(work.SlotSeconds-last.SlotSeconds, 0) / out.Seconds
+		out.Prefill = max(work.Prefill-last.Prefill, 0) / out.Seconds
 		out.Prompt = max(work.Prompt-last.Prompt, 0) / out.Seconds
 	}
 	s.work[service.Name] = work
--- a/internal/node/telling.go
+++ b/internal/node/telling.go
@@ -103,14 +103,14 @@
 	}
 	t.node.rollouts.told.hear(p.Daemon, p.Rollouts)
 	now := time.Now()
-	t.node.state.HearRollouts(now, p.RolloutNews)
+	t.node.state.MergeRollouts(now, p.RolloutNews)
 	steady := t.node.clock.Steady()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hub.Take(now, steady, p)
 	t.takeRelayed(now, steady, &p)
 	t.holder = t.holder.Newer(p.Holder)
-	sum := exchange.Sum{Soft: relay.Soft{Recent: t.node.gathering()}, Holder: t.holder, Packed: p.Unpacks}
+	sum := exchange.Sum{Soft: relay.SoftState{JustStarted: t.node.gathering()}, Holder: t.holder, Packed: p.Unpacks}
 	relayer := p.Hub && p.Daemon != t.node.id
 	if !relayer {
 		sum.Soft.Spent = t.hub.Spent(now, p.Daemon)
@@ -180,19 +180,19 @@
 		interval = exchange.MeshStartInterval(l.reporters)
 	case t.node.gathering():
 		interval = exchange.StartInterval(l.reporters)
-	case t.node.state.Moving(now):
+	case t.node.state.AnyMoving(now):
 		interval = t.node.movingInterval()
 	case l.meshed:
-		if t.node.state.ShortSpent(now) || t.lostHub() {
+		if t.node.state.UnreportedNearLimit(now) || t.lostHub() {
 			interval = exchange.UrgentInterval(l.reporters)
 		}
-	case t.node.state.LimitsShort(now):
+	case t.node.state.NearLimit(now):
 		interval = exchange.UrgentInterval(l.reporters)
 	}
 	if t.relays(l) {
 		interval = min(interval, exchange.RelayInterval)
 	}
-	t.node.state.SetInterval(now, interval)
+	t.node.state.SetReportInterval(now, interval)
 	return interval
 }
 
@@ -214,7 +214,7 @@
 	t.node.state.KeepHubs(kept)
 	t.checkLister()
 	answered := make(chan struct{}, len(targets))
-	soft := t.node.state.Own()
+	soft := t.node.state.OwnState()
 	for _, address := range targets {
 		go func() {
 			defer func() { answered <- struct{}{} }()
@@ -286,7 +286,7 @@
 
 // one tells one hub, itself without a call, and uses its sum. A hub that has not
 // answered yet isn't told again meanwhile.
-func (t *telling) one(ctx context.Context, address string, soft relay.Soft) {
+func (t *telling) one(ctx context.Context, address string, soft relay.SoftState) {
 	if !t.enter(address) {
 		return
 	}
@@ -319,7 +319,7 @@
 
 // part returns this daemon's part for a hub, with what it has of its own in this round,
 // and up to where it tells crashes.
-func (t *telling) part(address string, soft relay.Soft) (exchange.Part, quarantine.Position) {
+func (t *telling) part(address string, soft relay.SoftState) (exchange.Part, quarantine.Position) {
 	p := exchange.Part{
 		Daemon:  t.node.id,
 		Version: t.node.config.current().Version,
@@ -328,7 +328,7 @@
 		Soft:    soft,
 		Wall:    time.Now(),
 	}
-	p.Soft.Recent = t.node.gathering()
+	p.Soft.JustStarted = t.node.gathering()
 	p.Rollouts, p.RolloutNews = t.node.state.RolloutReports(p.Wall), t.node.state.Rollouts(p.Wall)
 	l := t.node.members.layout()
 	t.mu.Lock()
@@ -379,7 +379,7 @@
 	if sum.Loads != nil {
 		sum.Soft.Load = sum.Loads.Others()
 	}
-	t.node.state.Others(now, address, sum.Soft)
+	t.node.state.SetOthers(now, address, sum.Soft)
 }
 
 // useNews takes what a hub knows from the store and of the roll-outs.
@@ -387,7 +387,7 @@
 	sum.Fresh += took
 	sum.Rollouts.Age += took
 	sum.Rollouts.OrdersAge += took
-	t.node.state.HearRollouts(time.Now(), sum.Rollouts)
+	t.node.state.MergeRollouts(time.Now(), sum.Rollouts)
 	t.node.watching.told(sum.Fresh)
 	t.list(address, sum)
 	t.mu.Lock()
--- a/internal/quota/fleetsize_test.go
+++ b/internal/quota/fleetsize_test.go
@@ -321,7 +321,7 @@
 		}
 		spent := map[fleet.WorkspaceID]float64{testWorkspace: q.Spent()[testWorkspace]}
 		f.hubs[name].Take(now, t, exchange.Part{
-			Daemon: id, Soft: relay.Soft{Spent: spent, Recent: justRestarted}, Wall: now, Seq: f.seqs[i], Spare: n > 0,
+			Daemon: id, Soft: relay.SoftState{Spent: spent, JustStarted: justRestarted}, Wall: now, Seq: f.seqs[i], Spare: n > 0,
 		})
 		q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), justRestarted)
 	}
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -9,14 +9,14 @@
 
 // admitted is a request that was let in.
 type admitted struct {
-	table     *route.Table
-	since     time.Time // when the table was put in force
-	route     *route.Route
-	workspace *route.Workspace // nil without a credential
-	service   string
-	cost      float64 // taken from the workspace's limit
-	until     time.Time
-	priority  int
+	table        *route.Table
+	configuredAt time.Time // when the table was put in force
+	route        *route.Route
+	workspace    *route.Workspace // nil without a credential
+	service      string
+	cost         float64 // taken from the workspace's limit
+	deadline     time.Time
+	priority     int
 }
 
 // admit matches a request with its route and workspace and takes it from the
@@ -25,9 +25,9 @@
 func (s *State) admit(now time.Time, r *Request) (*admitted, *Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := &admitted{table: s.table, since: s.since}
+	a := &admitted{table: s.table, configuredAt: s.configuredAt}
 	if s.table == nil {
-		return a, notRun(NoConfiguration, retryNoConfiguration)
+		return a, notRun(NoConfiguration, noConfigurationRetryAfter)
 	}
 	a.route = s.table.Match(r.Host, r.Path)
 	if a.route == nil {
@@ -43,24 +43,24 @@
 			a.priority = *a.workspace.Priority
 		}
 	}
-	a.until = r.Deadline
-	if end := r.Received.Add(a.route.Timeout); a.route.Timeout > 0 && end.Before(a.until) {
-		a.until = end
+	a.deadline = r.Deadline
+	if end := r.Received.Add(a.route.Timeout); a.route.Timeout > 0 && end.Before(a.deadline) {
+		a.deadline = end
 	}
 	a.service = a.route.Backend(s.rng.Float64())
 	if a.workspace != nil {
 		a.cost = a.workspace.Cost(r.tokens())
 		wait, ok := s.quota.Take(now, a.workspace, a.cost)
 		if !ok {
-			return a, notRun(OverLimit, spread(wait, s.rng.Float64()))
+			return a, notRun(OverLimit, jitter(wait, s.rng.Float64()))
 		}
 	}
 	s.budget(a.service).Request(now)
 	return a, nil
 }
 
-// giveBack returns what an admitted request took, after it was not run.
-func (s *State) giveBack(a *admitted) {
+// refund returns what an admitted request took, after it was not run.
+func (s *State) refund(a *admitted) {
 	if a.workspace == nil {
 		return
 	}
@@ -69,13 +69,13 @@
 	s.quota.Refund(a.workspace, a.cost)
 }
 
-// retryNoConfiguration is when a daemon without a configuration should have
+// noConfigurationRetryAfter is when a daemon without a configuration should have
 // one: the first list takes some round trips.
-const retryNoConfiguration = 200 * time.Millisecond
+const noConfigurationRetryAfter = 200 * time.Millisecond
 
-// spread draws from one to one and a half times a wait, so that callers who
+// jitter draws from one to one and a half times a wait, so that callers who
 // were refused together don't come back together.
-func spread(wait time.Duration, draw float64) time.Duration {
+func jitter(wait time.Duration, draw float64) time.Duration {
 	return wait + time.Duration(draw*float64(wait)/2)
 }
 
--- /dev/null
+++ b/internal/relay/attempts.go
@@ -0,0 +1,115 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/zeebo/errs"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/balance"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
+)
+
+// trackedAttempt is one attempt's place in the shared state.
+type trackedAttempt struct {
+	inflight       *inflight
+	choice         balance.Choice
+	sent           time.Time
+	firstPieceSeen bool
+	abort          context.CancelCauseFunc // ends the attempt
+	// counter counts it for a roll-out, nil for none.
+	counter *rollout.Counter
+	toNew   bool
+}
+
+// errRestarted ends attempts at an endpoint that has started again.
+var errRestarted = errs.New("the endpoint has started again")
+
+// pick chooses an endpoint for a flight, or says why there is none.
+func (s *State) pick(now time.Time, f *inflight) (balance.Choice, *Refusal) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	choice, ok := s.pickAllowed(now, f)
+	if !ok {
+		return choice, notRun(NoEndpoint, jitter(noEndpointRetryAfter, s.rng.Float64()))
+	}
+	if !f.workCounted {
+		f.workCounted = true
+		if counter := s.rollouts.counters[f.service]; counter != nil {
+			counter.CountRequest()
+		}
+		s.work.countRequest(f.service, f.balanceReq.Output, f.balanceReq.Prompt, max(f.balanceReq.Prompt-choice.Cached, 0))
+	}
+	if wait := overloadWait(f, choice, now); wait > 0 {
+		s.work.countRefused(f.service)
+		return choice, notRun(Overloaded, jitter(wait, s.rng.Float64()))
+	}
+	return choice, nil
+}
+
+// overloadWait returns after how long a request could be served that would miss
+// its target by far at the best endpoint; 0 where it is worth an attempt. A
+// late answer is worth a tenth and takes the place of one in time. The less
+// urgent give way first. A route without a target is always worth one.
+func overloadWait(f *inflight, c balance.Choice, now time.Time) time.Duration {
+	if f.tally.reached > 0 || f.headSent || f.route.Target <= 0 {
+		return 0
+	}
+	limit := f.route.Target
+	if f.priority == 0 {
+		limit += limit / 2
+	}
+	wait := time.Duration(c.Wait * float64(time.Second))
+	if now.Add(wait).Sub(f.request.Received) <= limit {
+		return 0
+	}
+	return max(wait-limit/2, noEndpointRetryAfter)
+}
+
+// noEndpointRetryAfter is when a repeat may find what was missing: a list of
+// endpoints is at most some hundred milliseconds old.
+const noEndpointRetryAfter = 250 * time.Millisecond
+
+// refuseBusy refuses a request that endpoints did not take.
+func (s *State) refuseBusy(f *inflight, reason Reason) *Refusal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.work.countRefused(f.service)
+	return notRun(reason, jitter(noEndpointRetryAfter, s.rng.Float64()))
+}
+
+func (s *State) takeRetry(now time.Time, service string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.budget(service).Take(now)
+}
+
+func (s *State) sent(t *trackedAttempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.balancer.Sent(t.inflight.balanceReq, t.choice)
+	s.countSent(t)
+	id := t.choice.Endpoint.ID
+	if s.attempts[id] == nil {
+		s.attempts[id] = map[*trackedAttempt]struct{}{}
+	}
+	s.attempts[id][t] = struct{}{}
+}
+
+func (s *State) firstPiece(t *trackedAttempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.balancer.FirstToken(t.inflight.balanceReq, t.choice, time.Since(t.sent).Seconds())
+}
+
+func (s *State) done(now time.Time, t *trackedAttempt, o balance.Outcome) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.balancer.Done(now, t.inflight.balanceReq, t.choice, t.firstPieceSeen, o)
+	s.countDone(now, t, o)
+	id := t.choice.Endpoint.ID
+	delete(s.attempts[id], t)
+	if len(s.attempts[id]) == 0 {
+		delete(s.attempts, id)
+	}
+}
--- a/internal/relay/conclude.go
+++ b/internal/relay/conclude.go
@@ -9,40 +9,40 @@
 )
 
 // conclude gives the caller its final answer.
-func (f *flight) conclude(ctx context.Context, s step, refusal *Refusal, kept *keptAnswer) {
+func (f *inflight) conclude(ctx context.Context, s step, refusal *Refusal, buffered *bufferedAnswer) {
 	f.outcome.Events, f.outcome.Reached, f.outcome.Unreached = f.events.count, f.tally.reached, f.tally.unreached
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		f.outcome.Reason = CallerLeft
-		if f.begun {
-			f.sink.Break()
+		if f.headSent {
+			f.sink.Abort()
 		}
-	case s == answer && kept != nil && !f.begun:
-		f.sink.Whole(kept.status, kept.header, kept.body)
-	case s == answer && kept == nil && f.begun:
+	case s == answer && buffered != nil && !f.headSent:
+		f.sink.Whole(buffered.status, buffered.header, buffered.body)
+	case s == answer && buffered == nil && f.headSent:
 		f.sink.End()
-	case f.begun:
-		f.outcome.Reason = f.failure(ctx)
-		f.sink.Break()
+	case f.headSent:
+		f.outcome.Reason = f.failureReason(ctx)
+		f.sink.Abort()
 	default:
 		f.refuse(ctx, s, refusal)
 	}
 	if f.tally.ran == 0 {
-		f.relay.state.giveBack(&f.admitted)
+		f.relay.state.refund(&f.admitted)
 	}
 }
 
 // refuse sends this daemon's own answer.
-func (f *flight) refuse(ctx context.Context, s step, refusal *Refusal) {
+func (f *inflight) refuse(ctx context.Context, s step, refusal *Refusal) {
 	switch {
 	case refusal != nil && refusal.Reason == Quarantined:
 		refusal.Verdict = f.verdict()
 	case s == fail || f.tally.ran > 0:
-		refusal = &Refusal{Reason: f.failure(ctx), Verdict: verdict.MayHaveRun}
+		refusal = &Refusal{Reason: f.failureReason(ctx), Verdict: verdict.MayHaveRun}
 	case refusal == nil && f.tally.reached > 0:
-		refusal = f.relay.state.busy(f, Shed)
+		refusal = f.relay.state.refuseBusy(f, Shed)
 	case refusal == nil:
-		refusal = f.relay.state.busy(f, NoEndpoint)
+		refusal = f.relay.state.refuseBusy(f, NoEndpoint)
 	}
 	f.outcome.Reason = refusal.Reason
 	f.outcome.Verdict = refusal.Verdict
@@ -51,16 +51,16 @@
 }
 
 // verdict says whether some endpoint may have run the request.
-func (f *flight) verdict() verdict.Verdict {
+func (f *inflight) verdict() verdict.Verdict {
 	if f.tally.ran > 0 {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
 }
 
-// failure names the reason of a request that may have run.
-func (f *flight) failure(ctx context.Context) Reason {
-	if ctx.Err() != nil || time.Until(f.until) < enough {
+// failureReason names the reason of a request that may have run.
+func (f *inflight) failureReason(ctx context.Context) Reason {
+	if ctx.Err() != nil || time.Until(f.deadline) < minTimeLeft {
 		return TimedOut
 	}
 	return Broken
--- a/internal/relay/order_test.go
+++ b/internal/relay/configversion_test.go
@@ -14,27 +14,27 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
 )
 
-// life is one run of a daemon's process.
-type life struct {
-	state  *State
-	newest uint64 // the newest version that this life was told
-	served uint64 // the version that its last request was decided by
+// process is one run of a daemon's process.
+type process struct {
+	state    *State
+	newest   uint64 // the newest version that this life was told
+	lastUsed uint64 // the version that its last request was decided by
 }
 
-func newLife() *life {
+func newProcess() *process {
 	rng := rand.New(rand.NewPCG(1, 2))
-	return &life{state: NewState("a", quota.New(false, quota.Tolerance{}), retry.Config{Window: time.Second}, rng)}
+	return &process{state: NewState("a", quota.New(false, quota.Tolerance{}), retry.Config{Window: time.Second}, rng)}
 }
 
-// tell hands a version to a daemon, as the store's answer or another daemon's.
-func (l *life) tell(version uint64) {
-	l.state.Configure(time.Unix(1000, 0), route.New(route.Table{Version: version}))
-	l.newest = max(l.newest, version)
+// configure hands a version to a daemon, as the store's answer or another daemon's.
+func (p *process) configure(version uint64) {
+	p.state.Configure(time.Unix(1000, 0), route.New(route.Table{Version: version}))
+	p.newest = max(p.newest, version)
 }
 
-// ask returns the version that decides a request, 0 where none does.
-func (l *life) ask(t *rapid.T) uint64 {
-	a, refusal := l.state.admit(time.Unix(1000, 0), &Request{Host: "h", Path: "/"})
+// decidingVersion returns the version that decides a request, 0 where none does.
+func (p *process) decidingVersion(t *rapid.T) uint64 {
+	a, refusal := p.state.admit(time.Unix(1000, 0), &Request{Host: "h", Path: "/"})
 	if a.table == nil {
 		assert.Equal(t, refusal.Reason, NoConfiguration)
 		return 0
@@ -47,15 +47,15 @@
 // and start with nothing. In one life of a daemon requests must be decided by
 // the newest version that it was told, so that none is taken back; a daemon that
 // was told none must refuse as not run.
-func TestConfigurationsAreInForceInTheirOrder(t *testing.T) {
+func TestConfigurationNeverReturnsToAnOlderVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		daemons := [4]*life{}
+		daemons := [4]*process{}
 		for i := range daemons {
-			daemons[i] = newLife()
+			daemons[i] = newProcess()
 		}
 		versions := []uint64{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			l := daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "daemon")]
+			p := daemons[rapid.IntRange(0, len(daemons)-1).Draw(t, "daemon")]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0: // a new version is acknowledged
 				last := uint64(0)
@@ -65,19 +65,19 @@
 				versions = append(versions, last+rapid.Uint64Range(1, 5).Draw(t, "step"))
 			case 1, 2: // the store answers, perhaps late
 				if len(versions) > 0 {
-					l.tell(rapid.SampledFrom(versions).Draw(t, "version"))
+					p.configure(rapid.SampledFrom(versions).Draw(t, "version"))
 				}
 			case 3: // another daemon tells what it has
 				if v := rapid.SampledFrom(daemons[:]).Draw(t, "teller").newest; v > 0 {
-					l.tell(v)
+					p.configure(v)
 				}
 			case 4:
-				*l = *newLife()
+				*p = *newProcess()
 			case 5:
-				got := l.ask(t)
-				assert.Equal(t, got, l.newest)
-				assert.Assert(t, got >= l.served)
-				l.served = got
+				got := p.decidingVersion(t)
+				assert.Equal(t, got, p.newest)
+				assert.Assert(t, got >= p.lastUsed)
+				p.lastUsed = got
 			}
 		}
 	})
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -2,10 +2,10 @@
 
 import "bytes"
 
-// events cuts an event stream at the borders of events. An endpoint may stop
+// eventBuffer cuts an event stream at the borders of eventBuffer. An endpoint may stop
 // in the middle of one; a caller, or another endpoint that goes on with the
 // stream, must never see that half.
-type events struct {
+type eventBuffer struct {
 	buf    []byte
 	lastID string
 	count  int // whole events so far
@@ -13,35 +13,35 @@
 
 // add takes bytes and returns the whole events among those held, valid until
 // the next call.
-func (e *events) add(p []byte) []byte {
+func (e *eventBuffer) add(p []byte) []byte {
 	e.buf = append(e.buf, p...)
-	end := bytes.LastIndex(e.buf, border)
+	end := bytes.LastIndex(e.buf, eventEnd)
 	if end < 0 {
 		return nil
 	}
-	end += len(border)
+	end += len(eventEnd)
 	whole := e.buf[:end]
-	e.note(whole)
+	e.record(whole)
 	return whole
 }
 
-// border ends an event.
-var border = []byte("\n\n")
+// eventEnd ends an event.
+var eventEnd = []byte("\n\n")
 
 // consume lets the whole events that add returned go.
-func (e *events) consume(n int) {
+func (e *eventBuffer) consume(n int) {
 	e.buf = e.buf[:copy(e.buf, e.buf[n:])]
 }
 
 // partial reports whether an event has begun and not ended.
-func (e *events) partial() bool { return len(e.buf) > 0 }
+func (e *eventBuffer) partial() bool { return len(e.buf) > 0 }
 
-// drop forgets the half event of an endpoint that stopped.
-func (e *events) drop() { e.buf = e.buf[:0] }
+// discardPartial forgets the half event of an endpoint that stopped.
+func (e *eventBuffer) discardPartial() { e.buf = e.buf[:0] }
 
-// note counts events and remembers the last id.
-func (e *events) note(whole []byte) {
-	e.count += bytes.Count(whole, border)
+// record counts events and remembers the last id.
+func (e *eventBuffer) record(whole []byte) {
+	e.count += bytes.Count(whole, eventEnd)
 	for at := len(whole); at > 0; {
 		start := bytes.LastIndexByte(whole[:at-1], '\n') + 1
 		line := whole[start:at]
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEventsAreCutAtBorders(t *testing.T) {
-	var e events
+func TestEventsAreSplitAtTheirEnds(t *testing.T) {
+	var e eventBuffer
 	assert.Equal(t, len(e.add([]byte("id: 1\nda"))), 0)
 	assert.Assert(t, e.partial())
 	whole := e.add([]byte("ta: a\n\nid: 2\ndata: b\n\nid: 3\n"))
@@ -17,7 +17,7 @@
 	assert.Equal(t, e.lastID, "2")
 	assert.Equal(t, e.count, 2)
 	assert.Assert(t, e.partial())
-	e.drop()
+	e.discardPartial()
 	whole = e.add([]byte("id: 3\ndata: c\n\n"))
 	assert.Equal(t, string(whole), "id: 3\ndata: c\n\n")
 	e.consume(len(whole))
@@ -31,7 +31,7 @@
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\n"), uint8(3))
 	f.Add([]byte("x-v: 2\nid: 7\ndata: \n\n\n\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, stream []byte, size uint8) {
-		var e events
+		var e eventBuffer
 		var out []byte
 		for rest := stream; len(rest) > 0; {
 			n := min(int(size)+1, len(rest))
@@ -41,7 +41,7 @@
 			rest = rest[n:]
 		}
 		assert.Assert(t, bytes.HasPrefix(stream, out))
-		assert.Assert(t, len(out) == 0 || bytes.HasSuffix(out, border))
+		assert.Assert(t, len(out) == 0 || bytes.HasSuffix(out, eventEnd))
 		assert.Equal(t, len(out)+len(e.buf), len(stream))
 	})
 }
--- /dev/null
+++ b/internal/relay/inflight.go
@@ -0,0 +1,249 @@
+package relay
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/balance"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
+)
+
+const (
+	// maxBufferedBytes bounds an answer that is held until it is whole; a longer
+	// one is passed on as it comes. Plain answers are some kilobytes.
+	maxBufferedBytes = 1 << 20
+	// minTimeLeft is the time without which no further attempt is made.
+	minTimeLeft = 30 * time.Millisecond
+)
+
+// inflight is one admitted request under way. It belongs to one goroutine.
+type inflight struct {
+	relay   *Relay
+	request *Request
+	admitted
+	sink       Sink
+	balanceReq *balance.Request
+	tally      tally
+	// headSent says that the caller has the head of an answer.
+	headSent bool
+	// workCounted says that it was counted as work for the service.
+	workCounted bool
+	// beganReported says that the observer was told that it began to run.
+	beganReported bool
+	// requestKey is the request's key, zero until it is asked for.
+	requestKey quarantine.Key
+	// lastPieceAt is when the caller was last sent a piece of a stream.
+	lastPieceAt time.Time
+	events      eventBuffer
+	outcome     Outcome
+}
+
+func newInflight(r *Relay, q *Request, a *admitted, sink Sink) *inflight {
+	f := &inflight{relay: r, request: q, admitted: *a, sink: sink, balanceReq: q.balanceRequest(a.service)}
+	f.events.lastID = q.LastEvent
+	f.outcome = initialOutcome(q, a)
+	f.outcome.Service = a.service
+	return f
+}
+
+// initialOutcome returns what is known of a request's outcome before any attempt.
+func initialOutcome(q *Request, a *admitted) Outcome {
+	o := Outcome{ID: q.ID, Verdict: verdict.NotRun, Tokens: q.tokens()}
+	if a.table != nil {
+		o.ConfigVersion = a.table.Version
+		o.ConfiguredAt = a.configuredAt
+	}
+	if a.route != nil {
+		o.Route = a.route.Name
+	}
+	if a.workspace != nil {
+		o.Workspace = a.workspace.Name
+	}
+	return o
+}
+
+// run makes attempts until the caller has its final answer.
+func (f *inflight) run(ctx context.Context) {
+	var failed *bufferedAnswer // of the last attempt that an endpoint failed
+	for {
+		choice, refusal := f.choose()
+		if refusal != nil && failed != nil {
+			f.outcome.Failed = true
+			f.conclude(ctx, answer, nil, failed)
+			return
+		}
+		if refusal != nil {
+			f.conclude(ctx, giveUp(f.tally), refusal, nil)
+			return
+		}
+		result, buffered := f.attempt(ctx, choice)
+		if result.class == Failure && result.complete {
+			failed = buffered
+		}
+		result.timeLeft = ctx.Err() == nil && time.Until(f.deadline) > minTimeLeft
+		step := next(f.route, f.tally, result, f.takeRetry)
+		if step == again {
+			f.outcome.keepFirstCause()
+			f.balanceReq.Tried = append(f.balanceReq.Tried, choice.Endpoint.ID)
+			continue
+		}
+		f.conclude(ctx, step, nil, buffered)
+		return
+	}
+}
+
+// choose returns where the next attempt goes, or why there is none.
+func (f *inflight) choose() (balance.Choice, *Refusal) {
+	if refusal := f.refuseHeld(); refusal != nil {
+		return balance.Choice{}, refusal
+	}
+	return f.relay.state.pick(time.Now(), f)
+}
+
+func (f *inflight) takeRetry() bool { return f.relay.state.takeRetry(time.Now(), f.service) }
+
+// bufferedAnswer is an endpoint's whole answer that was not passed on yet.
+type bufferedAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// attempt sends the request to an endpoint once and takes its answer in.
+func (f *inflight) attempt(ctx context.Context, c balance.Choice) (attemptResult, *bufferedAnswer) {
+	f.outcome.Endpoint, f.outcome.Version = c.Endpoint.ID, c.Endpoint.Version
+	f.outcome.Predicted = time.Duration(c.Wait * float64(time.Second))
+	sent := time.Now()
+	attemptCtx, abort := context.WithCancelCause(ctx)
+	defer abort(nil)
+	t := &trackedAttempt{inflight: f, choice: c, sent: sent, abort: abort}
+	e, buffered, err := f.exchange(attemptCtx, t)
+	if cause := context.Cause(attemptCtx); ctx.Err() == nil && cause != nil {
+		err = cause
+	}
+	f.outcome.Cause = err
+	if closedByEndpoint(ctx, attemptCtx, e, err) {
+		f.reportCut(t)
+	}
+	f.outcome.Failed = e.class == Failure && e.complete
+	switch {
+	case !e.reached:
+		f.tally.unreached++
+	case e.verdict == verdict.NotRun:
+		f.tally.reached++
+	default:
+		f.tally.reached++
+		f.tally.ran++
+		f.outcome.Verdict = e.verdict
+		if f.route.Kind != route.Streaming || e.complete && e.class != Success {
+			f.reportBegan(sent)
+		}
+	}
+	f.relay.state.done(time.Now(), t, balanceOutcome(ctx, e))
+	return e, buffered
+}
+
+// balanceOutcome says what an attempt's end tells about its endpoint.
+func balanceOutcome(ctx context.Context, e attemptResult) balance.Outcome {
+	switch {
+	case e.class == Success && e.complete, e.class == Rejected:
+		return balance.Answered
+	case !e.reached && ctx.Err() == nil, e.class == Misdirected:
+		return balance.Unreachable
+	case ctx.Err() == context.Canceled:
+		return balance.Abandoned
+	case e.verdict == verdict.NotRun:
+		return balance.Refused
+	default:
+		return balance.Failed
+	}
+}
+
+// exchange is one request and its answer on one connection.
+func (f *inflight) exchange(ctx context.Context, t *trackedAttempt) (attemptResult, *bufferedAnswer, error) {
+	call := f.call(t)
+	f.relay.state.sent(t)
+	a, err := f.relay.pool.Send(ctx, call)
+	if err != nil {
+		v := verdict.Of(err)
+		return attemptResult{verdict: v, reached: v != verdict.NotRun}, nil, err
+	}
+	defer a.Close()
+	class := f.relay.protocol.Classify(a.Status, a.Header)
+	e := attemptResult{class: class, reached: true, verdict: verdict.Ran}
+	if class == Refused || class == Misdirected {
+		e.verdict = verdict.NotRun
+	}
+	f.outcome.Status = a.Status
+	if class == Success && f.route.Kind == route.Streaming {
+		err := f.forwardStream(t, a)
+		e.complete = err == nil
+		return e, nil, err
+	}
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBytes+1))
+	if err != nil {
+		return e, nil, err
+	}
+	f.firstPiece(t)
+	if len(body) > maxBufferedBytes {
+		err := f.forwardLong(a, body)
+		e.complete = err == nil
+		return e, nil, err
+	}
+	e.complete = true
+	return e, &bufferedAnswer{status: a.Status, header: f.relay.protocol.Answer(a.Header), body: body}, nil
+}
+
+// call builds the send of an attempt.
+func (f *inflight) call(t *trackedAttempt) *upstream.Call {
+	attempt := &Attempt{
+		Endpoint:  t.choice.Endpoint,
+		Workspace: f.outcome.Workspace,
+		Priority:  f.priority,
+		LastEvent: f.events.lastID,
+		FetchFrom: t.choice.FetchFrom,
+	}
+	c := &upstream.Call{
+		Address: t.choice.Endpoint.Address,
+		Method:  f.request.Method,
+		Target:  f.request.Target,
+		Host:    f.request.Host,
+		Header: func() http.Header {
+			attempt.TimeLeft = time.Until(f.deadline)
+			return f.relay.protocol.Header(f.request, attempt)
+		},
+		Body: f.request.Body,
+		Owns: f.relay.protocol.Owns(f.request),
+	}
+	canRetry := f.route.Repeatable() && f.tally.ran+1 < f.route.MaxAttempts
+	c.Patience = stallTimeout(canRetry, f.outcome.Predicted)
+	if canRetry && f.route.Kind == route.Idempotent {
+		c.HeadTimeout = max(time.Until(f.deadline)/2, f.route.Target)
+	}
+	return c
+}
+
+// firstPiece notes an attempt's firstPiece token.
+func (f *inflight) firstPiece(t *trackedAttempt) {
+	if !t.firstPieceSeen {
+		t.firstPieceSeen = true
+		f.relay.state.firstPiece(t)
+		f.relay.guard.Ran(&t.choice.Endpoint, t.sent, f.key)
+		if f.outcome.First == 0 {
+			f.outcome.First = time.Since(f.request.Received)
+		}
+	}
+}
+
+// reportBegan tells the observer, once, that an endpoint reportBegan to run the request.
+func (f *inflight) reportBegan(at time.Time) {
+	if !f.beganReported && f.workspace != nil {
+		f.beganReported = true
+		f.relay.observer.Began(f.workspace.Name, at)
+	}
+}
--- a/internal/relay/flight_test.go
+++ b/internal/relay/inflight_test.go
@@ -50,9 +50,9 @@
 func (plainProtocol) Classify(status int, _ http.Header) Class {
 	switch {
 	case status == http.StatusServiceUnavailable:
-		return Refusing
+		return Refused
 	case status == http.StatusMisdirectedRequest:
-		return Stranger
+		return Misdirected
 	case status < 300:
 		return Success
 	case status < 500:
@@ -63,8 +63,8 @@
 
 func (plainProtocol) Answer(h http.Header) http.Header { return h.Clone() }
 
-// seen is what a caller gets.
-type seen struct {
+// recordingSink is what a caller gets.
+type recordingSink struct {
 	status  int
 	body    strings.Builder
 	refusal *Refusal
@@ -72,51 +72,51 @@
 	broken  bool
 }
 
-func (s *seen) Whole(status int, _ http.Header, body []byte) {
+func (s *recordingSink) Whole(status int, _ http.Header, body []byte) {
 	s.status, s.ended = status, true
 	s.body.Write(body)
 }
-func (s *seen) Refuse(r Refusal)                { s.refusal = &r }
-func (s *seen) Begin(status int, _ http.Header) { s.status = status }
-func (s *seen) Events(p []byte) error           { s.body.Write(p); return nil }
-func (s *seen) End()                            { s.ended = true }
-func (s *seen) Break()                          { s.broken = true }
+func (s *recordingSink) Refuse(r Refusal)                { s.refusal = &r }
+func (s *recordingSink) Begin(status int, _ http.Header) { s.status = status }
+func (s *recordingSink) WriteBody(p []byte) error        { s.body.Write(p); return nil }
+func (s *recordingSink) End()                            { s.ended = true }
+func (s *recordingSink) Abort()                          { s.broken = true }
 
-// watcher keeps what the relay reports.
-type watcher struct {
+// recorder keeps what the relay reports.
+type recorder struct {
 	mu    sync.Mutex
 	begun int
 	cuts  []ends.Cut
 	last  Outcome
-	hold  map[quarantine.Key]time.Duration
+	held  map[quarantine.Key]time.Duration
 	ran   []quarantine.Key
 }
 
-func (w *watcher) Held(key func() quarantine.Key) time.Duration {
+func (w *recorder) HeldFor(key func() quarantine.Key) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.hold[key()]
+	return w.held[key()]
 }
 
-func (w *watcher) Ran(_ *roster.Endpoint, _ time.Time, key func() quarantine.Key) {
+func (w *recorder) Ran(_ *roster.Endpoint, _ time.Time, key func() quarantine.Key) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ran = append(w.ran, key())
 }
 
-func (w *watcher) Began(fleet.WorkspaceID, time.Time) {
+func (w *recorder) Began(fleet.WorkspaceID, time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.begun++
 }
 
-func (w *watcher) Cut(c ends.Cut) {
+func (w *recorder) Cut(c ends.Cut) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cuts = append(w.cuts, c)
 }
 
-func (w *watcher) Ended(o *Outcome) {
+func (w *recorder) Ended(o *Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.last = *o
@@ -125,9 +125,9 @@
 // engine answers each request with what its script returns for the number of
 // requests so far; it counts those that it runs.
 type engine struct {
-	script func(n int, r *http.Request) string
-	mu     sync.Mutex
-	got    []*http.Request
+	script   func(n int, r *http.Request) string
+	mu       sync.Mutex
+	received []*http.Request
 }
 
 func (e *engine) serve(c net.Conn) {
@@ -140,8 +140,8 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		e.mu.Lock()
-		n := len(e.got)
-		e.got = append(e.got, req)
+		n := len(e.received)
+		e.received = append(e.received, req)
 		e.mu.Unlock()
 		answer := e.script(n, req)
 		_, _ = io.WriteString(c, strings.ReplaceAll(answer, "ID", req.Header.Get("Id")))
@@ -154,21 +154,21 @@
 func (e *engine) runs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.got)
+	return len(e.received)
 }
 
-// stage is a relay before some engines.
-type stage struct {
-	relay   *Relay
-	state   *State
-	watcher *watcher
-	engines []*engine
+// fixture is a relay before some engines.
+type fixture struct {
+	relay    *Relay
+	state    *State
+	recorder *recorder
+	engines  []*engine
 }
 
-func newStage(t *testing.T, routes []route.Route, engines ...*engine) *stage {
+func newFixture(t *testing.T, routes []route.Route, engines ...*engine) *fixture {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, 2))
-	s := &stage{watcher: &watcher{}, engines: engines}
+	s := &fixture{recorder: &recorder{}, engines: engines}
 	s.state = NewState("a", quota.New(true, quota.Tolerance{}), retry.Config{Window: 10 * time.Second, Ratio: 0.2, Slack: 50}, rng)
 	var all []roster.Endpoint
 	for i := range engines {
@@ -189,12 +189,12 @@
 		},
 	}))
 	s.state.SetEndpoints(time.Now(), all)
-	s.relay = New(s.state, upstream.NewPool(4, s.dial(t)), plainProtocol{}, s.watcher, s.watcher)
+	s.relay = New(s.state, upstream.NewPool(4, s.dial(t)), plainProtocol{}, s.recorder, s.recorder)
 	return s
 }
 
 // dial connects to an engine by a pipe that ends with the test.
-func (s *stage) dial(t *testing.T) upstream.Dialer {
+func (s *fixture) dial(t *testing.T) upstream.Dialer {
 	return func(_ context.Context, address string) (net.Conn, error) {
 		i, err := strconv.Atoi(strings.TrimPrefix(address, "e"))
 		if err != nil {
@@ -207,8 +207,8 @@
 	}
 }
 
-func (s *stage) ask(ctx context.Context, path string) *seen {
-	out := &seen{}
+func (s *fixture) send(ctx context.Context, path string) *recordingSink {
+	out := &recordingSink{}
 	now := time.Now()
 	s.relay.Serve(ctx, &Request{
 		ID: "r1", Method: "POST", Target: path, Path: path, Host: "h", Key: "key",
@@ -217,7 +217,7 @@
 	return out
 }
 
-func (s *stage) runs() int {
+func (s *fixture) runs() int {
 	n := 0
 	for _, e := range s.engines {
 		n += e.runs()
@@ -226,36 +226,38 @@
 }
 
 var (
-	order  = route.Route{Name: "order", Prefix: "/order/", Kind: route.NonIdempotent, MaxAttempts: 3}
-	lookup = route.Route{Name: "lookup", Prefix: "/lookup/", Kind: route.Idempotent, MaxAttempts: 2}
-	stream = route.Route{Name: "stream", Prefix: "/stream/", Kind: route.Streaming, MaxAttempts: 2, Resumable: true}
-	once   = route.Route{Name: "once", Prefix: "/once/", Kind: route.Streaming, MaxAttempts: 2}
+	orderRoute        = route.Route{Name: "order", Prefix: "/order/", Kind: route.NonIdempotent, MaxAttempts: 3}
+	lookupRoute       = route.Route{Name: "lookup", Prefix: "/lookup/", Kind: route.Idempotent, MaxAttempts: 2}
+	streamRoute       = route.Route{Name: "stream", Prefix: "/stream/", Kind: route.Streaming, MaxAttempts: 2, Resumable: true}
+	notResumableRoute = route.Route{Name: "once", Prefix: "/once/", Kind: route.Streaming, MaxAttempts: 2}
 )
 
-func all() []route.Route { return []route.Route{order, lookup, stream, once} }
+func testRoutes() []route.Route {
+	return []route.Route{orderRoute, lookupRoute, streamRoute, notResumableRoute}
+}
 
-func whole(status int, text string) string {
+func response(status int, text string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nId: ID\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text)
 }
 
-func always(answer string) *engine {
+func alwaysAnswers(answer string) *engine {
 	return &engine{script: func(int, *http.Request) string { return answer }}
 }
 
 func TestAnswerIsPassedOnWhole(t *testing.T) {
-	s := newStage(t, all(), always(whole(200, "done")))
-	got := s.ask(t.Context(), "/order/1")
+	s := newFixture(t, testRoutes(), alwaysAnswers(response(200, "done")))
+	got := s.send(t.Context(), "/order/1")
 	assert.Equal(t, got.body.String(), "done")
-	assert.Equal(t, s.watcher.begun, 1)
-	assert.Equal(t, s.watcher.last.Verdict, verdict.Ran)
+	assert.Equal(t, s.recorder.begun, 1)
+	assert.Equal(t, s.recorder.last.Verdict, verdict.Ran)
 }
 
 // An order reaches an engine, which closes the connection without an answer.
 // Sent to the other engine, it could be run twice; said to be not run, the
 // caller would send it again. It must leave once and be told as may have run.
-func TestOrderWithoutAnAnswerIsNotRepeated(t *testing.T) {
-	s := newStage(t, all(), always(""), always(""))
-	got := s.ask(t.Context(), "/order/1")
+func TestOrderWithoutAnAnswerIsNotRetried(t *testing.T) {
+	s := newFixture(t, testRoutes(), alwaysAnswers(""), alwaysAnswers(""))
+	got := s.send(t.Context(), "/order/1")
 	assert.Equal(t, s.runs(), 1)
 	assert.Equal(t, got.refusal.Verdict, verdict.MayHaveRun)
 	assert.Equal(t, got.refusal.Reason, Broken)
@@ -263,10 +265,10 @@
 
 // The first engine says that it did not run the order: proof, so that the
 // second may.
-func TestRefusedOrderGoesElsewhere(t *testing.T) {
-	refusing := whole(503, "full")
-	s := newStage(t, all(), always(refusing), always(refusing), always(refusing), always(refusing))
-	got := s.ask(t.Context(), "/order/1")
+func TestRefusedOrderIsRetriedElsewhere(t *testing.T) {
+	refusing := response(503, "full")
+	s := newFixture(t, testRoutes(), alwaysAnswers(refusing), alwaysAnswers(refusing), alwaysAnswers(refusing), alwaysAnswers(refusing))
+	got := s.send(t.Context(), "/order/1")
 	assert.Equal(t, s.runs(), 4) // three attempts that may run it, and one more for a refusal
 	assert.Equal(t, got.refusal.Verdict, verdict.NotRun)
 	assert.Equal(t, got.refusal.Reason, Shed)
@@ -275,7 +277,7 @@
 }
 
 // A lookup may run twice: a failure of one engine is not the caller's.
-func TestFailedLookupIsRepeated(t *testing.T) {
+func TestFailedLookupIsRetried(t *testing.T) {
 	first := true
 	var mu sync.Mutex
 	script := func(int, *http.Request) string {
@@ -283,12 +285,12 @@
 		defer mu.Unlock()
 		if first {
 			first = false
-			return whole(500, "broken")
+			return response(500, "broken")
 		}
-		return whole(200, "done")
+		return response(200, "done")
 	}
-	s := newStage(t, all(), &engine{script: script}, &engine{script: script})
-	got := s.ask(t.Context(), "/lookup/1")
+	s := newFixture(t, testRoutes(), &engine{script: script}, &engine{script: script})
+	got := s.send(t.Context(), "/lookup/1")
 	assert.Equal(t, got.body.String(), "done")
 	assert.Equal(t, s.runs(), 2)
 }
@@ -297,15 +299,15 @@
 // other to repeat it at. The caller must get that answer, not one of ours in its
 // place.
 func TestFailureIsPassedOnWhereThereIsNoOtherEngine(t *testing.T) {
-	s := newStage(t, all(), always(whole(500, "broken")))
-	got := s.ask(t.Context(), "/lookup/1")
+	s := newFixture(t, testRoutes(), alwaysAnswers(response(500, "broken")))
+	got := s.send(t.Context(), "/lookup/1")
 	assert.Equal(t, got.status, 500)
 	assert.Equal(t, got.body.String(), "broken")
-	assert.Equal(t, s.watcher.last.Verdict, verdict.Ran)
-	assert.Assert(t, s.watcher.last.Failed)
+	assert.Equal(t, s.recorder.last.Verdict, verdict.Ran)
+	assert.Assert(t, s.recorder.last.Failed)
 }
 
-func head() string {
+func streamHead() string {
 	return "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
@@ -313,21 +315,21 @@
 
 // An engine dies in the middle of an event. The other engine goes on after the
 // last whole one; the caller sees each event once and no half of one.
-func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
+func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	script := func(_ int, r *http.Request) string {
 		if r.Header.Get("After") == "" {
-			return head() + chunk("id: 1\ndata: a\n\nid: 2\ndata: cut")
+			return streamHead() + chunk("id: 1\ndata: a\n\nid: 2\ndata: cut")
 		}
-		return head() + chunk("id: 2\ndata: b\n\n") + chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n"
+		return streamHead() + chunk("id: 2\ndata: b\n\n") + chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n"
 	}
 	a, b := &engine{script: script}, &engine{script: script}
-	s := newStage(t, all(), a, b)
-	got := s.ask(t.Context(), "/stream/1")
+	s := newFixture(t, testRoutes(), a, b)
+	got := s.send(t.Context(), "/stream/1")
 	assert.Equal(t, got.body.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
 	assert.Assert(t, got.ended && !got.broken)
-	assert.Equal(t, s.watcher.begun, 1)
+	assert.Equal(t, s.recorder.begun, 1)
 	for _, e := range []*engine{a, b} {
-		for _, r := range e.got {
+		for _, r := range e.received {
 			assert.Assert(t, r.Header.Get("After") == "" || r.Header.Get("After") == "1")
 		}
 	}
@@ -336,8 +338,8 @@
 // The same on a route whose streams can't go on. The caller must see that the
 // answer is cut short, never a clean end.
 func TestBrokenStreamNeverLooksComplete(t *testing.T) {
-	s := newStage(t, all(), always(head()+chunk("id: 1\ndata: a\n\nid: 2\ndata: cut")), always(""))
-	got := s.ask(t.Context(), "/once/1")
+	s := newFixture(t, testRoutes(), alwaysAnswers(streamHead()+chunk("id: 1\ndata: a\n\nid: 2\ndata: cut")), alwaysAnswers(""))
+	got := s.send(t.Context(), "/once/1")
 	if got.refusal != nil { // the other engine was chosen
 		assert.Equal(t, got.refusal.Verdict, verdict.MayHaveRun)
 		return
@@ -348,35 +350,35 @@
 
 // The second engine fails a stream that is under way with an answer of its own.
 // Ended as if complete, the caller would take a part for the whole.
-func TestFailureMidwayNeverLooksComplete(t *testing.T) {
+func TestFailureInAResumedStreamNeverLooksComplete(t *testing.T) {
 	script := func(_ int, r *http.Request) string {
 		if r.Header.Get("After") == "" {
-			return head() + chunk("id: 1\ndata: a\n\nid: 2\ncut")
+			return streamHead() + chunk("id: 1\ndata: a\n\nid: 2\ncut")
 		}
-		return whole(500, "broken")
+		return response(500, "broken")
 	}
-	s := newStage(t, all(), &engine{script: script}, &engine{script: script})
-	got := s.ask(t.Context(), "/stream/1")
+	s := newFixture(t, testRoutes(), &engine{script: script}, &engine{script: script})
+	got := s.send(t.Context(), "/stream/1")
 	assert.Assert(t, got.broken && !got.ended)
 	assert.Equal(t, got.body.String(), "id: 1\ndata: a\n\n")
 }
 
 // Another endpoint has got the address meanwhile. It must not run the request,
 // and says so; the next endpoint gets it.
-func TestStrangerAtTheAddress(t *testing.T) {
-	s := newStage(t, all(), always(whole(421, "")), always(whole(421, "")), always(whole(200, "done")))
-	got := s.ask(t.Context(), "/order/1")
+func TestMisdirectedRequestIsRetriedElsewhere(t *testing.T) {
+	s := newFixture(t, testRoutes(), alwaysAnswers(response(421, "")), alwaysAnswers(response(421, "")), alwaysAnswers(response(200, "done")))
+	got := s.send(t.Context(), "/order/1")
 	assert.Equal(t, got.body.String(), "done")
 }
 
-func TestUnknownKeyRouteAndLimit(t *testing.T) {
-	s := newStage(t, all(), always(whole(200, "done")))
-	assert.Equal(t, s.ask(t.Context(), "/nowhere/").refusal.Reason, NoRoute)
-	out := &seen{}
+func TestUnknownRouteUnknownKeyAndLimitAreRefused(t *testing.T) {
+	s := newFixture(t, testRoutes(), alwaysAnswers(response(200, "done")))
+	assert.Equal(t, s.send(t.Context(), "/nowhere/").refusal.Reason, NoRoute)
+	out := &recordingSink{}
 	now := time.Now()
 	s.relay.Serve(t.Context(), &Request{Path: "/order/1", Host: "h", Key: "other", Received: now, Deadline: now.Add(time.Second)}, out)
 	assert.Equal(t, out.refusal.Reason, UnknownKey)
-	out = &seen{}
+	out = &recordingSink{}
 	small := &Request{ID: "r", Method: "POST", Target: "/order/1", Path: "/order/1", Host: "h", Key: "small", Received: now, Deadline: now.Add(time.Minute)}
 	for range 3 {
 		s.relay.Serve(t.Context(), small, out)
@@ -388,10 +390,10 @@
 }
 
 // A daemon that has no configuration yet can't know that a route isn't there.
-func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
+func TestWithoutAConfigurationRequestsAreNotRun(t *testing.T) {
 	state := NewState("a", quota.New(true, quota.Tolerance{}), retry.Config{Window: time.Second}, rand.New(rand.NewPCG(1, 2)))
-	r := New(state, upstream.NewPool(1, upstream.DialTCP), plainProtocol{}, &watcher{}, &watcher{})
-	out := &seen{}
+	r := New(state, upstream.NewPool(1, upstream.DialTCP), plainProtocol{}, &recorder{}, &recorder{})
+	out := &recordingSink{}
 	r.Serve(t.Context(), &Request{Path: "/x/", Host: "h"}, out)
 	assert.Equal(t, out.refusal.Reason, NoConfiguration)
 	assert.Equal(t, out.refusal.Verdict, verdict.NotRun)
@@ -399,16 +401,16 @@
 
 // The caller leaves while an engine works. Nothing more is sent, and the
 // engine's connection ends.
-func TestCallerLeaves(t *testing.T) {
+func TestNothingIsSentAfterTheCallerLeaves(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := newStage(t, all(), &engine{script: func(int, *http.Request) string { cancel(); return head() + "cut" }}, always(""))
-	got := s.ask(ctx, "/lookup/1")
-	assert.Equal(t, s.watcher.last.Reason, CallerLeft)
+	s := newFixture(t, testRoutes(), &engine{script: func(int, *http.Request) string { cancel(); return streamHead() + "cut" }}, alwaysAnswers(""))
+	got := s.send(ctx, "/lookup/1")
+	assert.Equal(t, s.recorder.last.Reason, CallerLeft)
 	assert.Assert(t, got.refusal == nil && !got.ended)
 }
 
-func TestOlderConfigurationIsNeverTaken(t *testing.T) {
-	s := newStage(t, all(), always(""))
+func TestOlderConfigurationIsNeverApplied(t *testing.T) {
+	s := newFixture(t, testRoutes(), alwaysAnswers(""))
 	assert.Assert(t, !s.state.Configure(time.Now(), route.New(route.Table{Version: 1})))
 	assert.Assert(t, s.state.Configure(time.Now(), route.New(route.Table{Version: 5})))
 	assert.Assert(t, !s.state.Configure(time.Now(), route.New(route.Table{Version: 4})))
@@ -417,11 +419,11 @@
 
 // An operator gives a route neither a target nor a timeout. Read as zero, every
 // request would be late before it is sent.
-func TestRouteWithoutTimes(t *testing.T) {
+func TestRouteWithoutTargetAndTimeout(t *testing.T) {
 	bare := route.Route{Name: "bare", Prefix: "/bare/", Kind: route.Idempotent, MaxAttempts: 1}
-	s := newStage(t, []route.Route{bare}, always(whole(200, "done")))
+	s := newFixture(t, []route.Route{bare}, alwaysAnswers(response(200, "done")))
 	for range 3 {
-		assert.Equal(t, s.ask(t.Context(), "/bare/1").body.String(), "done")
+		assert.Equal(t, s.send(t.Context(), "/bare/1").body.String(), "done")
 	}
 }
 
@@ -429,7 +431,7 @@
 // tells at once; the connection to the dead one just says nothing. Waited for,
 // the caller would learn nothing for seconds. The order may have run and must
 // not leave again; the stream goes on elsewhere.
-func TestAttemptAtAnEngineThatStartedAgainIsLostAtOnce(t *testing.T) {
+func TestAttemptAtARestartedEngineIsAbortedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := make(chan struct{})
 		defer close(silent)
@@ -437,20 +439,20 @@
 			if r.Header.Get("After") == "" {
 				<-silent
 			}
-			return whole(200, "done")
+			return response(200, "done")
 		}
-		s := newStage(t, all(), &engine{script: script})
+		s := newFixture(t, testRoutes(), &engine{script: script})
 		restart := func(born time.Time) {
 			s.state.SetEndpoints(time.Now(), []roster.Endpoint{{ID: "e0", Service: "s", Address: "e0", Slots: 8, DataCentre: "a", Born: born}})
 		}
 		restart(time.Unix(1000, 0))
 		began := time.Now()
 		time.AfterFunc(100*time.Millisecond, func() { restart(time.Unix(1001, 0)) })
-		got := s.ask(t.Context(), "/order/1")
+		got := s.send(t.Context(), "/order/1")
 		assert.Equal(t, time.Since(began), 100*time.Millisecond)
 		assert.Equal(t, got.refusal.Verdict, verdict.MayHaveRun)
 		assert.Equal(t, s.runs(), 1)
-		assert.ErrorContains(t, s.watcher.last.Cause, "started again")
-		assert.Equal(t, len(s.state.underway), 0)
+		assert.ErrorContains(t, s.recorder.last.Cause, "started again")
+		assert.Equal(t, len(s.state.attempts), 0)
 	})
 }
--- a/internal/relay/next.go
+++ b/internal/relay/next.go
@@ -26,25 +26,25 @@
 	unreached int // endpoints to which there was no connection
 }
 
-// end is how an attempt ended.
-type end struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	class Class
 	// verdict says whether the endpoint may have run it.
 	verdict verdict.Verdict
 	// reached says that the request was sent.
 	reached bool
-	// whole says that the endpoint's answer was read to its end, so that it
+	// complete says that the endpoint's answer was read to its end, so that it
 	// can be passed on.
-	whole bool
+	complete bool
 	// timeLeft says that another attempt can still be in time.
 	timeLeft bool
 }
 
 // next decides what follows an attempt. budget asks for a send beyond the
 // first; it is asked only where everything else allows one.
-func next(r *route.Route, t tally, e end, budget func() bool) step {
+func next(r *route.Route, t tally, e attemptResult, budget func() bool) step {
 	switch {
-	case e.whole && (e.class == Success || e.class == Rejected):
+	case e.complete && (e.class == Success || e.class == Rejected):
 		return answer
 	case !e.reached:
 		if e.timeLeft && t.unreached < maxUnreached {
@@ -60,7 +60,7 @@
 		return giveUp(t)
 	case r.Repeatable() && e.timeLeft && t.ran < r.MaxAttempts && budget():
 		return again
-	case e.whole:
+	case e.complete:
 		return answer
 	default:
 		return fail
--- a/internal/relay/next_test.go
+++ b/internal/relay/next_test.go
@@ -14,20 +14,20 @@
 	lookup := &route.Route{Kind: route.Idempotent, MaxAttempts: 2}
 	stream := &route.Route{Kind: route.Streaming, MaxAttempts: 2}
 	resumable := &route.Route{Kind: route.Streaming, Resumable: true, MaxAttempts: 2}
-	broken := end{reached: true, timeLeft: true}
-	failed := end{class: Failure, reached: true, whole: true, timeLeft: true, verdict: verdict.Ran}
-	shed := end{class: Refusing, reached: true, whole: true, timeLeft: true, verdict: verdict.NotRun}
-	unreached := end{timeLeft: true, verdict: verdict.NotRun}
-	late := func(e end) end { e.timeLeft = false; return e }
+	broken := attemptResult{reached: true, timeLeft: true}
+	failed := attemptResult{class: Failure, reached: true, complete: true, timeLeft: true, verdict: verdict.Ran}
+	shed := attemptResult{class: Refused, reached: true, complete: true, timeLeft: true, verdict: verdict.NotRun}
+	unreached := attemptResult{timeLeft: true, verdict: verdict.NotRun}
+	late := func(e attemptResult) attemptResult { e.timeLeft = false; return e }
 	for _, c := range []struct {
 		name   string
 		route  *route.Route
 		tally  tally
-		end    end
+		end    attemptResult
 		budget bool
 		want   step
 	}{
-		{"success", order, tally{reached: 1, ran: 1}, end{class: Success, reached: true, whole: true, verdict: verdict.Ran}, true, answer},
+		{"success", order, tally{reached: 1, ran: 1}, attemptResult{class: Success, reached: true, complete: true, verdict: verdict.Ran}, true, answer},
 		{"an order may have run", order, tally{reached: 1, ran: 1}, broken, true, fail},
 		{"an order failed there", order, tally{reached: 1, ran: 1}, failed, true, answer},
 		{"an order was not run", order, tally{reached: 1}, shed, true, again},
--- a/internal/relay/once_test.go
+++ b/internal/relay/once_test.go
@@ -12,26 +12,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// manner is how an engine answers one request.
-type manner struct {
+// behaviour is how an engine answers one request.
+type behaviour struct {
 	name   string
 	answer string // empty: the connection is closed without one
 	ran    bool   // the engine runs the request
 }
 
-var manners = []manner{
-	{"answers", whole(200, "done"), true},
-	{"fails", whole(500, "failed"), true},
-	{"rejects", whole(400, "bad"), true},
-	{"refuses", whole(503, ""), false},
-	{"is another one", whole(421, ""), false},
+var behaviours = []behaviour{
+	{"answers", response(200, "done"), true},
+	{"fails", response(500, "failed"), true},
+	{"rejects", response(400, "bad"), true},
+	{"refuses", response(503, ""), false},
+	{"is another one", response(421, ""), false},
 	{"runs and says nothing", "", true},
 	{"is cut in its answer", "HTTP/1.1 200 X\r\nId: ID\r\nContent-Length: 9\r\n\r\ncut", true},
 }
 
-// moody returns an engine that answers in drawn manners and counts its runs.
-func moody(rt *rapid.T, runs *atomic.Int64) *engine {
-	plan := rapid.SliceOfN(rapid.SampledFrom(manners), 1, 4).Draw(rt, "manners")
+// randomEngine returns an engine that answers in drawn manners and counts its runs.
+func randomEngine(rt *rapid.T, runs *atomic.Int64) *engine {
+	plan := rapid.SliceOfN(rapid.SampledFrom(behaviours), 1, 4).Draw(rt, "manners")
 	return &engine{script: func(n int, _ *http.Request) string {
 		m := plan[n%len(plan)]
 		if m.ran {
@@ -45,15 +45,15 @@
 // order. An order must run once at the most, and one that the caller is told was
 // not run must not have; a look-up may run as often as its route allows; what is
 // told as an answer is an engine's, whole.
-func TestRequestsRunAsOftenAsTheyMay(t *testing.T) {
+func TestRequestsRunNoMoreOftenThanAllowed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var runs atomic.Int64
-		s := newStage(t, all(), moody(rt, &runs), moody(rt, &runs), moody(rt, &runs))
+		s := newFixture(t, testRoutes(), randomEngine(rt, &runs), randomEngine(rt, &runs), randomEngine(rt, &runs))
 		path, most := "/order/1", int64(1)
 		if rapid.Bool().Draw(rt, "may be repeated") {
-			path, most = "/lookup/1", int64(lookup.MaxAttempts)
+			path, most = "/lookup/1", int64(lookupRoute.MaxAttempts)
 		}
-		got := s.ask(t.Context(), path)
+		got := s.send(t.Context(), path)
 		assert.Assert(rt, runs.Load() <= most, "%s ran %d times", path, runs.Load())
 		if got.refusal != nil {
 			assert.Assert(rt, got.refusal.Verdict != verdict.NotRun || runs.Load() == 0, "told not run, ran %d times", runs.Load())
--- a/internal/relay/outcome.go
+++ b/internal/relay/outcome.go
@@ -18,37 +18,37 @@
 	Service   string
 	Endpoint  fleet.EndpointID // of the last attempt
 	Version   string           // that endpoint's
-	// Share is the part of the route's requests that went to the new version when the
+	// RolloutShare is the part of the route's requests that went to the new version when the
 	// request was placed, Rollout the target; empty where there is no roll-out.
-	Share     float64
-	Rollout   string
-	Config    uint64    // version that decided
-	Since     time.Time // when that version was put in force
-	Tokens    int
-	Reached   int    // endpoints it was sent to
-	Unreached int    // endpoints to which there was no connection
-	Status    int    // of the endpoint's answer, 0 without one
-	Reason    Reason // where it has no whole answer of an endpoint's
+	RolloutShare  float64
+	RolloutTarget string
+	ConfigVersion uint64    // version that decided
+	ConfiguredAt  time.Time // when that version was put in force
+	Tokens        int
+	Reached       int    // endpoints it was sent to
+	Unreached     int    // endpoints to which there was no connection
+	Status        int    // of the endpoint's answer, 0 without one
+	Reason        Reason // where it has no whole answer of an endpoint's
 	// Failed says that the answer passed on is the endpoint's own failure.
 	Failed  bool
 	Verdict verdict.Verdict
 	Cause   error // the last attempt's error
-	// Request tells a request that comes again under another ID; it is zero
+	// RequestKey tells a request that comes again under another ID; it is zero
 	// where nothing asked for it.
-	Request quarantine.Key
+	RequestKey quarantine.Key
 	// FirstCause is the first attempt's error, where another one followed.
 	FirstCause error
 	Predicted  time.Duration
 	First      time.Duration // to the first event or the answer
 	Total      time.Duration
 	Events     int
-	// Pause is the longest time between two pieces of a stream.
-	Pause time.Duration
+	// LongestPause is the longest time between two pieces of a stream.
+	LongestPause time.Duration
 	// Late says which target a whole answer missed.
 	Late Late
 	// RetryAfter is what a refused caller was told.
 	RetryAfter time.Duration
-	Left       time.Duration // until its deadline
+	TimeLeft   time.Duration // until its deadline
 }
 
 // Late is what of an answer came later than its route's targets.
@@ -61,19 +61,19 @@
 	LatePause Late = "pause" // a pause between pieces
 )
 
-// judge notes which of a route's targets a whole answer missed.
-func (o *Outcome) judge(r *route.Route) {
+// noteLate notes which of a route's targets a whole answer missed.
+func (o *Outcome) noteLate(r *route.Route) {
 	switch {
 	case o.Reason != "" || o.Failed:
 	case r.Target > 0 && o.First > r.Target:
 		o.Late = LateFirst
-	case r.PauseTarget > 0 && o.Pause > r.PauseTarget:
+	case r.PauseTarget > 0 && o.LongestPause > r.PauseTarget:
 		o.Late = LatePause
 	}
 }
 
-// again notes that another attempt follows the last one.
-func (o *Outcome) again() {
+// keepFirstCause notes that another attempt follows the last one.
+func (o *Outcome) keepFirstCause() {
 	if o.FirstCause == nil {
 		o.FirstCause = o.Cause
 	}
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -25,8 +25,8 @@
 type Attempt struct {
 	Endpoint  roster.Endpoint
 	Workspace fleet.WorkspaceID // empty without a credential
-	// Left is how long the endpoint may work on it.
-	Left time.Duration
+	// TimeLeft is how long the endpoint may work on it.
+	TimeLeft time.Duration
 	// Priority is 0 for the most important.
 	Priority int
 	// LastEvent is the id after which the stream goes on, empty from its start.
@@ -41,11 +41,11 @@
 
 // The classes. The zero value is the one that allows least.
 const (
-	Failure  Class = iota // the endpoint's own failure; it may have run
-	Success               // counts once it was read whole
-	Refusing              // the endpoint states that it did not run it
-	Stranger              // another endpoint has the address; not run
-	Rejected              // the request itself is wrong; ran or not, it is final
+	Failure     Class = iota // the endpoint's own failure; it may have run
+	Success                  // counts once it was read whole
+	Refused                  // the endpoint states that it did not run it
+	Misdirected              // another endpoint has the address; not run
+	Rejected                 // the request itself is wrong; ran or not, it is final
 )
 
 // Sink is the way to one caller. Either Whole or Refuse is called once, or
@@ -57,10 +57,10 @@
 	Refuse(Refusal)
 	// Begin sends the head of an answer whose body follows in pieces.
 	Begin(status int, h http.Header)
-	// Events sends whole events at once.
-	Events([]byte) error
+	// WriteBody sends whole events at once.
+	WriteBody([]byte) error
 	// End ends the answer as complete.
 	End()
-	// Break ends the answer so that the caller sees that it is cut short.
-	Break()
+	// Abort ends the answer so that the caller sees that it is cut short.
+	Abort()
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,10 +31,10 @@
 // since they could outlast it.
 func (r *Relay) Stop(now time.Time) { r.stopping.CompareAndSwap(nil, &now) }
 
-// lateAfterStop is how long after the beginning of a stop streams are still
+// acceptAfterStop is how long after the beginning of a stop streams are still
 // taken: the platform kills a process 8 s after its notice, and a stream takes
 // some 2 to 3 s.
-const lateAfterStop = 2500 * time.Millisecond
+const acceptAfterStop = 2500 * time.Millisecond
 
 // Serve carries a request to its end. The context ends when the caller leaves.
 func (r *Relay) Serve(ctx context.Context, q *Request, sink Sink) {
@@ -42,27 +42,27 @@
 	defer r.active.Add(-1)
 	a, refusal := r.state.admit(time.Now(), q)
 	if refusal == nil && r.tooLate(a) {
-		r.state.giveBack(a)
+		r.state.refund(a)
 		refusal = notRun(Stopping, 0)
 	}
 	if refusal != nil {
 		sink.Refuse(*refusal)
-		o := outcomeFor(q, a)
+		o := initialOutcome(q, a)
 		o.Reason, o.Total, o.RetryAfter = refusal.Reason, time.Since(q.Received), refusal.RetryAfter
 		r.observer.Ended(&o)
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, a.until)
+	ctx, cancel := context.WithDeadline(ctx, a.deadline)
 	defer cancel()
-	f := newFlight(r, q, a, sink)
+	f := newInflight(r, q, a, sink)
 	f.run(ctx)
 	f.outcome.Total = time.Since(q.Received)
-	f.outcome.Left = time.Until(a.until)
-	f.outcome.judge(f.route)
+	f.outcome.TimeLeft = time.Until(a.deadline)
+	f.outcome.noteLate(f.route)
 	r.observer.Ended(&f.outcome)
 }
 
 func (r *Relay) tooLate(a *admitted) bool {
 	since := r.stopping.Load()
-	return since != nil && time.Since(*since) > lateAfterStop && a.route.Timeout > lateAfterStop
+	return since != nil && time.Since(*since) > acceptAfterStop && a.route.Timeout > acceptAfterStop
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -25,9 +25,9 @@
 	// Prompt and Output are the tokens of a generation, 0 for other requests;
 	// Output is the most that may be made.
 	Prompt, Output int
-	// Expected is the caller's estimate of the output tokens, 0 without one.
-	Expected int
-	Parts    []balance.Part
+	// ExpectedOutput is the caller's estimate of the output tokens, 0 without one.
+	ExpectedOutput int
+	Parts          []balance.Part
 	// LastEvent is the id after which a stream goes on, empty from its start.
 	LastEvent string
 }
@@ -35,11 +35,11 @@
 // tokens returns what a token limit counts.
 func (r *Request) tokens() int { return r.Prompt + r.Output }
 
-// ask returns what the choice of an endpoint depends on.
-func (r *Request) ask(service string) *balance.Request {
+// balanceRequest returns what the choice of an endpoint depends on.
+func (r *Request) balanceRequest(service string) *balance.Request {
 	output := r.Output
-	if r.Expected > 0 {
-		output = r.Expected
+	if r.ExpectedOutput > 0 {
+		output = r.ExpectedOutput
 	}
 	return &balance.Request{Service: service, Parts: r.Parts, Prompt: r.Prompt, Output: output}
 }
--- /dev/null
+++ b/internal/relay/rollouts.go
@@ -0,0 +1,180 @@
+package relay
+
+import (
+	"math"
+	"time"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/balance"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
+)
+
+// rolloutState is this daemon's part in the roll-outs of services to other rolloutState.
+type rolloutState struct {
+	enabled    bool
+	gate       *rollout.Gate
+	counters   map[string]*rollout.Counter // by service
+	keys       map[string]rollout.Key
+	mixedSince map[string]time.Time // since when a service has endpoints of several versions
+}
+
+func newRolloutState(b rollout.Bounds) rolloutState {
+	return rolloutState{
+		enabled: b.On(), gate: rollout.NewGate(b), counters: map[string]*rollout.Counter{}, keys: map[string]rollout.Key{},
+		mixedSince: map[string]time.Time{},
+	}
+}
+
+// SetRollouts says what roll-outs are held to.
+func (s *State) SetRollouts(b rollout.Bounds) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rollouts = newRolloutState(b)
+}
+
+// MergeRollouts takes what another daemon tells of the roll-outs.
+func (s *State) MergeRollouts(now time.Time, n rollout.Update) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v := &s.rollouts
+	v.gate.Apply(now, n)
+	current := map[string]bool{}
+	for _, w := range v.gate.Update(now).Splits {
+		current[w.Service] = true
+		s.balancer.SetSplit(&w)
+		if v.keys[w.Service] != w.Key {
+			v.keys[w.Service], v.counters[w.Service] = w.Key, rollout.NewCounter(w.Service, w.Key)
+		}
+	}
+	for service := range v.keys {
+		if !current[service] {
+			delete(v.keys, service)
+			delete(v.counters, service)
+			s.balancer.DropSplit(service)
+		}
+	}
+}
+
+// Rollouts returns what this daemon tells others of the roll-outs.
+func (s *State) Rollouts(now time.Time) rollout.Update {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rollouts.gate.Update(now)
+}
+
+// RolloutReports returns what this daemon has counted of the roll-outs under way.
+func (s *State) RolloutReports(now time.Time) []rollout.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var out []rollout.Report
+	for service, c := range s.rollouts.counters {
+		w, _ := s.rollouts.gate.Split(now, service)
+		if !w.Phase.Final() {
+			c.SetMoved(w.AllNew())
+			out = append(out, c.Report())
+		}
+	}
+	return out
+}
+
+// AnyMoving reports whether a service moves all its requests to another version, so
+// that the daemons must hear of each other soon.
+func (s *State) AnyMoving(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for service := range s.rollouts.counters {
+		if w, _ := s.rollouts.gate.Split(now, service); w.Phase == rollout.Moving {
+			return true
+		}
+	}
+	return false
+}
+
+// VersionCounts returns how many endpoints of a service take requests, of its old versions
+// and of the one that it moves to.
+func (s *State) VersionCounts(service string) (old, target int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.balancer.Versions(service)
+}
+
+// updateMixed keeps since when services have endpoints of several versions. The lock is
+// held.
+func (s *State) updateMixed(now time.Time, services map[string]bool) {
+	v := &s.rollouts
+	for service := range services {
+		_, known := v.mixedSince[service]
+		switch mixed := s.balancer.MixedVersions(service); {
+		case mixed && !known:
+			v.mixedSince[service] = now
+		case !mixed:
+			delete(v.mixedSince, service)
+		}
+	}
+}
+
+// allowedSide returns which versions a request may be sent to. The lock is held.
+func (s *State) allowedSide(now time.Time, f *inflight) rollout.Side {
+	v := &s.rollouts
+	if !v.enabled {
+		return rollout.Any
+	}
+	if w, known := v.gate.Split(now, f.service); known {
+		draw := s.rng.Float64()
+		if f.tally != (tally{}) { // a trial is not worth a second chance to fail
+			draw = math.Nextafter(1, 0)
+		}
+		f.outcome.RolloutTarget, f.outcome.RolloutShare = w.Target(), w.ShareOf(f.route.Name)
+		return w.Side(f.route.Name, draw)
+	}
+	if since, mixed := v.mixedSince[f.service]; mixed && !v.gate.NoOrder(now, since) {
+		return rollout.Old
+	}
+	return rollout.Any
+}
+
+// pickAllowed chooses an endpoint of the versions that a request may be sent to. One
+// that the new version can't take goes to the old one.
+func (s *State) pickAllowed(now time.Time, f *inflight) (balance.Choice, bool) {
+	f.balanceReq.Side = s.allowedSide(now, f)
+	c, ok := s.balancer.Pick(now, f.balanceReq)
+	if !ok && f.balanceReq.Side == rollout.New {
+		f.balanceReq.Side = rollout.Old
+		c, ok = s.balancer.Pick(now, f.balanceReq)
+	}
+	return c, ok
+}
+
+// countSent counts an attempt for the roll-out of its service. The lock is held.
+func (s *State) countSent(t *trackedAttempt) {
+	c := s.rollouts.counters[t.inflight.service]
+	if c == nil {
+		return
+	}
+	t.counter = c
+	t.toNew = t.choice.Endpoint.Version == s.rollouts.keys[t.inflight.service].Target
+	switch {
+	case t.toNew:
+		c.CountExposed()
+	case !t.inflight.route.Repeatable():
+		c.AddRunning(1)
+	}
+}
+
+// countDone counts an attempt's end. The lock is held.
+func (s *State) countDone(now time.Time, t *trackedAttempt, o balance.Outcome) {
+	if t.counter == nil {
+		return
+	}
+	if !t.toNew && !t.inflight.route.Repeatable() {
+		t.counter.AddRunning(-1)
+	}
+	failed := t.inflight.outcome.Failed
+	if !failed && o != balance.Answered || now.Before(t.choice.Endpoint.SlowUntil) {
+		return // what is cut off says nothing of a version, nor does a cold endpoint
+	}
+	name := ""
+	if t.toNew {
+		name = string(t.choice.Endpoint.ID)
+	}
+	t.counter.CountAnswer(t.inflight.route.Name, name, failed, now.Sub(t.sent))
+}
--- a/internal/relay/versions_test.go
+++ b/internal/relay/rollouts_test.go
@@ -17,7 +17,7 @@
 
 // Guards against a daemon that has heard no decider yet and uses a version that may
 // be on trial.
-func TestDaemonWithoutAWordUsesTheVersionThatHasServedLongest(t *testing.T) {
+func TestWithoutRolloutNewsTheOldestVersionIsUsed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewState("a", quota.New(true, quota.Tolerance{}), retry.Config{Window: time.Second}, rand.New(rand.NewPCG(1, 2)))
 	s.SetRollouts(rollout.Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second})
@@ -29,7 +29,7 @@
 	s.SetEndpoints(now, all)
 	for range 100 {
 		q := &Request{}
-		f := &flight{request: q, ask: q.ask("s")}
+		f := &inflight{request: q, balanceReq: q.balanceRequest("s")}
 		f.service, f.route = "s", &route.Route{Name: "r"}
 		c, refusal := s.pick(now, f)
 		assert.Assert(t, refusal == nil)
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -19,18 +19,18 @@
 // the choice of endpoints, the limits and the retry budgets. It is safe for
 // concurrent use; each method holds the lock for some microseconds.
 type State struct {
-	mu       sync.Mutex
-	table    *route.Table // nil until one is known
-	since    time.Time    // when it was put in force
-	balancer *balance.Balancer
-	quota    *quota.Quota
-	retry    retry.Config
-	budgets  map[string]*retry.Budget // by service
-	daemons  int
-	rng      *rand.Rand
-	loads    *loads
-	underway map[fleet.EndpointID]map[*track]struct{} // attempts
-	versions versions
+	mu           sync.Mutex
+	table        *route.Table // nil until one is known
+	configuredAt time.Time    // when it was put in force
+	balancer     *balance.Balancer
+	quota        *quota.Quota
+	retry        retry.Config
+	budgets      map[string]*retry.Budget // by service
+	daemons      int
+	rng          *rand.Rand
+	work         *workTotals
+	attempts     map[fleet.EndpointID]map[*trackedAttempt]struct{} // attempts
+	rollouts     rolloutState
 }
 
 // NewState returns the state of a daemon in a data centre with its limits and
@@ -43,9 +43,9 @@
 		budgets:  map[string]*retry.Budget{},
 		daemons:  quota.DefaultDaemons,
 		rng:      rng,
-		loads:    newLoads(),
-		underway: map[fleet.EndpointID]map[*track]struct{}{},
-		versions: newVersions(rollout.Bounds{}),
+		work:     newWorkTotals(),
+		attempts: map[fleet.EndpointID]map[*trackedAttempt]struct{}{},
+		rollouts: newRolloutState(rollout.Bounds{}),
 	}
 }
 
@@ -57,7 +57,7 @@
 	if s.table != nil && t.Version <= s.table.Version {
 		return false
 	}
-	s.table, s.since = t, now
+	s.table, s.configuredAt = t, now
 	s.balancer.Configure(t)
 	s.quota.Configure(now, t)
 	return true
@@ -79,13 +79,13 @@
 	services := map[string]bool{}
 	for i := range all {
 		services[all[i].Service] = true
-		for t := range s.underway[all[i].ID] {
+		for t := range s.attempts[all[i].ID] {
 			if t.choice.Endpoint.RestartedAs(&all[i]) {
-				t.lose(errRestarted)
+				t.abort(errRestarted)
 			}
 		}
 	}
-	s.noteMixed(now, services)
+	s.updateMixed(now, services)
 }
 
 // SetDaemons takes the number of daemons that share the bounds.
@@ -99,35 +99,35 @@
 	}
 }
 
-// SetInterval takes how long it is until this daemon is told again what the
+// SetReportInterval takes how long it is until this daemon is told again what the
 // others have spent.
-func (s *State) SetInterval(now time.Time, d time.Duration) {
+func (s *State) SetReportInterval(now time.Time, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quota.SetReportInterval(now, d)
 }
 
-// LimitsShort reports whether some workspace has little left of its limit.
-func (s *State) LimitsShort(now time.Time) bool {
+// NearLimit reports whether some workspace has little left of its limit.
+func (s *State) NearLimit(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.quota.NearLimit(now)
 }
 
-// ShortSpent reports whether this daemon has let in something of a workspace that has
+// UnreportedNearLimit reports whether this daemon has let in something of a workspace that has
 // little left, which the others don't know of yet.
-func (s *State) ShortSpent(now time.Time) bool {
+func (s *State) UnreportedNearLimit(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.quota.UnreportedNearLimit(now)
 }
 
-// Soft is what daemons tell each other about the requests they carry.
-type Soft struct {
+// SoftState is what daemons tell each other about the requests they carry.
+type SoftState struct {
 	// Spent is what was let in since a daemon's start, by workspace.
 	Spent map[fleet.WorkspaceID]float64
-	// Recent says that it started a moment ago.
-	Recent bool
+	// JustStarted says that it started a moment ago.
+	JustStarted bool
 	// Levels is what the workspaces' limits have left, where they are known.
 	Levels map[fleet.WorkspaceID]float64
 	// Load is the unfinished requests at endpoints.
@@ -136,27 +136,27 @@
 	Work map[string]Work
 }
 
-// Own returns this daemon's part.
-func (s *State) Own() Soft {
+// OwnState returns this daemon's part.
+func (s *State) OwnState() SoftState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Soft{Spent: maps.Clone(s.quota.Spent()), Load: s.balancer.OwnLoads(), Work: s.loads.snapshot()}
+	return SoftState{Spent: maps.Clone(s.quota.Spent()), Load: s.balancer.OwnLoads(), Work: s.work.snapshot()}
 }
 
-// Others takes the sum of all other daemons' parts that a hub tells. A sum
+// SetOthers takes the sum of all other daemons' parts that a hub tells. A sum
 // without loads leaves those as they are.
-func (s *State) Others(now time.Time, hub string, others Soft) {
+func (s *State) SetOthers(now time.Time, hub string, others SoftState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quota.Adopt(now, others.Levels)
-	s.quota.UpdateOthers(now, hub, others.Spent, others.Recent)
+	s.quota.UpdateOthers(now, hub, others.Spent, others.JustStarted)
 	if others.Load != nil {
 		s.balancer.SetOthers(others.Load)
 	}
 }
 
-// Adopt takes what a daemon that has run for longer knows to be left of the limits.
-func (s *State) Adopt(now time.Time, levels map[fleet.WorkspaceID]float64) {
+// AdoptLevels takes what a daemon that has run for longer knows to be left of the limits.
+func (s *State) AdoptLevels(now time.Time, levels map[fleet.WorkspaceID]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.quota.Adopt(now, levels)
@@ -169,26 +169,26 @@
 	s.quota.KeepHubs(hubs)
 }
 
-// KeepLimits returns what is to be kept of the workspaces' limits.
-func (s *State) KeepLimits(now time.Time) map[fleet.WorkspaceID]quota.Checkpoint {
+// LimitCheckpoints returns what is to be kept of the workspaces' limits.
+func (s *State) LimitCheckpoints(now time.Time) map[fleet.WorkspaceID]quota.Checkpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.quota.Checkpoints(now)
 }
 
-// LimitsFallen reports whether some limit has much less left than follows from what
+// CheckpointsOutdated reports whether some limit has much less left than follows from what
 // was kept some time ago.
-func (s *State) LimitsFallen(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]quota.Checkpoint) bool {
+func (s *State) CheckpointsOutdated(now time.Time, ago time.Duration, checkpoints map[fleet.WorkspaceID]quota.Checkpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.quota.CheckpointOutdated(now, ago, kept)
+	return s.quota.CheckpointOutdated(now, ago, checkpoints)
 }
 
 // RestoreLimits takes what was kept of the limits some time ago.
-func (s *State) RestoreLimits(now time.Time, ago time.Duration, kept map[fleet.WorkspaceID]quota.Checkpoint) {
+func (s *State) RestoreLimits(now time.Time, ago time.Duration, checkpoints map[fleet.WorkspaceID]quota.Checkpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quota.Restore(now, ago, kept)
+	s.quota.Restore(now, ago, checkpoints)
 }
 
 // LevelsKnown reports whether a daemon that has run for longer need not tell
@@ -206,8 +206,8 @@
 	return s.quota.Levels(now)
 }
 
-// ReadRate returns the prompt tokens that an engine reads a second, as learned.
-func (s *State) ReadRate() float64 {
+// PrefillRate returns the prompt tokens that an engine reads a second, as learned.
+func (s *State) PrefillRate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.balancer.PrefillRate()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -7,71 +7,71 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
 )
 
-// pieceBytes is the most that is read of a stream at once.
-const pieceBytes = 8 << 10
+// readBufferBytes is the most that is read of a stream at once.
+const readBufferBytes = 8 << 10
 
-// stream passes events on as they come. A nil error is the stream's whole end.
-func (f *flight) stream(t *track, a *upstream.Answer) error {
-	buf := make([]byte, pieceBytes)
+// forwardStream passes events on as they come. A nil error is the forwardStream's whole end.
+func (f *inflight) forwardStream(t *trackedAttempt, a *upstream.Answer) error {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := a.Body.Read(buf)
 		if n > 0 {
-			if err := f.pass(t, a, buf[:n]); err != nil {
+			if err := f.forward(t, a, buf[:n]); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF && !f.events.partial() {
-			f.begin(a)
+			f.sendHead(a)
 			return nil
 		}
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			f.events.drop()
+			f.events.discardPartial()
 			return err
 		}
 	}
 }
 
-// pass passes the whole events among new bytes on.
-func (f *flight) pass(t *track, a *upstream.Answer, p []byte) error {
+// forward passes the whole events among new bytes on.
+func (f *inflight) forward(t *trackedAttempt, a *upstream.Answer, p []byte) error {
 	whole := f.events.add(p)
 	if len(whole) == 0 {
 		return nil
 	}
 	now := time.Now()
-	f.first(t)
-	f.began(now)
-	f.begin(a)
-	if !f.passed.IsZero() {
-		f.outcome.Pause = max(f.outcome.Pause, now.Sub(f.passed))
+	f.firstPiece(t)
+	f.reportBegan(now)
+	f.sendHead(a)
+	if !f.lastPieceAt.IsZero() {
+		f.outcome.LongestPause = max(f.outcome.LongestPause, now.Sub(f.lastPieceAt))
 	}
-	f.passed = now
-	err := f.sink.Events(whole)
+	f.lastPieceAt = now
+	err := f.sink.WriteBody(whole)
 	f.events.consume(len(whole))
 	return err
 }
 
-// begin sends the head of the first endpoint's answer, once.
-func (f *flight) begin(a *upstream.Answer) {
-	if !f.begun {
-		f.begun = true
+// sendHead sends the head of the first endpoint's answer, once.
+func (f *inflight) sendHead(a *upstream.Answer) {
+	if !f.headSent {
+		f.headSent = true
 		f.sink.Begin(a.Status, f.relay.protocol.Answer(a.Header))
 	}
 }
 
-// long passes an answer on that is too long to be held.
-func (f *flight) long(a *upstream.Answer, held []byte) error {
-	f.begin(a)
-	if err := f.sink.Events(held); err != nil {
+// forwardLong passes an answer on that is too forwardLong to be held.
+func (f *inflight) forwardLong(a *upstream.Answer, buffered []byte) error {
+	f.sendHead(a)
+	if err := f.sink.WriteBody(buffered); err != nil {
 		return err
 	}
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := a.Body.Read(buf)
 		if n > 0 {
-			if err := f.sink.Events(buf[:n]); err != nil {
+			if err := f.sink.WriteBody(buf[:n]); err != nil {
 				return err
 			}
 		}
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -6,45 +6,45 @@
 type Work struct {
 	Requests int // that callers sent, let in or not
 	Refused  int // of them, for want of room
-	// Hold is the time for which the requests hold a slot of an endpoint that
+	// SlotSeconds is the time for which the requests hold a slot of an endpoint that
 	// isn't overloaded, in seconds. Its rate is the number of slots in use
 	// there, and doesn't grow when endpoints slow down.
-	Hold float64
-	// Read is the prompt tokens that endpoints have to read, without those
+	SlotSeconds float64
+	// Prefill is the prompt tokens that endpoints have to read, without those
 	// that they are believed to hold.
-	Read float64
+	Prefill float64
 	// Prompt is the prompt tokens in all.
 	Prompt float64
 }
 
 const (
-	// startHold is a request's time at an engine before its first token.
-	startHold = 0.1
-	// tokenHold is the time of an output token, in seconds, at an engine of
+	// firstTokenSeconds is a request's time at an engine before its first token.
+	firstTokenSeconds = 0.1
+	// outputTokenSeconds is the time of an output token, in seconds, at an engine of
 	// the platform's published classes with half of its slots in use.
-	tokenHold = 0.0065
+	outputTokenSeconds = 0.0065
 )
 
-// loads counts the work of each service.
-type loads struct{ work map[string]Work }
+// workTotals counts the work of each service.
+type workTotals struct{ byService map[string]Work }
 
-func newLoads() *loads { return &loads{work: map[string]Work{}} }
+func newWorkTotals() *workTotals { return &workTotals{byService: map[string]Work{}} }
 
-// asked counts a request with its expected output, its prompt and the tokens of
+// countRequest counts a request with its expected output, its prompt and the tokens of
 // it to be read.
-func (l *loads) asked(service string, output, prompt, read int) {
-	w := l.work[service]
+func (l *workTotals) countRequest(service string, output, prompt, prefill int) {
+	w := l.byService[service]
 	w.Requests++
-	w.Hold += startHold + tokenHold*float64(output)
-	w.Read += float64(read)
+	w.SlotSeconds += firstTokenSeconds + outputTokenSeconds*float64(output)
+	w.Prefill += float64(prefill)
 	w.Prompt += float64(prompt)
-	l.work[service] = w
+	l.byService[service] = w
 }
 
-func (l *loads) refused(service string) {
-	w := l.work[service]
+func (l *workTotals) countRefused(service string) {
+	w := l.byService[service]
 	w.Refused++
-	l.work[service] = w
+	l.byService[service] = w
 }
 
-func (l *loads) snapshot() map[string]Work { return maps.Clone(l.work) }
+func (l *workTotals) snapshot() map[string]Work { return maps.Clone(l.byService) }
