--- a/internal/daemon/engines.go
+++ b/internal/daemon/engines.go
@@ -23,8 +23,8 @@
 
 var _ dispatch.Engines = (*engines)(nil)
 
-func (e *engines) call(id fleet.RequestID, priority int) endpoint.Call {
-	return endpoint.Call{RequestID: string(id), Priority: priority, FirstToken: e.first, BetweenToken: e.between}
+func (e *engines) call(id fleet.RequestID, priority int) endpoint.StreamOptions {
+	return endpoint.StreamOptions{RequestID: string(id), Priority: priority, FirstTokenTimeout: e.first, StallTimeout: e.between}
 }
 
 // Start implements dispatch.Engines.
@@ -78,7 +78,7 @@
 // attemptError says in the life's terms how an attempt failed.
 func attemptError(err error) error {
 	out := &dispatch.AttemptError{Kind: request.Reset, Verdict: verdict.Of(err), Err: err}
-	var silent *endpoint.Silent
+	var silent *endpoint.StallError
 	var status *endpoint.StatusError
 	var op *net.OpError
 	switch {
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -175,7 +175,7 @@
 }
 
 func (s *services) blame(id fleet.EndpointID, err error) {
-	var silent *endpoint.Silent
+	var silent *endpoint.StallError
 	switch {
 	case errors.As(err, &silent):
 		s.router.Stalled(id)
@@ -186,7 +186,7 @@
 
 // cut tells of a call that ended with its connection.
 func (s *services) cut(ctx context.Context, c ends.Cut, err error) {
-	var silent *endpoint.Silent
+	var silent *endpoint.StallError
 	if ctx.Err() == nil && !errors.As(err, &silent) && verdict.Of(err) == verdict.MayHaveRun {
 		s.crashes.Cut(c)
 	}
@@ -201,13 +201,13 @@
 // is an answer like any other: the caller decides whether it wants another try.
 func (s *services) do(ctx context.Context, address string, c *gateway.ServiceCall) (*gateway.ServiceAnswer, error) {
 	a, err := s.client.Do(ctx, address, endpoint.ServiceRequest{
-		Method:  c.Method,
-		Target:  target(c),
-		Header:  c.Header,
-		Body:    c.Body,
-		Once:    c.NonIdempotent,
-		Answer:  serviceAnswerTimeout,
-		Between: serviceAnswerTimeout,
+		Method:        c.Method,
+		Target:        target(c),
+		Header:        c.Header,
+		Body:          c.Body,
+		Once:          c.NonIdempotent,
+		AnswerTimeout: serviceAnswerTimeout,
+		StallTimeout:  serviceAnswerTimeout,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/endpoint/answer.go
+++ b/internal/endpoint/answer.go
@@ -15,8 +15,8 @@
 	Body   io.ReadCloser
 }
 
-func newAnswer(p *pool, gen *generation, dog *watchdog, resp *http.Response, between time.Duration) *Answer {
-	body := &answerBody{src: resp.Body, pool: p, gen: gen, dog: dog, between: between}
+func newAnswer(p *pool, gen *generation, wd *watchdog, resp *http.Response, stallTimeout time.Duration) *Answer {
+	body := &answerBody{src: resp.Body, pool: p, gen: gen, watchdog: wd, stallTimeout: stallTimeout}
 	body.verdict = statusVerdict(resp.StatusCode)
 	return &Answer{Status: resp.StatusCode, Header: withoutHopByHop(resp.Header), Body: body}
 }
@@ -34,29 +34,29 @@
 // answerBody reads an answer's body under a progress deadline. Its errors
 // carry the answer's verdict.
 type answerBody struct {
-	src     io.ReadCloser
-	pool    *pool
-	gen     *generation
-	dog     *watchdog
-	between time.Duration
-	verdict verdict.Verdict
+	src          io.ReadCloser
+	pool         *pool
+	gen          *generation
+	watchdog     *watchdog
+	stallTimeout time.Duration
+	verdict      verdict.Verdict
 }
 
 func (b *answerBody) Read(p []byte) (int, error) {
-	if b.between > 0 {
-		b.dog.arm(b.between)
+	if b.stallTimeout > 0 {
+		b.watchdog.arm(b.stallTimeout)
 	}
 	n, err := b.src.Read(p)
-	b.dog.rest()
+	b.watchdog.disarm()
 	if err == nil || err == io.EOF {
 		return n, err
 	}
-	silent := &Silent{Address: b.pool.address, Stage: Between, After: b.between}
-	return n, verdict.Wrap(b.verdict, b.pool.failure(b.dog, b.gen, err, silent))
+	stall := &StallError{Address: b.pool.address, Stage: BetweenPieces, After: b.stallTimeout}
+	return n, verdict.Wrap(b.verdict, b.pool.wrapFailure(b.watchdog, b.gen, err, stall))
 }
 
 func (b *answerBody) Close() error {
 	err := b.src.Close()
-	b.dog.stop()
+	b.watchdog.stop()
 	return err
 }
--- a/internal/endpoint/attempt.go
+++ b/internal/endpoint/attempt.go
@@ -13,19 +13,19 @@
 // attempt follows one request to its connection, for the proof that nothing
 // of it was written.
 type attempt struct {
-	mu   sync.Mutex
-	conn *conn
-	base int64 // bytes that the connection had written before
-	left bool  // bytes of the request left on an earlier connection
+	mu             sync.Mutex
+	conn           *conn
+	writtenBefore  int64 // bytes that the connection had written before
+	writtenEarlier bool  // bytes of the request left on an earlier connection
 }
 
-// watch makes a request with the returned context report its connection.
-func (a *attempt) watch(ctx context.Context) context.Context {
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { a.got(info.Conn) }}
+// trace makes a request with the returned context report its connection.
+func (a *attempt) trace(ctx context.Context) context.Context {
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { a.gotConn(info.Conn) }}
 	return httptrace.WithClientTrace(ctx, trace)
 }
 
-func (a *attempt) got(c net.Conn) {
+func (a *attempt) gotConn(c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
@@ -33,14 +33,14 @@
 	defer a.mu.Unlock()
 	own, ok := c.(*conn)
 	if !ok {
-		a.left = true // nothing is known of this connection, so there is no proof
+		a.writtenEarlier = true // nothing is known of this connection, so there is no proof
 		return
 	}
 	// net/http may have sent the request on another connection before, for GET
 	// even after bytes of it had left. The proof must cover each.
-	a.left = a.left || !a.unwritten()
+	a.writtenEarlier = a.writtenEarlier || !a.unwritten()
 	a.conn = own
-	a.base = own.count()
+	a.writtenBefore = own.bytesWritten()
 }
 
 // verdict is called once the round trip has failed. A request that never got
@@ -48,7 +48,7 @@
 func (a *attempt) verdict() verdict.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.left || !a.unwritten() {
+	if a.writtenEarlier || !a.unwritten() {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
@@ -57,5 +57,5 @@
 // unwritten proves that nothing of the request left on the present connection.
 // The caller holds mu.
 func (a *attempt) unwritten() bool {
-	return a.conn == nil || a.conn.sealUnwritten(a.base)
+	return a.conn == nil || a.conn.sealUnwritten(a.writtenBefore)
 }
--- a/internal/endpoint/calls.go
+++ b/internal/endpoint/calls.go
@@ -11,17 +11,17 @@
 
 // Cancel stops a stream. ErrStreamGone is as good as success.
 func (e *Engines) Cancel(ctx context.Context, address, streamID string) error {
-	c := e.small(address)
-	c.ask = c.ask.Delete(engineapi.StreamPath + url.PathEscape(streamID))
-	c.missing = ErrStreamGone
+	c := e.newJSONCall(address)
+	c.request = c.request.Delete(engineapi.StreamPath + url.PathEscape(streamID))
+	c.notFound = ErrStreamGone
 	return c.do(ctx)
 }
 
 // Load returns the engine's report about itself.
 func (e *Engines) Load(ctx context.Context, address string) (engineapi.Load, error) {
 	var load engineapi.Load
-	c := e.small(address)
-	c.ask = c.ask.Get(engineapi.LoadPath)
+	c := e.newJSONCall(address)
+	c.request = c.request.Get(engineapi.LoadPath)
 	c.out = &load
 	err := c.do(ctx)
 	return load, err
@@ -32,8 +32,8 @@
 func (e *Engines) CacheEvents(ctx context.Context, address string, since uint64) (engineapi.CacheEvents, error) {
 	var page engineapi.CacheEvents
 	path := engineapi.EventsPath + "?since=" + strconv.FormatUint(since, 10)
-	c := e.small(address)
-	c.ask = c.ask.Get(path)
+	c := e.newJSONCall(address)
+	c.request = c.request.Get(path)
 	c.out = &page
 	err := c.do(ctx)
 	return page, err
@@ -43,10 +43,10 @@
 // blob's bytes take on the engine's link; ctx bounds it.
 func (e *Engines) Export(ctx context.Context, address, streamID string) (engineapi.KVBlob, error) {
 	var blob engineapi.KVBlob
-	ask := engineapi.KVExport{StreamID: streamID}
-	c := e.small(address)
-	c.ask = c.ask.Post(engineapi.ExportPath).BodyJSON(ask)
-	c.missing = ErrStreamGone
+	req := engineapi.KVExport{StreamID: streamID}
+	c := e.newJSONCall(address)
+	c.request = c.request.Post(engineapi.ExportPath).BodyJSON(req)
+	c.notFound = ErrStreamGone
 	c.out = &blob
 	c.timeout = 0
 	err := c.do(ctx)
@@ -56,8 +56,8 @@
 // Import hands KV cache to an engine, for a completion that names its id. ctx
 // bounds it.
 func (e *Engines) Import(ctx context.Context, address string, blob *engineapi.KVBlob) error {
-	c := e.small(address)
-	c.ask = c.ask.Post(engineapi.ImportPath).BodyJSON(blob)
+	c := e.newJSONCall(address)
+	c.request = c.request.Post(engineapi.ImportPath).BodyJSON(blob)
 	c.timeout = 0
 	return c.do(ctx)
 }
@@ -65,16 +65,16 @@
 // Order gives an order. ErrFenced says that the engine has seen a higher
 // fencing number, which the *StatusError holds.
 func (e *Engines) Order(ctx context.Context, address string, order engineapi.Order) error {
-	c := e.small(address)
-	c.ask = c.ask.Post(engineapi.OrdersPath).BodyJSON(order)
+	c := e.newJSONCall(address)
+	c.request = c.request.Post(engineapi.OrdersPath).BodyJSON(order)
 	return c.do(ctx)
 }
 
 // Models returns what the engine has loaded.
 func (e *Engines) Models(ctx context.Context, address string) ([]fleet.ModelRef, error) {
 	var models []fleet.ModelRef
-	c := e.small(address)
-	c.ask = c.ask.Get(engineapi.ModelsPath)
+	c := e.newJSONCall(address)
+	c.request = c.request.Get(engineapi.ModelsPath)
 	c.out = &models
 	err := c.do(ctx)
 	return models, err
@@ -83,8 +83,8 @@
 // Counters returns the engine's totals.
 func (e *Engines) Counters(ctx context.Context, address string) (engineapi.Counters, error) {
 	var counters engineapi.Counters
-	c := e.small(address)
-	c.ask = c.ask.Get(engineapi.CountersPath)
+	c := e.newJSONCall(address)
+	c.request = c.request.Get(engineapi.CountersPath)
 	c.out = &counters
 	err := c.do(ctx)
 	return counters, err
--- a/internal/endpoint/conn.go
+++ b/internal/endpoint/conn.go
@@ -43,8 +43,8 @@
 	return n, err
 }
 
-// count returns the bytes written so far.
-func (c *conn) count() int64 {
+// bytesWritten returns the bytes written so far.
+func (c *conn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
--- a/internal/endpoint/engines.go
+++ b/internal/endpoint/engines.go
@@ -23,12 +23,12 @@
 // NewEngines returns a client.
 func NewEngines(o Options) *Engines { return &Engines{pools: newPools(o)} }
 
-// Call is how a stream is to be asked for. Deadlines of 0 are none.
-type Call struct {
-	RequestID    string
-	Priority     int           // greater runs first
-	FirstToken   time.Duration // from the start to the first piece
-	BetweenToken time.Duration // without a byte, after the first piece
+// StreamOptions is how a stream is to be asked for. Deadlines of 0 are none.
+type StreamOptions struct {
+	RequestID         string
+	Priority          int           // greater runs first
+	FirstTokenTimeout time.Duration // from the start to the first piece
+	StallTimeout      time.Duration // without a byte, after the first piece
 	// Once makes the request leave on a connection of its own that is never
 	// used again, for completions that a template calls non-idempotent.
 	Once bool
@@ -36,7 +36,7 @@
 
 // Start asks the engine at address for a completion. An error carries a
 // verdict; errors.As finds *Silent and *StatusError in it.
-func (e *Engines) Start(ctx context.Context, address string, req *engineapi.CompletionRequest, call Call) (*Stream, error) {
+func (e *Engines) Start(ctx context.Context, address string, req *engineapi.CompletionRequest, opts StreamOptions) (*Stream, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return nil, verdict.Wrap(verdict.NotRun, Error.Wrap(err))
@@ -44,18 +44,18 @@
 	target := url.URL{Scheme: e.o.scheme(), Host: address, Path: engineapi.CompletionsPath}
 	httpReq := newRequest(http.MethodPost, &target, body)
 	httpReq.Header.Set("Content-Type", "application/json")
-	httpReq.Header.Set(engineapi.PriorityHeader, strconv.Itoa(call.Priority))
-	return e.open(ctx, httpReq, call, ErrModelNotLoaded)
+	httpReq.Header.Set(engineapi.PriorityHeader, strconv.Itoa(opts.Priority))
+	return e.open(ctx, httpReq, opts, ErrModelNotLoaded)
 }
 
 // Resume reads on in a stream of the engine at address from token from. It
 // runs nothing, so its errors say nothing new about the request: their verdict
 // is always MayHaveRun. ErrStreamGone means that the engine has no such stream.
-func (e *Engines) Resume(ctx context.Context, address, streamID string, from int, call Call) (*Stream, error) {
+func (e *Engines) Resume(ctx context.Context, address, streamID string, from int, opts StreamOptions) (*Stream, error) {
 	target := e.streamURL(address, streamID)
 	target.RawQuery = "from=" + strconv.Itoa(from)
-	call.Once = false
-	s, err := e.open(ctx, newRequest(http.MethodGet, &target, nil), call, ErrStreamGone)
+	opts.Once = false
+	s, err := e.open(ctx, newRequest(http.MethodGet, &target, nil), opts, ErrStreamGone)
 	if err != nil && verdict.Of(err) != verdict.MayHaveRun {
 		err = verdict.Wrap(verdict.MayHaveRun, err)
 	}
@@ -72,28 +72,28 @@
 }
 
 // open sends the request and reads the head of the answer.
-func (e *Engines) open(ctx context.Context, req *http.Request, call Call, missing error) (*Stream, error) {
-	if call.RequestID != "" {
-		req.Header.Set(engineapi.RequestIDHeader, call.RequestID)
+func (e *Engines) open(ctx context.Context, req *http.Request, opts StreamOptions, notFound error) (*Stream, error) {
+	if opts.RequestID != "" {
+		req.Header.Set(engineapi.RequestIDHeader, opts.RequestID)
 	}
 	p := e.get(req.URL.Host)
 	began := time.Now()
-	dog := newWatchdog(ctx, call.FirstToken)
-	gen, transport := p.transport(dog.ctx, call.Once)
-	tried := new(attempt)
-	resp, err := transport.RoundTrip(req.WithContext(tried.watch(dog.ctx)))
+	wd := newWatchdog(ctx, opts.FirstTokenTimeout)
+	gen, transport := p.transport(wd.ctx, opts.Once)
+	att := new(attempt)
+	resp, err := transport.RoundTrip(req.WithContext(att.trace(wd.ctx)))
 	if err != nil {
-		err = p.failure(dog, gen, err, &Silent{Address: p.address, After: call.FirstToken})
-		dog.stop()
-		return nil, verdict.Wrap(tried.verdict(), err)
+		err = p.wrapFailure(wd, gen, err, &StallError{Address: p.address, After: opts.FirstTokenTimeout})
+		wd.stop()
+		return nil, verdict.Wrap(att.verdict(), err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		err = readRefusal(resp, missing)
+		err = readRefusal(resp, notFound)
 		_ = resp.Body.Close()
-		dog.stop()
+		wd.stop()
 		return nil, err
 	}
-	return newStream(p, gen, dog, resp, call, began), nil
+	return newStream(p, gen, wd, resp, opts, began), nil
 }
 
 // newRequest makes a request without GetBody: whether a request with a body is
--- a/internal/endpoint/engines_test.go
+++ b/internal/endpoint/engines_test.go
@@ -21,13 +21,13 @@
 
 const address = "engine:1"
 
-var question = []engineapi.Message{{Role: "user", Content: "what does code 17 mean"}}
+var messages = []engineapi.Message{{Role: "user", Content: "what does code 17 mean"}}
 
-func ask(tokens int) *engineapi.CompletionRequest {
-	return &engineapi.CompletionRequest{Model: "m", Messages: question, MaxTokens: tokens}
+func completionRequest(tokens int) *engineapi.CompletionRequest {
+	return &engineapi.CompletionRequest{Model: "m", Messages: messages, MaxTokens: tokens}
 }
 
-var patient = Call{FirstToken: 5 * time.Second, BetweenToken: time.Second}
+var longTimeouts = StreamOptions{FirstTokenTimeout: 5 * time.Second, StallTimeout: time.Second}
 
 // withEngine runs a test against a stand-in engine on a clock of its own.
 func withEngine(t *testing.T, o engine.Options, f func(t *testing.T, e *engine.Engine, c *Engines, network *pipeNet)) {
@@ -43,8 +43,8 @@
 	})
 }
 
-// read returns the tokens up to the last piece or an error.
-func read(s *Stream, limit int) (text []string, err error) {
+// readTokens returns the tokens up to the last piece or an error.
+func readTokens(s *Stream, limit int) (text []string, err error) {
 	for len(text) < limit {
 		p, err := s.Next()
 		if err != nil {
@@ -58,14 +58,14 @@
 	return text, nil
 }
 
-func TestStreamIsTheWholeAnswer(t *testing.T) {
+func TestStreamReturnsTheWholeAnswer(t *testing.T) {
 	withEngine(t, engine.Options{}, func(t *testing.T, _ *engine.Engine, c *Engines, network *pipeNet) {
 		for range 3 {
-			s, err := c.Start(t.Context(), address, ask(20), patient)
+			s, err := c.Start(t.Context(), address, completionRequest(20), longTimeouts)
 			assert.NilError(t, err)
-			text, err := read(s, 100)
+			text, err := readTokens(s, 100)
 			assert.NilError(t, err)
-			assert.DeepEqual(t, text, engine.Text(question, 20))
+			assert.DeepEqual(t, text, engine.Text(messages, 20))
 			_, err = s.Next()
 			assert.Equal(t, err, io.EOF)
 			s.Close()
@@ -78,32 +78,32 @@
 // streams, the other waits in the pool. The stream's deadline passes and its
 // resume must not be given the waiting one, which would be silent as well, so
 // the caller would wait out a second deadline. It dials and gets the rest.
-func TestSilentConnectionIsReplacedWithItsWholeAge(t *testing.T) {
+func TestStalledConnectionIsReplacedWithAllOlderOnes(t *testing.T) {
 	withEngine(t, engine.Options{}, func(t *testing.T, e *engine.Engine, c *Engines, network *pipeNet) {
-		s, err := c.Start(t.Context(), address, ask(20), patient)
+		s, err := c.Start(t.Context(), address, completionRequest(20), longTimeouts)
 		assert.NilError(t, err)
 		defer s.Close()
 		_, err = c.Load(t.Context(), address)
 		assert.NilError(t, err)
-		text, err := read(s, 5)
+		text, err := readTokens(s, 5)
 		assert.NilError(t, err)
 		assert.Equal(t, network.dials.Load(), int32(2))
 
 		e.SetFaults(enginefault.Faults{SilenceOpen: true})
 		began := time.Now()
 		_, err = s.Next()
-		var silent *Silent
-		assert.Assert(t, errors.As(err, &silent))
-		assert.DeepEqual(t, *silent, Silent{Address: address, StreamID: s.ID(), Stage: Between, After: time.Second})
+		var stall *StallError
+		assert.Assert(t, errors.As(err, &stall))
+		assert.DeepEqual(t, *stall, StallError{Address: address, StreamID: s.ID(), Stage: BetweenPieces, After: time.Second})
 		assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
 		assert.Equal(t, time.Since(began), time.Second)
 
-		r, err := c.Resume(t.Context(), address, s.ID(), 5, patient)
+		r, err := c.Resume(t.Context(), address, s.ID(), 5, longTimeouts)
 		assert.NilError(t, err)
 		defer r.Close()
-		rest, err := read(r, 100)
+		rest, err := readTokens(r, 100)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, append(text, rest...), engine.Text(question, 20))
+		assert.DeepEqual(t, append(text, rest...), engine.Text(messages, 20))
 		assert.Equal(t, network.dials.Load(), int32(3))
 	})
 }
@@ -111,12 +111,12 @@
 // Two streams lose their connections at the same moment and notice it one
 // after the other. The second silence is an old one: it must not close the
 // connections that were opened since the first.
-func TestLateSilenceLeavesNewConnectionsAlone(t *testing.T) {
+func TestStallOfAnOldConnectionKeepsNewConnections(t *testing.T) {
 	withEngine(t, engine.Options{}, func(t *testing.T, e *engine.Engine, c *Engines, network *pipeNet) {
 		open := func(between time.Duration) *Stream {
-			s, err := c.Start(t.Context(), address, ask(100), Call{FirstToken: time.Second, BetweenToken: between})
+			s, err := c.Start(t.Context(), address, completionRequest(100), StreamOptions{FirstTokenTimeout: time.Second, StallTimeout: between})
 			assert.NilError(t, err)
-			_, err = read(s, 1)
+			_, err = readTokens(s, 1)
 			assert.NilError(t, err)
 			return s
 		}
@@ -124,13 +124,13 @@
 		defer quick.Close()
 		defer slow.Close()
 		e.SetFaults(enginefault.Faults{SilenceOpen: true})
-		var silent *Silent
-		_, err := read(quick, 100)
-		assert.Assert(t, errors.As(err, &silent))
+		var stall *StallError
+		_, err := readTokens(quick, 100)
+		assert.Assert(t, errors.As(err, &stall))
 		_, err = c.Load(t.Context(), address)
 		assert.NilError(t, err)
-		_, err = read(slow, 100)
-		assert.Assert(t, errors.As(err, &silent))
+		_, err = readTokens(slow, 100)
+		assert.Assert(t, errors.As(err, &stall))
 		_, err = c.Load(t.Context(), address)
 		assert.NilError(t, err)
 		assert.Equal(t, network.dials.Load(), int32(3))
@@ -139,41 +139,41 @@
 
 // The engine accepts requests and never answers: each kind of call ends with
 // its own deadline and says how far it was.
-func TestSilentEngine(t *testing.T) {
+func TestCallsToASilentEngineEndAtTheirDeadlines(t *testing.T) {
 	withEngine(t, engine.Options{Slots: 1}, func(t *testing.T, e *engine.Engine, c *Engines, _ *pipeNet) {
-		busy, err := c.Start(t.Context(), address, ask(1000), patient)
+		busy, err := c.Start(t.Context(), address, completionRequest(1000), longTimeouts)
 		assert.NilError(t, err)
 		defer busy.Close()
-		queued, err := c.Start(t.Context(), address, ask(1), patient)
+		queued, err := c.Start(t.Context(), address, completionRequest(1), longTimeouts)
 		assert.NilError(t, err)
 		defer queued.Close()
-		var silent *Silent
+		var stall *StallError
 		_, err = queued.Next()
-		assert.Assert(t, errors.As(err, &silent))
-		assert.Equal(t, silent.Stage, BeforeFirst)
-		assert.Equal(t, silent.StreamID, queued.ID())
+		assert.Assert(t, errors.As(err, &stall))
+		assert.Equal(t, stall.Stage, BeforeFirstPiece)
+		assert.Equal(t, stall.StreamID, queued.ID())
 
 		e.SetFaults(enginefault.Faults{Silent: true})
-		_, err = c.Start(t.Context(), address, ask(1), patient)
-		assert.Assert(t, errors.As(err, &silent))
-		assert.Equal(t, silent.Stage, BeforeAnswer)
+		_, err = c.Start(t.Context(), address, completionRequest(1), longTimeouts)
+		assert.Assert(t, errors.As(err, &stall))
+		assert.Equal(t, stall.Stage, BeforeAnswer)
 		assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
 		_, err = c.Load(t.Context(), address)
-		assert.Assert(t, errors.As(err, &silent))
+		assert.Assert(t, errors.As(err, &stall))
 	})
 }
 
-func TestRefusalsOfAnEngine(t *testing.T) {
+func TestRefusalsOfAnEngineAreNotRun(t *testing.T) {
 	withEngine(t, engine.Options{Slots: 1, MaxQueue: 1, Fences: true}, func(t *testing.T, e *engine.Engine, c *Engines, _ *pipeNet) {
 		start := func(req *engineapi.CompletionRequest) error {
-			s, err := c.Start(t.Context(), address, req, patient)
+			s, err := c.Start(t.Context(), address, req, longTimeouts)
 			if err == nil {
 				t.Cleanup(s.Close)
 				synctest.Wait()
 			}
 			return err
 		}
-		other := ask(1)
+		other := completionRequest(1)
 		other.Model = "other"
 		assertRefusal := func(err, want error) {
 			t.Helper()
@@ -181,9 +181,9 @@
 			assert.Equal(t, verdict.Of(err), verdict.NotRun)
 		}
 		assertRefusal(start(other), ErrModelNotLoaded)
-		assert.NilError(t, start(ask(1000)))
-		assert.NilError(t, start(ask(1000)))
-		assertRefusal(start(ask(1)), ErrBusy)
+		assert.NilError(t, start(completionRequest(1000)))
+		assert.NilError(t, start(completionRequest(1000)))
+		assertRefusal(start(completionRequest(1)), ErrBusy)
 		assert.NilError(t, c.Order(t.Context(), address, engineapi.Order{Fencing: 7, Kind: engineapi.SetRole}))
 		err := c.Order(t.Context(), address, engineapi.Order{Fencing: 6, Kind: engineapi.SetRole})
 		assertRefusal(err, ErrFenced)
@@ -191,36 +191,36 @@
 		assert.Assert(t, errors.As(err, &status))
 		assert.Equal(t, status.Fencing, uint64(7))
 		assert.ErrorIs(t, c.Cancel(t.Context(), address, "none"), ErrStreamGone)
-		_, err = c.Resume(t.Context(), address, "none", 0, patient)
+		_, err = c.Resume(t.Context(), address, "none", 0, longTimeouts)
 		assert.ErrorIs(t, err, ErrStreamGone)
 		assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
 		e.SetFaults(enginefault.Faults{Unavailable: true})
-		assertRefusal(start(ask(1)), ErrUnavailable)
+		assertRefusal(start(completionRequest(1)), ErrUnavailable)
 	})
 }
 
-func TestMoveOfKVCache(t *testing.T) {
+func TestKVCacheMovesBetweenStreams(t *testing.T) {
 	withEngine(t, engine.Options{}, func(t *testing.T, _ *engine.Engine, c *Engines, _ *pipeNet) {
-		s, err := c.Start(t.Context(), address, ask(20), patient)
+		s, err := c.Start(t.Context(), address, completionRequest(20), longTimeouts)
 		assert.NilError(t, err)
 		defer s.Close()
-		head, err := read(s, 5)
+		head, err := readTokens(s, 5)
 		assert.NilError(t, err)
 		blob, err := c.Export(t.Context(), address, s.ID())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, blob.Generated, head)
 		_, err = s.Next()
-		assert.ErrorIs(t, err, ErrCut)
+		assert.ErrorIs(t, err, ErrTruncated)
 		assert.NilError(t, c.Import(t.Context(), address, &blob))
-		req := ask(20)
+		req := completionRequest(20)
 		req.Continue = blob.Generated
 		req.KV = blob.ID
-		s, err = c.Start(t.Context(), address, req, patient)
+		s, err = c.Start(t.Context(), address, req, longTimeouts)
 		assert.NilError(t, err)
 		defer s.Close()
-		rest, err := read(s, 100)
+		rest, err := readTokens(s, 100)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, append(head, rest...), engine.Text(question, 20))
+		assert.DeepEqual(t, append(head, rest...), engine.Text(messages, 20))
 		counters, err := c.Counters(t.Context(), address)
 		assert.NilError(t, err)
 		assert.Equal(t, counters.RecomputedTokens, int64(0))
@@ -232,15 +232,15 @@
 	})
 }
 
-func TestStreamThatIsNoAnswer(t *testing.T) {
+func TestIncompleteOrMalformedStreamFails(t *testing.T) {
 	for body, want := range map[string]error{
-		"data: {\"offset\":0,\"text\":\"a\"}\n\n": ErrCut,
-		"data: {\"offset\":":                      ErrCut,
+		"data: {\"offset\":0,\"text\":\"a\"}\n\n": ErrTruncated,
+		"data: {\"offset\":":                      ErrTruncated,
 		"data: {]\n\n":                            ErrMalformed,
 	} {
 		resp := &http.Response{Header: make(http.Header), Body: io.NopCloser(strings.NewReader(body))}
-		s := newStream(newPool(address, &Options{}), nil, newWatchdog(context.Background(), 0), resp, Call{}, time.Now())
-		_, err := read(s, 10)
+		s := newStream(newPool(address, &Options{}), nil, newWatchdog(context.Background(), 0), resp, StreamOptions{}, time.Now())
+		_, err := readTokens(s, 10)
 		assert.ErrorIs(t, err, want)
 		assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
 		s.Close()
--- a/internal/endpoint/errors.go
+++ b/internal/endpoint/errors.go
@@ -23,8 +23,8 @@
 	ErrUnavailable = errors.New("unavailable")
 	// ErrFenced: the engine has seen a higher fencing number.
 	ErrFenced = errors.New("fenced")
-	// ErrCut: a stream ended before its last piece.
-	ErrCut = errors.New("stream cut")
+	// ErrTruncated: a stream ended before its last piece.
+	ErrTruncated = errors.New("stream cut")
 	// ErrMalformed: an answer isn't what the API says.
 	ErrMalformed = errors.New("malformed answer")
 	// ErrTooManyConns: the bound on connections to the endpoint was reached.
@@ -34,7 +34,7 @@
 var (
 	errSealed         = errors.New("request was given up before it was written")
 	errSecondDispatch = errors.New("a second dispatch was refused")
-	errSilence        = errors.New("progress deadline passed")
+	errStalled        = errors.New("progress deadline passed")
 )
 
 // Stage is how far an exchange was when its connection went silent.
@@ -42,21 +42,21 @@
 
 // The stages.
 const (
-	BeforeAnswer Stage = iota // no head of an answer; the stream id is unknown
-	BeforeFirst               // head read, no piece yet: silent, or long in the engine's queue
-	Between                   // after a piece
+	BeforeAnswer     Stage = iota // no head of an answer; the stream id is unknown
+	BeforeFirstPiece              // head read, no piece yet: silent, or long in the engine's queue
+	BetweenPieces                 // after a piece
 )
 
-// Silent says that no byte arrived in time. The connection is closed and so
+// StallError says that no byte arrived in time. The connection is closed and so
 // are the endpoint's idle ones of its age; the next attempt dials a new one.
-type Silent struct {
+type StallError struct {
 	Address  string
 	StreamID string // for Resume; empty at BeforeAnswer
 	Stage    Stage
 	After    time.Duration // the deadline
 }
 
-func (s *Silent) Error() string {
+func (s *StallError) Error() string {
 	return fmt.Sprintf("%s silent for %v", s.Address, s.After)
 }
 
--- a/internal/endpoint/hopbyhop.go
+++ b/internal/endpoint/hopbyhop.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection (RFC 9110, 7.6.1), with
+// hopByHopHeaders are the headers that concern one connection (RFC 9110, 7.6.1), with
 // those that clients are known to send without naming them in Connection.
-var hopByHop = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Http2-Settings", "Expect",
@@ -25,7 +25,7 @@
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/internal/endpoint/jsoncall.go
+++ b/internal/endpoint/jsoncall.go
@@ -13,41 +13,41 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// smallCall is one exchange of JSON with an engine.
-type smallCall struct {
-	pool    *pool
-	ask     *sling.Sling
-	out     any           // to decode the answer into; nil for none
-	missing error         // what 404 stands for; nil for nothing special
-	timeout time.Duration // 0 leaves it to the context
+// jsonCall is one exchange of JSON with an engine.
+type jsonCall struct {
+	pool     *pool
+	request  *sling.Sling
+	out      any           // to decode the answer into; nil for none
+	notFound error         // what 404 stands for; nil for nothing special
+	timeout  time.Duration // 0 leaves it to the context
 }
 
-// small prepares a call to the engine at address.
-func (e *Engines) small(address string) *smallCall {
-	return &smallCall{
+// newJSONCall prepares a call to the engine at address.
+func (e *Engines) newJSONCall(address string) *jsonCall {
+	return &jsonCall{
 		pool:    e.get(address),
-		ask:     sling.New().Base(e.o.scheme() + "://" + address),
+		request: sling.New().Base(e.o.scheme() + "://" + address),
 		timeout: e.o.CallTimeout,
 	}
 }
 
 // do sends the call and decodes the answer. Its errors carry a verdict.
-func (c *smallCall) do(ctx context.Context) error {
-	d := &callDoer{gen: c.pool.current(), dog: newWatchdog(ctx, c.timeout)}
-	defer d.dog.stop()
-	req, err := c.ask.Doer(d).Request()
+func (c *jsonCall) do(ctx context.Context) error {
+	d := &callDoer{gen: c.pool.current(), watchdog: newWatchdog(ctx, c.timeout)}
+	defer d.watchdog.stop()
+	req, err := c.request.Doer(d).Request()
 	if err != nil {
 		return verdict.Wrap(verdict.NotRun, Error.Wrap(err))
 	}
 	var refusal engineapi.Refusal
-	resp, err := c.ask.Do(req, c.out, &refusal)
+	resp, err := c.request.Do(req, c.out, &refusal)
 	if resp != nil && resp.StatusCode >= http.StatusMultipleChoices {
-		return refusalError(resp, refusal, c.missing)
+		return refusalError(resp, refusal, c.notFound)
 	}
 	if err != nil {
-		silent := &Silent{Address: c.pool.address, After: c.timeout}
-		err = c.pool.failure(d.dog, d.gen, err, silent)
-		return verdict.Wrap(d.tried.verdict(), err)
+		stall := &StallError{Address: c.pool.address, After: c.timeout}
+		err = c.pool.wrapFailure(d.watchdog, d.gen, err, stall)
+		return verdict.Wrap(d.attempt.verdict(), err)
 	}
 	return nil
 }
@@ -58,14 +58,14 @@
 
 // callDoer sends the request of one small call.
 type callDoer struct {
-	gen   *generation
-	dog   *watchdog
-	tried attempt
+	gen      *generation
+	watchdog *watchdog
+	attempt  attempt
 }
 
 // Do sends req and bounds the answer's body.
 func (d *callDoer) Do(req *http.Request) (*http.Response, error) {
-	resp, err := d.gen.transport.RoundTrip(req.WithContext(d.tried.watch(d.dog.ctx)))
+	resp, err := d.gen.transport.RoundTrip(req.WithContext(d.attempt.trace(d.watchdog.ctx)))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/endpoint/once_test.go
+++ b/internal/endpoint/once_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *closingService) ran(key string) int {
+func (s *closingService) runsOf(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
@@ -72,7 +72,7 @@
 
 func (s *closingService) address() string { return s.Addr().String() }
 
-func order(key, body string, once bool) ServiceRequest {
+func newOrder(key, body string, once bool) ServiceRequest {
 	return ServiceRequest{
 		Method: http.MethodPost,
 		Target: serviceapi.OrdersPath,
@@ -82,7 +82,7 @@
 	}
 }
 
-func drain(t *testing.T, body io.ReadCloser) {
+func readAndClose(t *testing.T, body io.ReadCloser) {
 	_, err := io.Copy(io.Discard, body)
 	assert.NilError(t, err)
 	assert.NilError(t, body.Close())
@@ -93,7 +93,7 @@
 // order again on a new connection, so the caller sees one confirmed order and
 // the dealer gets two. This is the standard library's own behaviour, shown
 // here so that the next test means something.
-func TestPlainClientRunsAnOrderTwice(t *testing.T) {
+func TestNetHTTPSendsAnOrderTwice(t *testing.T) {
 	s := newClosingService(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -103,41 +103,41 @@
 		req.Header.Set(serviceapi.KeyHeader, key)
 		resp, err := client.Do(req)
 		assert.NilError(t, err)
-		drain(t, resp.Body)
+		readAndClose(t, resp.Body)
 	}
-	assert.Equal(t, s.ran("twice"), 2)
+	assert.Equal(t, s.runsOf("twice"), 2)
 }
 
 // The same service and the same order of things with our client: an order
 // that must run once leaves once, on a connection of its own, with its key. If
 // its answer is lost the caller is told that it may have run.
-func TestOrderLeavesOnce(t *testing.T) {
+func TestOrderIsSentOnce(t *testing.T) {
 	s := newClosingService(t)
 	c := NewServices(Options{})
 	defer c.Close()
 	for _, key := range []string{"first", "second"} {
-		answer, err := c.Do(t.Context(), s.address(), order(key, "x", true))
+		answer, err := c.Do(t.Context(), s.address(), newOrder(key, "x", true))
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Verdict(), verdict.Ran)
-		drain(t, answer.Body)
-		assert.Equal(t, s.ran(key), 1)
+		readAndClose(t, answer.Body)
+		assert.Equal(t, s.runsOf(key), 1)
 	}
-	_, err := c.Do(t.Context(), s.address(), order("lost", "lost", true))
+	_, err := c.Do(t.Context(), s.address(), newOrder("lost", "lost", true))
 	assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
-	assert.Equal(t, s.ran("lost"), 1)
+	assert.Equal(t, s.runsOf("lost"), 1)
 }
 
 // A call that may be repeated uses pooled connections. When one dies after the
 // service has read the call, the call is still not sent again behind the back
 // of the caller, whose retry budget decides that.
-func TestPooledCallIsNotReplayed(t *testing.T) {
+func TestCallOnAPooledConnectionIsNotSentAgain(t *testing.T) {
 	s := newClosingService(t)
 	c := NewServices(Options{})
 	defer c.Close()
-	answer, err := c.Do(t.Context(), s.address(), order("first", "x", false))
+	answer, err := c.Do(t.Context(), s.address(), newOrder("first", "x", false))
 	assert.NilError(t, err)
-	drain(t, answer.Body)
-	_, err = c.Do(t.Context(), s.address(), order("second", "x", false))
+	readAndClose(t, answer.Body)
+	_, err = c.Do(t.Context(), s.address(), newOrder("second", "x", false))
 	assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
-	assert.Equal(t, s.ran("second"), 1)
+	assert.Equal(t, s.runsOf("second"), 1)
 }
--- a/internal/endpoint/pool.go
+++ b/internal/endpoint/pool.go
@@ -10,17 +10,17 @@
 
 // pool holds the connections to one endpoint.
 type pool struct {
-	address string
-	o       *Options
-	places  chan struct{} // one element for each open connection
-	used    uint64        // for eviction; guarded by pools
+	address   string
+	o         *Options
+	connSlots chan struct{} // one element for each open connection
+	lastUse   uint64        // for eviction; guarded by pools
 
 	mu  sync.Mutex
 	gen *generation
 }
 
 func newPool(address string, o *Options) *pool {
-	p := &pool{address: address, o: o, places: make(chan struct{}, o.MaxConns)}
+	p := &pool{address: address, o: o, connSlots: make(chan struct{}, o.MaxConns)}
 	p.gen = p.newGeneration()
 	return p
 }
@@ -54,14 +54,14 @@
 // maxResponseHeader bounds an answer's head, bytes.
 const maxResponseHeader = 64 << 10
 
-// once returns a transport that can dispatch one request only.
+// singleUseTransport returns a transport that can dispatch one request only.
 //
 // The failure it guards against: net/http's Transport sends a request with an
 // Idempotency-Key header again when a reused connection dies before an answer,
 // and the endpoint runs it twice. Here the connection is fresh, and were there
 // any cause to try again, the second dial is refused. The dial ends with ctx,
 // since nobody else could use the connection.
-func (p *pool) once(ctx context.Context) *http.Transport {
+func (p *pool) singleUseTransport(ctx context.Context) *http.Transport {
 	var dialled atomic.Bool
 	t := p.newTransport(func(_ context.Context, network, address string) (net.Conn, error) {
 		if dialled.Swap(true) {
@@ -78,11 +78,11 @@
 	ctx, cancel := context.WithTimeout(ctx, p.o.DialTimeout)
 	defer cancel()
 	select {
-	case p.places <- struct{}{}:
+	case p.connSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ErrTooManyConns
 	}
-	release := func() { <-p.places }
+	release := func() { <-p.connSlots }
 	c, err := p.o.Dial(ctx, network, p.address)
 	if err != nil {
 		release()
--- a/internal/endpoint/pools.go
+++ b/internal/endpoint/pools.go
@@ -7,7 +7,7 @@
 	o Options
 
 	mu        sync.Mutex
-	clock     uint64
+	uses      uint64
 	byAddress map[string]*pool
 }
 
@@ -18,16 +18,16 @@
 func (p *pools) get(address string) *pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.clock++
+	p.uses++
 	if got, ok := p.byAddress[address]; ok {
-		got.used = p.clock
+		got.lastUse = p.uses
 		return got
 	}
 	if len(p.byAddress) >= p.o.MaxEndpoints {
 		p.evict()
 	}
 	made := newPool(address, &p.o)
-	made.used = p.clock
+	made.lastUse = p.uses
 	p.byAddress[address] = made
 	return made
 }
@@ -37,7 +37,7 @@
 func (p *pools) evict() {
 	var oldest *pool
 	for _, candidate := range p.byAddress {
-		if oldest == nil || candidate.used < oldest.used {
+		if oldest == nil || candidate.lastUse < oldest.lastUse {
 			oldest = candidate
 		}
 	}
--- a/internal/endpoint/progress.go
+++ b/internal/endpoint/progress.go
@@ -7,27 +7,27 @@
 
 // progressReader arms the watchdog for as long as it waits for bytes.
 type progressReader struct {
-	src     io.Reader
-	dog     *watchdog
-	first   time.Duration // from the start to the first piece; 0 is none
-	firstBy time.Time
-	between time.Duration // 0 is none
-	begun   bool          // a piece was read
+	src           io.Reader
+	watchdog      *watchdog
+	firstTimeout  time.Duration // from the start to the first piece; 0 is none
+	firstDeadline time.Time
+	stallTimeout  time.Duration // 0 is none
+	firstRead     bool          // a piece was read
 }
 
 // Read is the reader's, under the deadline of the stage.
 func (p *progressReader) Read(b []byte) (int, error) {
 	p.arm()
 	n, err := p.src.Read(b)
-	p.dog.rest()
+	p.watchdog.disarm()
 	return n, err
 }
 
 func (p *progressReader) arm() {
 	switch {
-	case p.begun && p.between > 0:
-		p.dog.arm(p.between)
-	case !p.begun && p.first > 0:
-		p.dog.arm(time.Until(p.firstBy))
+	case p.firstRead && p.stallTimeout > 0:
+		p.watchdog.arm(p.stallTimeout)
+	case !p.firstRead && p.firstTimeout > 0:
+		p.watchdog.arm(time.Until(p.firstDeadline))
 	}
 }
--- a/internal/endpoint/services.go
+++ b/internal/endpoint/services.go
@@ -29,10 +29,10 @@
 	// Once is for a non-idempotent call: it leaves exactly once, on a
 	// connection that was never used before.
 	Once bool
-	// Answer bounds the time to the answer's head; Between that without a byte
+	// AnswerTimeout bounds the time to the answer's head; Between that without a byte
 	// of its body. 0 is none.
-	Answer  time.Duration
-	Between time.Duration
+	AnswerTimeout time.Duration
+	StallTimeout  time.Duration
 }
 
 var errBadTarget = errors.New("target isn't an absolute path")
@@ -45,17 +45,17 @@
 		return nil, verdict.Wrap(verdict.NotRun, Error.Wrap(err))
 	}
 	p := s.get(address)
-	dog := newWatchdog(ctx, call.Answer)
-	gen, transport := p.transport(dog.ctx, call.Once)
-	tried := new(attempt)
-	resp, err := transport.RoundTrip(req.WithContext(tried.watch(dog.ctx)))
+	wd := newWatchdog(ctx, call.AnswerTimeout)
+	gen, transport := p.transport(wd.ctx, call.Once)
+	att := new(attempt)
+	resp, err := transport.RoundTrip(req.WithContext(att.trace(wd.ctx)))
 	if err != nil {
-		err = p.failure(dog, gen, err, &Silent{Address: address, After: call.Answer})
-		dog.stop()
-		return nil, verdict.Wrap(tried.verdict(), err)
+		err = p.wrapFailure(wd, gen, err, &StallError{Address: address, After: call.AnswerTimeout})
+		wd.stop()
+		return nil, verdict.Wrap(att.verdict(), err)
 	}
-	dog.rest()
-	return newAnswer(p, gen, dog, resp, call.Between), nil
+	wd.disarm()
+	return newAnswer(p, gen, wd, resp, call.StallTimeout), nil
 }
 
 func (s *Services) request(address string, call *ServiceRequest) (*http.Request, error) {
--- a/internal/endpoint/services_bench_test.go
+++ b/internal/endpoint/services_bench_test.go
@@ -20,7 +20,7 @@
 			defer c.Close()
 			b.ReportAllocs()
 			for b.Loop() {
-				answer, err := c.Do(b.Context(), server.Listener.Addr().String(), order("key", "body", once))
+				answer, err := c.Do(b.Context(), server.Listener.Addr().String(), newOrder("key", "body", once))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/endpoint/sse/reader.go
+++ b/internal/endpoint/sse/reader.go
@@ -30,10 +30,10 @@
 
 // Reader reads events. Make one with NewReader.
 type Reader struct {
-	src  *bufio.Reader
-	data []byte
-	id   []byte
-	long []byte // a line that didn't fit src's buffer
+	src     *bufio.Reader
+	data    []byte
+	id      []byte
+	longBuf []byte // a line that didn't fit src's buffer
 }
 
 // NewReader reads events from src.
@@ -49,10 +49,10 @@
 	for begun := false; ; begun = true {
 		line, err := r.line()
 		if err != nil {
-			return Event{}, endOf(err, begun || len(line) > 0)
+			return Event{}, endError(err, begun || len(line) > 0)
 		}
 		if len(line) > 0 {
-			r.field(line)
+			r.addField(line)
 		} else if len(r.data) > 0 {
 			return r.event(), nil
 		}
@@ -71,16 +71,16 @@
 	return e
 }
 
-func endOf(err error, within bool) error {
+func endError(err error, within bool) error {
 	if err == io.EOF && within {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// field takes one line. Comments and fields other than id and data are of no
+// addField takes one line. Comments and fields other than id and data are of no
 // use here.
-func (r *Reader) field(line []byte) {
+func (r *Reader) addField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	if len(value) > 0 && value[0] == ' ' {
 		value = value[1:]
@@ -111,15 +111,15 @@
 }
 
 func (r *Reader) longLine(part []byte) ([]byte, error) {
-	r.long = append(r.long[:0], part...)
+	r.longBuf = append(r.longBuf[:0], part...)
 	for {
 		part, err := r.src.ReadSlice('\n')
-		r.long = append(r.long, part...)
-		if len(r.long) > MaxEvent {
+		r.longBuf = append(r.longBuf, part...)
+		if len(r.longBuf) > MaxEvent {
 			return nil, ErrTooLong
 		}
 		if err != bufio.ErrBufferFull {
-			return r.long, err
+			return r.longBuf, err
 		}
 	}
 }
--- a/internal/endpoint/sse/reader_test.go
+++ b/internal/endpoint/sse/reader_test.go
@@ -64,20 +64,20 @@
 	})
 }
 
-// repeated reads the same text for ever.
-type repeated struct {
+// repeatingReader reads the same text for ever.
+type repeatingReader struct {
 	text string
 	at   int
 }
 
-func (r *repeated) Read(p []byte) (int, error) {
+func (r *repeatingReader) Read(p []byte) (int, error) {
 	n := copy(p, r.text[r.at:])
 	r.at = (r.at + n) % len(r.text)
 	return n, nil
 }
 
 func BenchmarkNext(b *testing.B) {
-	r := NewReader(&repeated{text: "id: 1234\ndata: {\"offset\":1234,\"text\":\" bearing\"}\n\n"})
+	r := NewReader(&repeatingReader{text: "id: 1234\ndata: {\"offset\":1234,\"text\":\" bearing\"}\n\n"})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := r.Next(); err != nil {
--- a/internal/endpoint/status.go
+++ b/internal/endpoint/status.go
@@ -16,28 +16,28 @@
 
 // readRefusal turns a refusal of a model engine into an error. missing is what
 // 404 stands for.
-func readRefusal(resp *http.Response, missing error) error {
+func readRefusal(resp *http.Response, notFound error) error {
 	var refusal engineapi.Refusal
 	// A body that isn't JSON leaves the message empty; the status says enough.
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxFailureBody)).Decode(&refusal)
-	return refusalError(resp, refusal, missing)
+	return refusalError(resp, refusal, notFound)
 }
 
-func refusalError(resp *http.Response, refusal engineapi.Refusal, missing error) error {
+func refusalError(resp *http.Response, refusal engineapi.Refusal, notFound error) error {
 	err := &StatusError{
 		Status:     resp.StatusCode,
 		Message:    refusal.Error,
 		RetryAfter: retryAfter(resp.Header),
 		Fencing:    refusal.Fencing,
-		cause:      causeOf(resp.StatusCode, missing),
+		cause:      causeOf(resp.StatusCode, notFound),
 	}
 	return verdict.Wrap(refusalVerdict(resp.StatusCode), Error.Wrap(err))
 }
 
-func causeOf(status int, missing error) error {
+func causeOf(status int, notFound error) error {
 	switch status {
 	case http.StatusNotFound:
-		return missing
+		return notFound
 	case http.StatusConflict:
 		return ErrFenced
 	case http.StatusTooManyRequests:
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -15,34 +15,34 @@
 // Stream reads the pieces of a completion. Next is for one goroutine; Close
 // may be called by any at any time.
 type Stream struct {
-	id     string
-	pool   *pool
-	gen    *generation
-	dog    *watchdog
-	body   io.ReadCloser
-	reader *progressReader
-	events *sse.Reader
-	err    error       // what Next returns from now on
-	done   atomic.Bool // the last piece was returned
+	id       string
+	pool     *pool
+	gen      *generation
+	watchdog *watchdog
+	body     io.ReadCloser
+	reader   *progressReader
+	events   *sse.Reader
+	err      error       // what Next returns from now on
+	done     atomic.Bool // the last piece was returned
 }
 
-func newStream(p *pool, gen *generation, dog *watchdog, resp *http.Response, call Call, began time.Time) *Stream {
+func newStream(p *pool, gen *generation, wd *watchdog, resp *http.Response, opts StreamOptions, began time.Time) *Stream {
 	reader := &progressReader{
-		src:     resp.Body,
-		dog:     dog,
-		first:   call.FirstToken,
-		firstBy: began.Add(call.FirstToken),
-		between: call.BetweenToken,
+		src:           resp.Body,
+		watchdog:      wd,
+		firstTimeout:  opts.FirstTokenTimeout,
+		firstDeadline: began.Add(opts.FirstTokenTimeout),
+		stallTimeout:  opts.StallTimeout,
 	}
-	dog.rest()
+	wd.disarm()
 	return &Stream{
-		id:     resp.Header.Get(engineapi.StreamIDHeader),
-		pool:   p,
-		gen:    gen,
-		dog:    dog,
-		body:   resp.Body,
-		reader: reader,
-		events: sse.NewReader(reader),
+		id:       resp.Header.Get(engineapi.StreamIDHeader),
+		pool:     p,
+		gen:      gen,
+		watchdog: wd,
+		body:     resp.Body,
+		reader:   reader,
+		events:   sse.NewReader(reader),
 	}
 }
 
@@ -60,7 +60,7 @@
 	if err != nil {
 		return engineapi.Piece{}, s.fail(s.cause(err))
 	}
-	s.reader.begun = true
+	s.reader.firstRead = true
 	piece, err := decodePiece(event.Data)
 	if err != nil {
 		return engineapi.Piece{}, s.fail(errors.Join(ErrMalformed, err))
@@ -73,34 +73,34 @@
 }
 
 func (s *Stream) fail(err error) error {
-	s.dog.stop()
+	s.watchdog.stop()
 	s.err = verdict.Wrap(verdict.MayHaveRun, Error.Wrap(err))
 	return s.err
 }
 
 // cause names what ended the stream before its last piece.
 func (s *Stream) cause(err error) error {
-	if s.dog.silent() {
-		return s.pool.failure(s.dog, s.gen, err, s.silence())
+	if s.watchdog.expired() {
+		return s.pool.wrapFailure(s.watchdog, s.gen, err, s.stallError())
 	}
-	if s.dog.ctx.Err() != nil || errors.Is(err, sse.ErrTooLong) {
+	if s.watchdog.ctx.Err() != nil || errors.Is(err, sse.ErrTooLong) {
 		return err
 	}
-	return errors.Join(ErrCut, err)
+	return errors.Join(ErrTruncated, err)
 }
 
-func (s *Stream) silence() *Silent {
-	silent := &Silent{Address: s.pool.address, StreamID: s.id, Stage: BeforeFirst, After: s.reader.first}
-	if s.reader.begun {
-		silent.Stage = Between
-		silent.After = s.reader.between
+func (s *Stream) stallError() *StallError {
+	stall := &StallError{Address: s.pool.address, StreamID: s.id, Stage: BeforeFirstPiece, After: s.reader.firstTimeout}
+	if s.reader.firstRead {
+		stall.Stage = BetweenPieces
+		stall.After = s.reader.stallTimeout
 	}
-	return silent
+	return stall
 }
 
-// drainTime bounds the wait for the end of an answer whose last piece was
+// drainTimeout bounds the wait for the end of an answer whose last piece was
 // read. It comes with that piece or right after it.
-const drainTime = 20 * time.Millisecond
+const drainTimeout = 20 * time.Millisecond
 
 // maxDrain bounds what is read for it, bytes.
 const maxDrain = 4 << 10
@@ -110,9 +110,9 @@
 func (s *Stream) Close() {
 	if s.done.Load() {
 		// Read to its end, the connection can be used again.
-		s.dog.arm(drainTime)
+		s.watchdog.arm(drainTimeout)
 		_, _ = io.CopyN(io.Discard, s.body, maxDrain)
 	}
-	s.dog.stop()
+	s.watchdog.stop()
 	_ = s.body.Close()
 }
--- a/internal/endpoint/stream_bench_test.go
+++ b/internal/endpoint/stream_bench_test.go
@@ -18,10 +18,10 @@
 
 func BenchmarkStreamNext(b *testing.B) {
 	body := tokenBody{event: "id: 1234\ndata: {\"offset\":1234,\"text\":\" bearing\"}\n\n"}
-	call := Call{FirstToken: time.Minute, BetweenToken: time.Minute}
-	dog := newWatchdog(context.Background(), call.FirstToken)
+	opts := StreamOptions{FirstTokenTimeout: time.Minute, StallTimeout: time.Minute}
+	wd := newWatchdog(context.Background(), opts.FirstTokenTimeout)
 	resp := &http.Response{Header: make(http.Header), Body: body}
-	s := newStream(newPool("x:1", &Options{}), nil, dog, resp, call, time.Now())
+	s := newStream(newPool("x:1", &Options{}), nil, wd, resp, opts, time.Now())
 	defer s.Close()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/endpoint/tls_test.go
+++ b/internal/endpoint/tls_test.go
@@ -26,7 +26,7 @@
 	trusted := server.Client().Transport.(*http.Transport).TLSClientConfig
 	for _, once := range []bool{true, false} {
 		c := NewServices(Options{TLS: trusted})
-		_, err := c.Do(t.Context(), server.Listener.Addr().String(), order("key", "x", once))
+		_, err := c.Do(t.Context(), server.Listener.Addr().String(), newOrder("key", "x", once))
 		assert.Equal(t, verdict.Of(err), verdict.MayHaveRun, "%v", err)
 		c.Close()
 	}
@@ -34,6 +34,6 @@
 	untrusted.RootCAs = nil
 	c := NewServices(Options{TLS: untrusted})
 	defer c.Close()
-	_, err := c.Do(t.Context(), server.Listener.Addr().String(), order("key", "x", true))
+	_, err := c.Do(t.Context(), server.Listener.Addr().String(), newOrder("key", "x", true))
 	assert.Equal(t, verdict.Of(err), verdict.NotRun, "%v", err)
 }
--- a/internal/endpoint/verdict_test.go
+++ b/internal/endpoint/verdict_test.go
@@ -16,29 +16,29 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// brokenConn fails all writes before the kernel takes a byte.
-type brokenConn struct{ net.Conn }
+// failingConn fails all writes before the kernel takes a byte.
+type failingConn struct{ net.Conn }
 
-func (brokenConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (failingConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// stuckConn takes a part of a write and then blocks until it is closed.
-type stuckConn struct {
+// hangingConn takes a part of a write and then blocks until it is closed.
+type hangingConn struct {
 	net.Conn
 	closed chan struct{}
 }
 
-func (c *stuckConn) Write(p []byte) (int, error) {
+func (c *hangingConn) Write(p []byte) (int, error) {
 	<-c.closed
 	return 1, io.ErrClosedPipe
 }
 
-func (c *stuckConn) Close() error {
+func (c *hangingConn) Close() error {
 	close(c.closed)
 	return c.Conn.Close()
 }
 
-func TestVerdictOfFailedDispatch(t *testing.T) {
-	end := func() net.Conn {
+func TestVerdictOfAFailedSend(t *testing.T) {
+	pipeEnd := func() net.Conn {
 		c, _ := net.Pipe()
 		return c
 	}
@@ -49,9 +49,9 @@
 	}{
 		{"no connection", func(context.Context, string, string) (net.Conn, error) { return nil, io.ErrNoProgress }, verdict.NotRun},
 		{"dial hangs", func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }, verdict.NotRun},
-		{"nothing written", func(context.Context, string, string) (net.Conn, error) { return brokenConn{end()}, nil }, verdict.NotRun},
+		{"nothing written", func(context.Context, string, string) (net.Conn, error) { return failingConn{pipeEnd()}, nil }, verdict.NotRun},
 		{"write hangs", func(context.Context, string, string) (net.Conn, error) {
-			return &stuckConn{Conn: end(), closed: make(chan struct{})}, nil
+			return &hangingConn{Conn: pipeEnd(), closed: make(chan struct{})}, nil
 		}, verdict.MayHaveRun},
 	}
 	for _, c := range cases {
@@ -60,8 +60,8 @@
 				synctest.Test(t, func(t *testing.T) {
 					services := NewServices(Options{Dial: c.dial, MaxConns: 1})
 					defer services.Close()
-					call := order("key", "x", once)
-					call.Answer = 2 * DefaultDialTimeout
+					call := newOrder("key", "x", once)
+					call.AnswerTimeout = 2 * DefaultDialTimeout
 					for range 2 { // the first must give its connection's place back
 						_, err := services.Do(t.Context(), address, call)
 						assert.Equal(t, verdict.Of(err), c.want, "%v", err)
@@ -86,21 +86,21 @@
 
 // A request is given up while another goroutine is about to write it. Once the
 // caller was told that it didn't run, not a byte of it may leave.
-func TestNothingLeavesAfterTheProof(t *testing.T) {
-	var under recordingConn
-	c := newConn(&under, func() {})
+func TestNothingIsWrittenAfterTheNotRunVerdict(t *testing.T) {
+	var inner recordingConn
+	c := newConn(&inner, func() {})
 	assert.Assert(t, c.sealUnwritten(0))
 	_, err := c.Write([]byte("late"))
 	assert.ErrorIs(t, err, errSealed)
-	assert.Equal(t, len(under.got), 0)
+	assert.Equal(t, len(inner.got), 0)
 }
 
 // A request is given up while its first write is under way. Whether the kernel
 // took bytes isn't known yet, so there is no proof.
-func TestNoProofDuringAWrite(t *testing.T) {
+func TestNoNotRunVerdictDuringAWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		under := &stuckConn{Conn: &net.TCPConn{}, closed: make(chan struct{})}
-		c := newConn(under, func() {})
+		inner := &hangingConn{Conn: &net.TCPConn{}, closed: make(chan struct{})}
+		c := newConn(inner, func() {})
 		go func() { _, _ = c.Write([]byte("x")) }()
 		synctest.Wait()
 		assert.Assert(t, !c.sealUnwritten(0))
@@ -108,8 +108,8 @@
 	})
 }
 
-// serveWith runs a test against a plain service on a clock of its own.
-func serveWith(t *testing.T, h http.HandlerFunc, f func(t *testing.T, c *Services)) {
+// withService runs a test against a plain service on a clock of its own.
+func withService(t *testing.T, h http.HandlerFunc, f func(t *testing.T, c *Services)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewServices(Options{Dial: servePipe(t, h).dial, MaxConns: 2})
 		defer c.Close()
@@ -118,9 +118,9 @@
 }
 
 func TestServiceAnswers(t *testing.T) {
-	var seen *http.Request
+	var received *http.Request
 	h := func(w http.ResponseWriter, r *http.Request) {
-		seen = r
+		received = r
 		switch r.URL.Path {
 		case "/unavailable":
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -131,7 +131,7 @@
 			w.Header().Set("Keep-Alive", "timeout=5")
 		}
 	}
-	serveWith(t, h, func(t *testing.T, c *Services) {
+	withService(t, h, func(t *testing.T, c *Services) {
 		get := func(target string) *Answer {
 			header := http.Header{
 				"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Te": {"trailers"},
@@ -139,15 +139,15 @@
 			}
 			answer, err := c.Do(t.Context(), address, ServiceRequest{Method: http.MethodGet, Target: target, Header: header})
 			assert.NilError(t, err)
-			drain(t, answer.Body)
+			readAndClose(t, answer.Body)
 			return answer
 		}
 		answer := get("/a%2Fb?q=1")
 		assert.Equal(t, answer.Verdict(), verdict.Ran)
 		assert.Equal(t, answer.Header.Get("X-Kept"), "yes")
 		assert.Equal(t, answer.Header.Get("Keep-Alive"), "")
-		assert.Equal(t, seen.RequestURI, "/a%2Fb?q=1")
-		assert.DeepEqual(t, seen.Header, http.Header{"Idempotency-Key": {"k"}})
+		assert.Equal(t, received.RequestURI, "/a%2Fb?q=1")
+		assert.DeepEqual(t, received.Header, http.Header{"Idempotency-Key": {"k"}})
 		assert.Equal(t, get("/unavailable").Verdict(), verdict.MayHaveRun)
 		assert.Equal(t, get("/moved").Status, http.StatusTemporaryRedirect)
 		for _, target := range []string{"", "stock", "http://elsewhere/stock", "*"} {
@@ -159,22 +159,22 @@
 
 // The service runs a call, sends half of its answer and falls silent. The
 // caller learns within the deadline that the call ran.
-func TestSilenceWithinAnAnswer(t *testing.T) {
+func TestStallWithinAnAnswer(t *testing.T) {
 	h := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // the server then notices a closed connection
 		_, _ = io.WriteString(w, strings.Repeat("x", 10))
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}
-	serveWith(t, h, func(t *testing.T, c *Services) {
-		call := order("key", "x", true)
-		call.Between = time.Second
+	withService(t, h, func(t *testing.T, c *Services) {
+		call := newOrder("key", "x", true)
+		call.StallTimeout = time.Second
 		answer, err := c.Do(t.Context(), address, call)
 		assert.NilError(t, err)
 		defer answer.Body.Close()
 		got, err := io.ReadAll(answer.Body)
-		var silent *Silent
-		assert.Assert(t, errors.As(err, &silent))
+		var stall *StallError
+		assert.Assert(t, errors.As(err, &stall))
 		assert.Equal(t, verdict.Of(err), verdict.Ran)
 		assert.Equal(t, len(got), 10)
 	})
@@ -185,20 +185,20 @@
 // comes free is used.
 func TestConnectionsAreBounded(t *testing.T) {
 	h := func(w http.ResponseWriter, _ *http.Request) { _ = http.NewResponseController(w).Flush() }
-	serveWith(t, h, func(t *testing.T, c *Services) {
+	withService(t, h, func(t *testing.T, c *Services) {
 		var held []*Answer
 		for range 2 {
-			answer, err := c.Do(t.Context(), address, order("key", "x", true))
+			answer, err := c.Do(t.Context(), address, newOrder("key", "x", true))
 			assert.NilError(t, err)
 			held = append(held, answer)
 		}
-		_, err := c.Do(t.Context(), address, order("key", "x", true))
+		_, err := c.Do(t.Context(), address, newOrder("key", "x", true))
 		assert.ErrorIs(t, err, ErrTooManyConns)
 		assert.Equal(t, verdict.Of(err), verdict.NotRun)
 		for _, answer := range held {
-			drain(t, answer.Body)
+			readAndClose(t, answer.Body)
 		}
-		answer, err := c.Do(t.Context(), address, order("key", "x", true))
+		answer, err := c.Do(t.Context(), address, newOrder("key", "x", true))
 		assert.NilError(t, err)
 		assert.NilError(t, answer.Body.Close())
 	})
--- a/internal/endpoint/watchdog.go
+++ b/internal/endpoint/watchdog.go
@@ -20,22 +20,22 @@
 func newWatchdog(ctx context.Context, d time.Duration) *watchdog {
 	w := new(watchdog)
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
-	w.timer = time.AfterFunc(or(d, never), func() { w.cancel(errSilence) })
+	w.timer = time.AfterFunc(or(d, never), func() { w.cancel(errStalled) })
 	return w
 }
 
 // arm sets the deadline d from now on.
 func (w *watchdog) arm(d time.Duration) { w.timer.Reset(d) }
 
-// rest lifts the deadline, while it is the reader that takes its time.
-func (w *watchdog) rest() { w.timer.Stop() }
+// disarm lifts the deadline, while it is the reader that takes its time.
+func (w *watchdog) disarm() { w.timer.Stop() }
 
-// silent reports whether the deadline ended the exchange.
-func (w *watchdog) silent() bool { return context.Cause(w.ctx) == errSilence }
+// expired reports whether the deadline ended the exchange.
+func (w *watchdog) expired() bool { return context.Cause(w.ctx) == errStalled }
 
 // stop ends the exchange; its connection is closed unless the answer was read
 // to its end.
 func (w *watchdog) stop() {
-	w.rest()
+	w.disarm()
 	w.cancel(nil)
 }
