--- a/internal/relay/cut.go
+++ b/internal/relay/cut.go
@@ -12,8 +12,8 @@
 
 // closedByEndpoint reports whether an attempt ended because its connection was
 // closed from the endpoint's side: it was neither aborted here nor timed out.
-func closedByEndpoint(ctx, attemptCtx context.Context, e attemptResult, err error) bool {
-	if !e.reached || e.complete || ctx.Err() != nil || attemptCtx.Err() != nil {
+func closedByEndpoint(ctx, attemptCtx context.Context, res attemptResult, err error) bool {
+	if !res.reached || res.complete || ctx.Err() != nil || attemptCtx.Err() != nil {
 		return false
 	}
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
--- a/internal/relay/inflight.go
+++ b/internal/relay/inflight.go
@@ -125,42 +125,42 @@
 	attemptCtx, abort := context.WithCancelCause(ctx)
 	defer abort(nil)
 	t := &trackedAttempt{inflight: f, choice: c, sent: sent, abort: abort}
-	e, buffered, err := f.exchange(attemptCtx, t)
+	res, buffered, err := f.exchange(attemptCtx, t)
 	if cause := context.Cause(attemptCtx); ctx.Err() == nil && cause != nil {
 		err = cause
 	}
 	f.outcome.Cause = err
-	if closedByEndpoint(ctx, attemptCtx, e, err) {
+	if closedByEndpoint(ctx, attemptCtx, res, err) {
 		f.reportCut(t)
 	}
-	f.outcome.Failed = e.class == Failure && e.complete
+	f.outcome.Failed = res.class == Failure && res.complete
 	switch {
-	case !e.reached:
+	case !res.reached:
 		f.tally.unreached++
-	case e.verdict == verdict.NotRun:
+	case res.verdict == verdict.NotRun:
 		f.tally.reached++
 	default:
 		f.tally.reached++
 		f.tally.ran++
-		f.outcome.Verdict = e.verdict
-		if f.route.Kind != route.Streaming || e.complete && e.class != Success {
+		f.outcome.Verdict = res.verdict
+		if f.route.Kind != route.Streaming || res.complete && res.class != Success {
 			f.reportBegan(sent)
 		}
 	}
-	f.relay.state.done(time.Now(), t, balanceOutcome(ctx, e))
-	return e, buffered
+	f.relay.state.done(time.Now(), t, balanceOutcome(ctx, res))
+	return res, buffered
 }
 
 // balanceOutcome returns an attempt's result in the balancer's terms.
-func balanceOutcome(ctx context.Context, e attemptResult) balance.Outcome {
+func balanceOutcome(ctx context.Context, res attemptResult) balance.Outcome {
 	switch {
-	case e.class == Success && e.complete, e.class == Rejected:
+	case res.class == Success && res.complete, res.class == Rejected:
 		return balance.Answered
-	case !e.reached && ctx.Err() == nil, e.class == Misdirected:
+	case !res.reached && ctx.Err() == nil, res.class == Misdirected:
 		return balance.Unreachable
 	case ctx.Err() == context.Canceled:
 		return balance.Abandoned
-	case e.verdict == verdict.NotRun:
+	case res.verdict == verdict.NotRun:
 		return balance.Refused
 	default:
 		return balance.Failed
@@ -178,28 +178,28 @@
 	}
 	defer a.Close()
 	class := f.relay.protocol.Classify(a.Status, a.Header)
-	e := attemptResult{class: class, reached: true, verdict: verdict.Ran}
+	res := attemptResult{class: class, reached: true, verdict: verdict.Ran}
 	if class == Refused || class == Misdirected {
-		e.verdict = verdict.NotRun
+		res.verdict = verdict.NotRun
 	}
 	f.outcome.Status = a.Status
 	if class == Success && f.route.Kind == route.Streaming {
 		err := f.forwardStream(t, a)
-		e.complete = err == nil
-		return e, nil, err
+		res.complete = err == nil
+		return res, nil, err
 	}
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBytes+1))
 	if err != nil {
-		return e, nil, err
+		return res, nil, err
 	}
 	f.firstPiece(t)
 	if len(body) > maxBufferedBytes {
 		err := f.forwardLong(a, body)
-		e.complete = err == nil
-		return e, nil, err
+		res.complete = err == nil
+		return res, nil, err
 	}
-	e.complete = true
-	return e, &bufferedAnswer{status: a.Status, header: f.relay.protocol.Answer(a.Header), body: body}, nil
+	res.complete = true
+	return res, &bufferedAnswer{status: a.Status, header: f.relay.protocol.Answer(a.Header), body: body}, nil
 }
 
 // call returns the request to send in an attempt.
--- a/internal/relay/inflight_test.go
+++ b/internal/relay/inflight_test.go
@@ -69,7 +69,7 @@
 	body    strings.Builder
 	refusal *Refusal
 	ended   bool
-	broken  bool
+	aborted bool
 }
 
 func (s *recordingSink) Whole(status int, _ http.Header, body []byte) {
@@ -80,7 +80,7 @@
 func (s *recordingSink) Begin(status int, _ http.Header) { s.status = status }
 func (s *recordingSink) WriteBody(p []byte) error        { s.body.Write(p); return nil }
 func (s *recordingSink) End()                            { s.ended = true }
-func (s *recordingSink) Abort()                          { s.broken = true }
+func (s *recordingSink) Abort()                          { s.aborted = true }
 
 // recorder records what the relay reports; it is its Observer and its Guard.
 type recorder struct {
@@ -92,34 +92,34 @@
 	ran   []quarantine.Key
 }
 
-func (w *recorder) HeldFor(key func() quarantine.Key) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.held[key()]
+func (r *recorder) HeldFor(key func() quarantine.Key) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.held[key()]
 }
 
-func (w *recorder) Ran(_ *roster.Endpoint, _ time.Time, key func() quarantine.Key) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ran = append(w.ran, key())
+func (r *recorder) Ran(_ *roster.Endpoint, _ time.Time, key func() quarantine.Key) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.ran = append(r.ran, key())
 }
 
-func (w *recorder) Began(fleet.WorkspaceID, time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.begun++
+func (r *recorder) Began(fleet.WorkspaceID, time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.begun++
 }
 
-func (w *recorder) Cut(c ends.Cut) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cuts = append(w.cuts, c)
+func (r *recorder) Cut(c ends.Cut) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cuts = append(r.cuts, c)
 }
 
-func (w *recorder) Ended(o *Outcome) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.last = *o
+func (r *recorder) Ended(o *Outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.last = *o
 }
 
 // engine answers each request with what script returns for the number of earlier
@@ -328,7 +328,7 @@
 	s := newFixture(t, testRoutes(), a, b)
 	got := s.send(t.Context(), "/stream/1")
 	assert.Equal(t, got.body.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
-	assert.Assert(t, got.ended && !got.broken)
+	assert.Assert(t, got.ended && !got.aborted)
 	assert.Equal(t, s.recorder.begun, 1)
 	for _, e := range []*engine{a, b} {
 		for _, r := range e.received {
@@ -347,7 +347,7 @@
 		return
 	}
 	assert.Equal(t, got.body.String(), "id: 1\ndata: a\n\n")
-	assert.Assert(t, got.broken && !got.ended)
+	assert.Assert(t, got.aborted && !got.ended)
 }
 
 // The second engine fails a resumed stream with an answer of its own. Ended as if
@@ -361,7 +361,7 @@
 	}
 	s := newFixture(t, testRoutes(), &engine{script: script}, &engine{script: script})
 	got := s.send(t.Context(), "/stream/1")
-	assert.Assert(t, got.broken && !got.ended)
+	assert.Assert(t, got.aborted && !got.ended)
 	assert.Equal(t, got.body.String(), "id: 1\ndata: a\n\n")
 }
 
--- a/internal/relay/next.go
+++ b/internal/relay/next.go
@@ -42,25 +42,25 @@
 
 // next decides what follows an attempt. budget takes a further send from the retry
 // budget; it is called only if everything else allows one.
-func next(r *route.Route, t tally, e attemptResult, budget func() bool) step {
+func next(r *route.Route, t tally, res attemptResult, budget func() bool) step {
 	switch {
-	case e.complete && (e.class == Success || e.class == Rejected):
+	case res.complete && (res.class == Success || res.class == Rejected):
 		return answer
-	case !e.reached:
-		if e.timeLeft && t.unreached < maxUnreached {
+	case !res.reached:
+		if res.timeLeft && t.unreached < maxUnreached {
 			return again
 		}
 		return giveUp(t)
-	case e.verdict == verdict.NotRun:
+	case res.verdict == verdict.NotRun:
 		// A refused request is safe to send again, but adds to the load, so the
 		// retry budget and the route's bound apply.
-		if e.timeLeft && t.reached <= r.MaxAttempts && budget() {
+		if res.timeLeft && t.reached <= r.MaxAttempts && budget() {
 			return again
 		}
 		return giveUp(t)
-	case r.Repeatable() && e.timeLeft && t.ran < r.MaxAttempts && budget():
+	case r.Repeatable() && res.timeLeft && t.ran < r.MaxAttempts && budget():
 		return again
-	case e.complete:
+	case res.complete:
 		return answer
 	default:
 		return fail
--- a/internal/relay/once_test.go
+++ b/internal/relay/once_test.go
@@ -33,11 +33,11 @@
 func randomEngine(rt *rapid.T, runs *atomic.Int64) *engine {
 	plan := rapid.SliceOfN(rapid.SampledFrom(behaviours), 1, 4).Draw(rt, "behaviours")
 	return &engine{script: func(n int, _ *http.Request) string {
-		m := plan[n%len(plan)]
-		if m.ran {
+		b := plan[n%len(plan)]
+		if b.ran {
 			runs.Add(1)
 		}
-		return m.answer
+		return b.answer
 	}}
 }
 
@@ -49,12 +49,12 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		var runs atomic.Int64
 		s := newFixture(t, testRoutes(), randomEngine(rt, &runs), randomEngine(rt, &runs), randomEngine(rt, &runs))
-		path, most := "/order/1", int64(1)
+		path, maxRuns := "/order/1", int64(1)
 		if rapid.Bool().Draw(rt, "may be repeated") {
-			path, most = "/lookup/1", int64(lookupRoute.MaxAttempts)
+			path, maxRuns = "/lookup/1", int64(lookupRoute.MaxAttempts)
 		}
 		got := s.send(t.Context(), path)
-		assert.Assert(rt, runs.Load() <= most, "%s ran %d times", path, runs.Load())
+		assert.Assert(rt, runs.Load() <= maxRuns, "%s ran %d times", path, runs.Load())
 		if got.refusal != nil {
 			assert.Assert(rt, got.refusal.Verdict != verdict.NotRun || runs.Load() == 0, "reported as not run, ran %d times", runs.Load())
 			return
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -36,20 +36,20 @@
 func (s *State) MergeRollouts(now time.Time, n rollout.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := &s.rollouts
-	v.gate.Apply(now, n)
+	r := &s.rollouts
+	r.gate.Apply(now, n)
 	current := map[string]bool{}
-	for _, w := range v.gate.Update(now).Splits {
+	for _, w := range r.gate.Update(now).Splits {
 		current[w.Service] = true
 		s.balancer.SetSplit(&w)
-		if v.keys[w.Service] != w.Key {
-			v.keys[w.Service], v.counters[w.Service] = w.Key, rollout.NewCounter(w.Service, w.Key)
+		if r.keys[w.Service] != w.Key {
+			r.keys[w.Service], r.counters[w.Service] = w.Key, rollout.NewCounter(w.Service, w.Key)
 		}
 	}
-	for service := range v.keys {
+	for service := range r.keys {
 		if !current[service] {
-			delete(v.keys, service)
-			delete(v.counters, service)
+			delete(r.keys, service)
+			delete(r.counters, service)
 			s.balancer.DropSplit(service)
 		}
 	}
@@ -101,25 +101,25 @@
 // updateMixed records since when services have endpoints of several versions. The
 // lock is held.
 func (s *State) updateMixed(now time.Time, services map[string]bool) {
-	v := &s.rollouts
+	r := &s.rollouts
 	for service := range services {
-		_, known := v.mixedSince[service]
+		_, known := r.mixedSince[service]
 		switch mixed := s.balancer.MixedVersions(service); {
 		case mixed && !known:
-			v.mixedSince[service] = now
+			r.mixedSince[service] = now
 		case !mixed:
-			delete(v.mixedSince, service)
+			delete(r.mixedSince, service)
 		}
 	}
 }
 
 // allowedSide returns the versions that a request may be sent to. The lock is held.
 func (s *State) allowedSide(now time.Time, f *inflight) rollout.Side {
-	v := &s.rollouts
-	if !v.enabled {
+	r := &s.rollouts
+	if !r.enabled {
 		return rollout.Any
 	}
-	if w, known := v.gate.Split(now, f.service); known {
+	if w, known := r.gate.Split(now, f.service); known {
 		draw := s.rng.Float64()
 		if f.tally != (tally{}) { // a retry goes to the version on trial only if all requests do
 			draw = math.Nextafter(1, 0)
@@ -127,7 +127,7 @@
 		f.outcome.RolloutTarget, f.outcome.RolloutShare = w.Target(), w.ShareOf(f.route.Name)
 		return w.Side(f.route.Name, draw)
 	}
-	if since, mixed := v.mixedSince[f.service]; mixed && !v.gate.NoOrder(now, since) {
+	if since, mixed := r.mixedSince[f.service]; mixed && !r.gate.NoOrder(now, since) {
 		return rollout.Old
 	}
 	return rollout.Any
@@ -174,9 +174,9 @@
 	if !failed && o != balance.Answered || now.Before(t.choice.Endpoint.SlowUntil) {
 		return // an incomplete answer or an endpoint that warms up is no evidence about a version
 	}
-	name := ""
+	newEndpoint := ""
 	if t.toNew {
-		name = string(t.choice.Endpoint.ID)
+		newEndpoint = string(t.choice.Endpoint.ID)
 	}
-	t.counter.CountAnswer(t.inflight.route.Name, name, failed, now.Sub(t.sent))
+	t.counter.CountAnswer(t.inflight.route.Name, newEndpoint, failed, now.Sub(t.sent))
 }
--- a/internal/relay/stalltimeout_test.go
+++ b/internal/relay/stalltimeout_test.go
@@ -26,7 +26,7 @@
 		began := time.Now()
 		got := s.send(t.Context(), "/stream/1")
 		assert.Equal(t, got.body.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
-		assert.Assert(t, got.ended && !got.broken)
+		assert.Assert(t, got.ended && !got.aborted)
 		assert.Assert(t, time.Since(began) < 2*retryStallTimeout, "%v", time.Since(began))
 	})
 }
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -34,19 +34,19 @@
 
 // countRequest counts a request with its expected output tokens, its prompt tokens
 // and those of them that have to be processed.
-func (l *workTotals) countRequest(service string, output, prompt, prefill int) {
-	w := l.byService[service]
+func (t *workTotals) countRequest(service string, output, prompt, prefill int) {
+	w := t.byService[service]
 	w.Requests++
 	w.SlotSeconds += firstTokenSeconds + outputTokenSeconds*float64(output)
 	w.Prefill += float64(prefill)
 	w.Prompt += float64(prompt)
-	l.byService[service] = w
+	t.byService[service] = w
 }
 
-func (l *workTotals) countRefused(service string) {
-	w := l.byService[service]
+func (t *workTotals) countRefused(service string) {
+	w := t.byService[service]
 	w.Refused++
-	l.byService[service] = w
+	t.byService[service] = w
 }
 
-func (l *workTotals) snapshot() map[string]Work { return maps.Clone(l.byService) }
+func (t *workTotals) snapshot() map[string]Work { return maps.Clone(t.byService) }
