--- a/internal/endpoint/errors.go
+++ b/internal/endpoint/errors.go
@@ -24,7 +24,7 @@
 	// ErrFenced: the engine has seen a higher fencing number.
 	ErrFenced = errors.New("fenced")
 	// ErrTruncated: a stream ended before its last piece.
-	ErrTruncated = errors.New("stream cut")
+	ErrTruncated = errors.New("stream truncated")
 	// ErrMalformed: an answer doesn't conform to the API.
 	ErrMalformed = errors.New("malformed answer")
 	// ErrTooManyConns: no connection to the endpoint became free in time.
@@ -32,7 +32,7 @@
 )
 
 var (
-	errSealed         = errors.New("request was given up before it was written")
+	errSealed         = errors.New("request was cancelled before it was written")
 	errSecondDispatch = errors.New("a second dispatch was refused")
 	errStalled        = errors.New("progress deadline passed")
 )
--- a/internal/endpoint/jsoncall.go
+++ b/internal/endpoint/jsoncall.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// maxCallBody bounds the answer to such a call, bytes. The longest are a page of
+// maxCallBody bounds the answer to a jsonCall, bytes. The longest are a page of
 // cache events and the description of a KV blob with all its text.
 const maxCallBody = 16 << 20
 
--- a/internal/endpoint/options.go
+++ b/internal/endpoint/options.go
@@ -12,7 +12,7 @@
 	// DefaultDialTimeout is far above a round trip between data centres (a few
 	// milliseconds) and leaves time for the retransmission of a lost SYN after 1 s.
 	DefaultDialTimeout = 1500 * time.Millisecond
-	// DefaultCallTimeout bounds small calls such as load reports.
+	// DefaultCallTimeout bounds JSON calls such as load reports.
 	DefaultCallTimeout = 2 * time.Second
 	// DefaultIdleTimeout is below the idle time after which common NAT and firewall
 	// tables drop a connection.
