--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -300,7 +300,7 @@
 		d.tell(now, now)
 		d.end()
 	}
-	assert.Equal(t, n.state.Rollouts(now).Rank, rollout.Rank{Token: 7, Seq: 4})
+	assert.Equal(t, n.state.RolloutUpdate(now).Rank, rollout.Rank{Token: 7, Seq: 4})
 }
 
 // stopHolder stops the daemon that holds the duties.
--- a/internal/node/rolloutduty.go
+++ b/internal/node/rolloutduty.go
@@ -232,7 +232,7 @@
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
 		news.Splits = append(news.Splits, d.running[service].decider.Split(fleetNow))
 	}
-	d.node.state.MergeRollouts(now, news)
+	d.node.state.ApplyRollouts(now, news)
 }
 
 // movingInterval is the time between two reports while a service moves: what is
--- a/internal/node/telling.go
+++ b/internal/node/telling.go
@@ -103,7 +103,7 @@
 	}
 	t.node.rollouts.told.hear(p.Daemon, p.Rollouts)
 	now := time.Now()
-	t.node.state.MergeRollouts(now, p.RolloutNews)
+	t.node.state.ApplyRollouts(now, p.RolloutNews)
 	steady := t.node.clock.Steady()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +118,7 @@
 	if !p.Brief && !relayer {
 		sum.Loads = t.hub.Loads(now, p.Daemon)
 	}
-	sum.Rollouts = t.node.state.Rollouts(now)
+	sum.Rollouts = t.node.state.RolloutUpdate(now)
 	sum.Crashes, sum.CrashesTo = t.node.crashes.table.Since(p.CrashesHave)
 	if p.WantLevels && now.Sub(t.node.started) > knownLevels {
 		sum.Soft.Levels = t.node.state.Levels(now)
@@ -329,7 +329,7 @@
 		Wall:    time.Now(),
 	}
 	p.Soft.JustStarted = t.node.gathering()
-	p.Rollouts, p.RolloutNews = t.node.state.RolloutReports(p.Wall), t.node.state.Rollouts(p.Wall)
+	p.Rollouts, p.RolloutNews = t.node.state.RolloutReports(p.Wall), t.node.state.RolloutUpdate(p.Wall)
 	l := t.node.members.layout()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -387,7 +387,7 @@
 	sum.Fresh += took
 	sum.Rollouts.Age += took
 	sum.Rollouts.OrdersAge += took
-	t.node.state.MergeRollouts(time.Now(), sum.Rollouts)
+	t.node.state.ApplyRollouts(time.Now(), sum.Rollouts)
 	t.node.watching.told(sum.Fresh)
 	t.list(address, sum)
 	t.mu.Lock()
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -32,18 +32,18 @@
 	s.rollouts = newRolloutState(b)
 }
 
-// MergeRollouts merges another daemon's news of the roll-outs.
-func (s *State) MergeRollouts(now time.Time, n rollout.Update) {
+// ApplyRollouts applies another daemon's update on the roll-outs.
+func (s *State) ApplyRollouts(now time.Time, u rollout.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := &s.rollouts
-	r.gate.Apply(now, n)
+	r.gate.Apply(now, u)
 	current := map[string]bool{}
-	for _, w := range r.gate.Update(now).Splits {
-		current[w.Service] = true
-		s.balancer.SetSplit(&w)
-		if r.keys[w.Service] != w.Key {
-			r.keys[w.Service], r.counters[w.Service] = w.Key, rollout.NewCounter(w.Service, w.Key)
+	for _, split := range r.gate.Update(now).Splits {
+		current[split.Service] = true
+		s.balancer.SetSplit(&split)
+		if r.keys[split.Service] != split.Key {
+			r.keys[split.Service], r.counters[split.Service] = split.Key, rollout.NewCounter(split.Service, split.Key)
 		}
 	}
 	for service := range r.keys {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Rollouts returns the news of the roll-outs for other daemons.
-func (s *State) Rollouts(now time.Time) rollout.Update {
+// RolloutUpdate returns the update on the roll-outs for other daemons.
+func (s *State) RolloutUpdate(now time.Time) rollout.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rollouts.gate.Update(now)
@@ -68,9 +68,9 @@
 	defer s.mu.Unlock()
 	var out []rollout.Report
 	for service, c := range s.rollouts.counters {
-		w, _ := s.rollouts.gate.Split(now, service)
-		if !w.Phase.Final() {
-			c.SetMoved(w.AllNew())
+		split, _ := s.rollouts.gate.Split(now, service)
+		if !split.Phase.Final() {
+			c.SetMoved(split.AllNew())
 			out = append(out, c.Report())
 		}
 	}
@@ -83,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for service := range s.rollouts.counters {
-		if w, _ := s.rollouts.gate.Split(now, service); w.Phase == rollout.Moving {
+		if split, _ := s.rollouts.gate.Split(now, service); split.Phase == rollout.Moving {
 			return true
 		}
 	}
@@ -119,13 +119,13 @@
 	if !r.enabled {
 		return rollout.Any
 	}
-	if w, known := r.gate.Split(now, f.service); known {
+	if split, known := r.gate.Split(now, f.service); known {
 		draw := s.rng.Float64()
 		if f.tally != (tally{}) { // a retry goes to the version on trial only if all requests do
 			draw = math.Nextafter(1, 0)
 		}
-		f.outcome.RolloutTarget, f.outcome.RolloutShare = w.Target(), w.ShareOf(f.route.Name)
-		return w.Side(f.route.Name, draw)
+		f.outcome.RolloutTarget, f.outcome.RolloutShare = split.Target(), split.ShareOf(f.route.Name)
+		return split.Side(f.route.Name, draw)
 	}
 	if since, mixed := r.mixedSince[f.service]; mixed && !r.gate.NoOrder(now, since) {
 		return rollout.Old
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -15,9 +15,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
 )
 
-// Guards against a daemon that has received no news of roll-outs yet and sends
+// Guards against a daemon that has received no update on roll-outs yet and sends
 // requests to a version that may be on trial.
-func TestWithoutRolloutNewsTheOldestVersionIsUsed(t *testing.T) {
+func TestWithoutARolloutUpdateTheOldestVersionIsUsed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewState("a", quota.New(true, quota.Tolerance{}), retry.Config{Window: time.Second}, rand.New(rand.NewPCG(1, 2)))
 	s.SetRollouts(rollout.Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second})
