--- a/internal/endpoint/answer.go
+++ b/internal/endpoint/answer.go
@@ -11,17 +11,17 @@
 // Answer is a plain service's answer. Body must be closed.
 type Answer struct {
 	Status int
-	Header http.Header // without what concerns one connection
+	Header http.Header // without the hop-by-hop fields
 	Body   io.ReadCloser
 }
 
-func newAnswer(p *pool, gen *generation, dog *watchdog, resp *http.Response, between time.Duration) *Answer {
-	body := &answerBody{src: resp.Body, pool: p, gen: gen, dog: dog, between: between}
+func newAnswer(p *pool, gen *generation, wd *watchdog, resp *http.Response, stallTimeout time.Duration) *Answer {
+	body := &answerBody{src: resp.Body, pool: p, gen: gen, watchdog: wd, stallTimeout: stallTimeout}
 	body.verdict = statusVerdict(resp.StatusCode)
 	return &Answer{Status: resp.StatusCode, Header: withoutHopByHop(resp.Header), Body: body}
 }
 
-// Verdict says whether the service ran the call. 5xx is no proof of either.
+// Verdict returns whether the service ran the call. A 5xx status proves neither.
 func (a *Answer) Verdict() verdict.Verdict { return statusVerdict(a.Status) }
 
 func statusVerdict(status int) verdict.Verdict {
@@ -31,32 +31,32 @@
 	return verdict.Ran
 }
 
-// answerBody reads an answer's body under a progress deadline. Its errors
-// carry the answer's verdict.
+// answerBody reads an answer's body under a stall timeout. Its errors carry the
+// answer's verdict.
 type answerBody struct {
-	src     io.ReadCloser
-	pool    *pool
-	gen     *generation
-	dog     *watchdog
-	between time.Duration
-	verdict verdict.Verdict
+	src          io.ReadCloser
+	pool         *pool
+	gen          *generation
+	watchdog     *watchdog
+	stallTimeout time.Duration // 0 is none
+	verdict      verdict.Verdict
 }
 
 func (b *answerBody) Read(p []byte) (int, error) {
-	if b.between > 0 {
-		b.dog.arm(b.between)
+	if b.stallTimeout > 0 {
+		b.watchdog.arm(b.stallTimeout)
 	}
 	n, err := b.src.Read(p)
-	b.dog.rest()
+	b.watchdog.disarm()
 	if err == nil || err == io.EOF {
 		return n, err
 	}
-	silent := &Silent{Address: b.pool.address, Stage: Between, After: b.between}
-	return n, verdict.Wrap(b.verdict, b.pool.failure(b.dog, b.gen, err, silent))
+	stall := &StallError{Address: b.pool.address, Stage: BetweenPieces, After: b.stallTimeout}
+	return n, verdict.Wrap(b.verdict, b.pool.wrapFailure(b.watchdog, b.gen, err, stall))
 }
 
 func (b *answerBody) Close() error {
 	err := b.src.Close()
-	b.dog.stop()
+	b.watchdog.stop()
 	return err
 }
--- a/internal/endpoint/attempt.go
+++ b/internal/endpoint/attempt.go
@@ -10,22 +10,22 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// attempt follows one request to its connection, for the proof that nothing
-// of it was written.
+// attempt tracks the connections of one request, to prove that nothing of it was
+// written.
 type attempt struct {
-	mu   sync.Mutex
-	conn *conn
-	base int64 // bytes that the connection had written before
-	left bool  // bytes of the request left on an earlier connection
+	mu             sync.Mutex
+	conn           *conn
+	writtenBefore  int64 // bytes written to conn before this request
+	writtenEarlier bool  // the request may have been written to an earlier connection
 }
 
-// watch makes a request with the returned context report its connection.
-func (a *attempt) watch(ctx context.Context) context.Context {
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { a.got(info.Conn) }}
+// trace returns a context that makes a request report its connections to a.
+func (a *attempt) trace(ctx context.Context) context.Context {
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { a.gotConn(info.Conn) }}
 	return httptrace.WithClientTrace(ctx, trace)
 }
 
-func (a *attempt) got(c net.Conn) {
+func (a *attempt) gotConn(c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
@@ -33,29 +33,29 @@
 	defer a.mu.Unlock()
 	own, ok := c.(*conn)
 	if !ok {
-		a.left = true // nothing is known of this connection, so there is no proof
+		a.writtenEarlier = true // not a connection of this package, so whether it was written is unknown
 		return
 	}
-	// net/http may have sent the request on another connection before, for GET
-	// even after bytes of it had left. The proof must cover each.
-	a.left = a.left || !a.unwritten()
+	// net/http may have tried another connection before, for GET even after it
+	// wrote a part of the request there. The proof must cover each connection.
+	a.writtenEarlier = a.writtenEarlier || !a.unwritten()
 	a.conn = own
-	a.base = own.count()
+	a.writtenBefore = own.bytesWritten()
 }
 
-// verdict is called once the round trip has failed. A request that never got
-// a connection wasn't written.
+// verdict returns the verdict after the round trip has failed. A request that never
+// got a connection wasn't written.
 func (a *attempt) verdict() verdict.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.left || !a.unwritten() {
+	if a.writtenEarlier || !a.unwritten() {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
 }
 
-// unwritten proves that nothing of the request left on the present connection.
-// The caller holds mu.
+// unwritten reports whether nothing of the request was written to the current
+// connection, and prevents later writes to it if so. The caller holds mu.
 func (a *attempt) unwritten() bool {
-	return a.conn == nil || a.conn.sealUnwritten(a.base)
+	return a.conn == nil || a.conn.sealUnwritten(a.writtenBefore)
 }
--- a/internal/endpoint/attempt_test.go
+++ b/internal/endpoint/attempt_test.go
@@ -10,19 +10,19 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// net/http sends a GET again on a second connection after the first died with
-// the request read. The second connection takes nothing. That nothing was
-// written on the last connection proves nothing about the first.
+// net/http sends a GET again on a second connection after the first failed with the
+// request written. The second connection accepts nothing. That nothing was written
+// to the last connection must not count as proof for the first.
 func TestVerdictCoversEveryConnection(t *testing.T) {
 	ours, theirs := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
 	first := newConn(ours, func() {})
 	defer first.Close()
-	second := newConn(brokenConn{ours}, func() {})
-	tried := new(attempt)
-	tried.got(first)
+	second := newConn(failingConn{ours}, func() {})
+	att := new(attempt)
+	att.gotConn(first)
 	_, err := first.Write([]byte("GET"))
 	assert.NilError(t, err)
-	tried.got(second)
-	assert.Equal(t, tried.verdict(), verdict.MayHaveRun)
+	att.gotConn(second)
+	assert.Equal(t, att.verdict(), verdict.MayHaveRun)
 }
--- a/internal/endpoint/failure.go
+++ b/internal/endpoint/failure.go
@@ -6,25 +6,27 @@
 	"net/http"
 )
 
-// transport returns what a request is to be sent with.
+// transport returns the transport for a request, with the current generation of
+// connections.
 func (p *pool) transport(ctx context.Context, once bool) (*generation, *http.Transport) {
 	gen := p.current()
 	if once {
-		return gen, p.once(ctx)
+		return gen, p.singleUseTransport(ctx)
 	}
 	return gen, gen.transport
 }
 
-// failure names the error of an exchange, and retires the connections of its
-// age if it was a silence.
-func (p *pool) failure(dog *watchdog, gen *generation, err error, silent *Silent) error {
-	if dog.silent() {
+// wrapFailure returns the error of a failed exchange: stall if the watchdog ended
+// it, which also retires the connections of its generation, otherwise err.
+func (p *pool) wrapFailure(wd *watchdog, gen *generation, err error, stall *StallError) error {
+	if wd.expired() {
 		p.retire(gen)
-		return Error.Wrap(silent)
+		return Error.Wrap(stall)
 	}
-	if errors.Is(dog.ctx.Err(), context.DeadlineExceeded) {
-		// The caller's own deadline: perhaps too short, perhaps a silence. A few
-		// new connections cost less than a pool of silent ones.
+	if errors.Is(wd.ctx.Err(), context.DeadlineExceeded) {
+		// The caller's own deadline passed: it may be too short, or the connection
+		// may have stalled. A few new connections cost less than a pool of stalled
+		// ones.
 		p.retire(gen)
 	}
 	return Error.Wrap(err)
--- a/internal/endpoint/once_test.go
+++ b/internal/endpoint/once_test.go
@@ -15,9 +15,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// closingService runs every request. It answers the first of a connection; the
-// next one it runs and then closes the connection without an answer. Orders of
-// the part "lost" never get an answer.
+// closingService runs every request. It answers the first request of a connection;
+// the second one it runs and then closes the connection without an answer. It never
+// answers orders with the body "lost".
 type closingService struct {
 	net.Listener
 	mu   sync.Mutex
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *closingService) ran(key string) int {
+func (s *closingService) runsOf(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
@@ -72,7 +72,7 @@
 
 func (s *closingService) address() string { return s.Addr().String() }
 
-func order(key, body string, once bool) ServiceRequest {
+func newOrder(key, body string, once bool) ServiceRequest {
 	return ServiceRequest{
 		Method: http.MethodPost,
 		Target: serviceapi.OrdersPath,
@@ -82,18 +82,18 @@
 	}
 }
 
-func drain(t *testing.T, body io.ReadCloser) {
+func readAndClose(t *testing.T, body io.ReadCloser) {
 	_, err := io.Copy(io.Discard, body)
 	assert.NilError(t, err)
 	assert.NilError(t, body.Close())
 }
 
-// A keep-alive connection dies after the service has read an order and before
-// it answers. net/http takes the Idempotency-Key header for leave to send the
-// order again on a new connection, so the caller sees one confirmed order and
-// the dealer gets two. This is the standard library's own behaviour, shown
-// here so that the next test means something.
-func TestPlainClientRunsAnOrderTwice(t *testing.T) {
+// A keep-alive connection fails after the service has read an order and before it
+// answers. net/http takes the Idempotency-Key header as permission to send the
+// order again on a new connection, so the caller sees one confirmed order and the
+// dealer gets two. This is the standard library's own behaviour; without it the
+// next test would prove nothing.
+func TestNetHTTPSendsAnOrderTwice(t *testing.T) {
 	s := newClosingService(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -103,41 +103,41 @@
 		req.Header.Set(serviceapi.KeyHeader, key)
 		resp, err := client.Do(req)
 		assert.NilError(t, err)
-		drain(t, resp.Body)
+		readAndClose(t, resp.Body)
 	}
-	assert.Equal(t, s.ran("twice"), 2)
+	assert.Equal(t, s.runsOf("twice"), 2)
 }
 
-// The same service and the same order of things with our client: an order
-// that must run once leaves once, on a connection of its own, with its key. If
-// its answer is lost the caller is told that it may have run.
-func TestOrderLeavesOnce(t *testing.T) {
+// The same service and the same sequence of orders with the client of this package:
+// an order that must run once is sent once, on a connection of its own, with its
+// key. If its answer is lost the verdict is that it may have run.
+func TestOrderIsSentOnce(t *testing.T) {
 	s := newClosingService(t)
 	c := NewServices(Options{})
 	defer c.Close()
 	for _, key := range []string{"first", "second"} {
-		answer, err := c.Do(t.Context(), s.address(), order(key, "x", true))
+		answer, err := c.Do(t.Context(), s.address(), newOrder(key, "x", true))
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Verdict(), verdict.Ran)
-		drain(t, answer.Body)
-		assert.Equal(t, s.ran(key), 1)
+		readAndClose(t, answer.Body)
+		assert.Equal(t, s.runsOf(key), 1)
 	}
-	_, err := c.Do(t.Context(), s.address(), order("lost", "lost", true))
+	_, err := c.Do(t.Context(), s.address(), newOrder("lost", "lost", true))
 	assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
-	assert.Equal(t, s.ran("lost"), 1)
+	assert.Equal(t, s.runsOf("lost"), 1)
 }
 
-// A call that may be repeated uses pooled connections. When one dies after the
-// service has read the call, the call is still not sent again behind the back
-// of the caller, whose retry budget decides that.
-func TestPooledCallIsNotReplayed(t *testing.T) {
+// A call that may be repeated uses pooled connections. When one fails after the
+// service has read the call, the client must still not send the call again: that is
+// up to the caller and its retry budget.
+func TestCallOnAPooledConnectionIsNotSentAgain(t *testing.T) {
 	s := newClosingService(t)
 	c := NewServices(Options{})
 	defer c.Close()
-	answer, err := c.Do(t.Context(), s.address(), order("first", "x", false))
+	answer, err := c.Do(t.Context(), s.address(), newOrder("first", "x", false))
 	assert.NilError(t, err)
-	drain(t, answer.Body)
-	_, err = c.Do(t.Context(), s.address(), order("second", "x", false))
+	readAndClose(t, answer.Body)
+	_, err = c.Do(t.Context(), s.address(), newOrder("second", "x", false))
 	assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
-	assert.Equal(t, s.ran("second"), 1)
+	assert.Equal(t, s.runsOf("second"), 1)
 }
--- a/internal/endpoint/pools.go
+++ b/internal/endpoint/pools.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// pools holds a pool for each endpoint in use, a bounded number of them.
+// pools holds a pool for each endpoint in use, at most MaxEndpoints of them.
 type pools struct {
 	o Options
 
 	mu        sync.Mutex
-	clock     uint64
+	uses      uint64 // counts calls of get, as a clock for the least recent use
 	byAddress map[string]*pool
 }
 
@@ -15,29 +15,30 @@
 	return &pools{o: o.withDefaults(), byAddress: make(map[string]*pool)}
 }
 
+// get returns the pool of the endpoint at address, creating it if needed.
 func (p *pools) get(address string) *pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.clock++
+	p.uses++
 	if got, ok := p.byAddress[address]; ok {
-		got.used = p.clock
+		got.lastUse = p.uses
 		return got
 	}
 	if len(p.byAddress) >= p.o.MaxEndpoints {
 		p.evict()
 	}
 	made := newPool(address, &p.o)
-	made.used = p.clock
+	made.lastUse = p.uses
 	p.byAddress[address] = made
 	return made
 }
 
-// evict forgets the pool that wasn't used for longest. Its requests go on. The
-// caller holds mu.
+// evict removes the least recently used pool. Its requests go on. The caller holds
+// mu.
 func (p *pools) evict() {
 	var oldest *pool
 	for _, candidate := range p.byAddress {
-		if oldest == nil || candidate.used < oldest.used {
+		if oldest == nil || candidate.lastUse < oldest.lastUse {
 			oldest = candidate
 		}
 	}
@@ -45,7 +46,7 @@
 	oldest.close()
 }
 
-// Forget closes the idle connections to an endpoint that is gone.
+// Forget removes an endpoint that is gone and closes its idle connections.
 func (p *pools) Forget(address string) {
 	p.mu.Lock()
 	gone := p.byAddress[address]
@@ -56,7 +57,7 @@
 	}
 }
 
-// Close closes all idle connections. Requests under way go on.
+// Close closes all idle connections. Requests in progress go on.
 func (p *pools) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/endpoint/services.go
+++ b/internal/endpoint/services.go
@@ -11,51 +11,51 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Services is the client of all plain services. Safe for concurrent use. Make
-// one with NewServices.
+// Services is the client of all plain services. It is safe for concurrent use; use
+// NewServices to create one.
 type Services struct {
 	*pools
 }
 
-// NewServices returns a client.
+// NewServices returns a client of plain services.
 func NewServices(o Options) *Services { return &Services{pools: newPools(o)} }
 
 // ServiceRequest is a call to forward to a plain service.
 type ServiceRequest struct {
 	Method string
 	Target string      // escaped path, with its query: "/orders?x=y"
-	Header http.Header // the caller's; what concerns one connection, and credentials, are left out
-	Body   []byte      // whole and bounded
-	// Once is for a non-idempotent call: it leaves exactly once, on a
-	// connection that was never used before.
+	Header http.Header // the caller's; hop-by-hop fields and credentials are left out
+	Body   []byte      // the whole body
+	// Once is for a non-idempotent call: it is sent exactly once, on a new
+	// connection.
 	Once bool
-	// Answer bounds the time to the answer's head; Between that without a byte
-	// of its body. 0 is none.
-	Answer  time.Duration
-	Between time.Duration
+	// AnswerTimeout bounds the time to the answer's head, StallTimeout the time
+	// without a byte of its body. 0 is none.
+	AnswerTimeout time.Duration
+	StallTimeout  time.Duration
 }
 
 var errBadTarget = errors.New("target isn't an absolute path")
 
-// Do forwards a call to the replica at address. It follows no redirect. An
-// error carries a verdict; with an answer in hand ask Answer.Verdict.
+// Do forwards a call to the replica at address. It follows no redirects. Errors
+// carry a verdict; for an answer use Answer.Verdict.
 func (s *Services) Do(ctx context.Context, address string, call ServiceRequest) (*Answer, error) {
 	req, err := s.request(address, &call)
 	if err != nil {
 		return nil, verdict.Wrap(verdict.NotRun, Error.Wrap(err))
 	}
 	p := s.get(address)
-	dog := newWatchdog(ctx, call.Answer)
-	gen, transport := p.transport(dog.ctx, call.Once)
-	tried := new(attempt)
-	resp, err := transport.RoundTrip(req.WithContext(tried.watch(dog.ctx)))
+	wd := newWatchdog(ctx, call.AnswerTimeout)
+	gen, transport := p.transport(wd.ctx, call.Once)
+	att := new(attempt)
+	resp, err := transport.RoundTrip(req.WithContext(att.trace(wd.ctx)))
 	if err != nil {
-		err = p.failure(dog, gen, err, &Silent{Address: address, After: call.Answer})
-		dog.stop()
-		return nil, verdict.Wrap(tried.verdict(), err)
+		err = p.wrapFailure(wd, gen, err, &StallError{Address: address, After: call.AnswerTimeout})
+		wd.stop()
+		return nil, verdict.Wrap(att.verdict(), err)
 	}
-	dog.rest()
-	return newAnswer(p, gen, dog, resp, call.Between), nil
+	wd.disarm()
+	return newAnswer(p, gen, wd, resp, call.StallTimeout), nil
 }
 
 func (s *Services) request(address string, call *ServiceRequest) (*http.Request, error) {
--- a/internal/endpoint/services_bench_test.go
+++ b/internal/endpoint/services_bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkServicesDo gives what the connection of its own costs a call that
-// must leave once, against a pooled one, over loopback.
+// BenchmarkServicesDo compares a call that must be sent once, which dials a
+// connection of its own, with a call on a pooled one, over loopback.
 func BenchmarkServicesDo(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
@@ -20,7 +20,7 @@
 			defer c.Close()
 			b.ReportAllocs()
 			for b.Loop() {
-				answer, err := c.Do(b.Context(), server.Listener.Addr().String(), order("key", "body", once))
+				answer, err := c.Do(b.Context(), server.Listener.Addr().String(), newOrder("key", "body", once))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/endpoint/sse/reader_test.go
+++ b/internal/endpoint/sse/reader_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// FuzzReader: the events don't depend on how the bytes arrive, and no input
-// makes the reader panic, hang or hold more than it may.
+// FuzzReader checks that the events don't depend on how the bytes arrive, and that
+// no input makes the reader panic, hang or use more memory than allowed.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 0\ndata: {\"offset\":0,\"text\":\"a\"}\n\n"))
 	f.Add([]byte("data: a\r\ndata: b\r\n\r\n: c\n\nid\n"))
@@ -64,20 +64,20 @@
 	})
 }
 
-// repeated reads the same text for ever.
-type repeated struct {
+// repeatingReader returns the same text over and over.
+type repeatingReader struct {
 	text string
 	at   int
 }
 
-func (r *repeated) Read(p []byte) (int, error) {
+func (r *repeatingReader) Read(p []byte) (int, error) {
 	n := copy(p, r.text[r.at:])
 	r.at = (r.at + n) % len(r.text)
 	return n, nil
 }
 
 func BenchmarkNext(b *testing.B) {
-	r := NewReader(&repeated{text: "id: 1234\ndata: {\"offset\":1234,\"text\":\" bearing\"}\n\n"})
+	r := NewReader(&repeatingReader{text: "id: 1234\ndata: {\"offset\":1234,\"text\":\" bearing\"}\n\n"})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := r.Next(); err != nil {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -2,46 +2,46 @@
 
 import "bytes"
 
-// events cuts an event stream at the borders of events. An endpoint may stop
-// in the middle of one; a caller, or another endpoint that goes on with the
-// stream, must never see that half.
-type events struct {
+// eventBuffer splits an event stream into whole events. An endpoint may fail in the
+// middle of an event; neither the caller nor another endpoint that continues the
+// stream may get the partial one.
+type eventBuffer struct {
 	buf    []byte
 	lastID string
 	count  int // whole events so far
 }
 
-// add takes bytes and returns the whole events among those held, valid until
-// the next call.
-func (e *events) add(p []byte) []byte {
+// add appends bytes and returns the whole events in the buffer, valid until the
+// next call.
+func (e *eventBuffer) add(p []byte) []byte {
 	e.buf = append(e.buf, p...)
-	end := bytes.LastIndex(e.buf, border)
+	end := bytes.LastIndex(e.buf, eventEnd)
 	if end < 0 {
 		return nil
 	}
-	end += len(border)
+	end += len(eventEnd)
 	whole := e.buf[:end]
-	e.note(whole)
+	e.record(whole)
 	return whole
 }
 
-// border ends an event.
-var border = []byte("\n\n")
+// eventEnd is the empty line that ends an event.
+var eventEnd = []byte("\n\n")
 
-// consume lets the whole events that add returned go.
-func (e *events) consume(n int) {
+// consume removes the whole events that add returned, n bytes, from the buffer.
+func (e *eventBuffer) consume(n int) {
 	e.buf = e.buf[:copy(e.buf, e.buf[n:])]
 }
 
-// partial reports whether an event has begun and not ended.
-func (e *events) partial() bool { return len(e.buf) > 0 }
+// partial reports whether the buffer holds the beginning of an event.
+func (e *eventBuffer) partial() bool { return len(e.buf) > 0 }
 
-// drop forgets the half event of an endpoint that stopped.
-func (e *events) drop() { e.buf = e.buf[:0] }
+// discardPartial removes the partial event of an endpoint that failed.
+func (e *eventBuffer) discardPartial() { e.buf = e.buf[:0] }
 
-// note counts events and remembers the last id.
-func (e *events) note(whole []byte) {
-	e.count += bytes.Count(whole, border)
+// record counts whole events and keeps the last id.
+func (e *eventBuffer) record(whole []byte) {
+	e.count += bytes.Count(whole, eventEnd)
 	for at := len(whole); at > 0; {
 		start := bytes.LastIndexByte(whole[:at-1], '\n') + 1
 		line := whole[start:at]
@@ -53,5 +53,5 @@
 	}
 }
 
-// idField begins the line that names an event.
+// idField begins the line that holds an event's id.
 var idField = []byte("id:")
--- /dev/null
+++ b/internal/relay/inflight.go
@@ -0,0 +1,253 @@
+package relay
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/cyclamenbeam/cyclamenbeam/internal/balance"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
+	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
+)
+
+const (
+	// maxBufferedBytes bounds an answer that is buffered until it is complete; a
+	// longer one is forwarded as it arrives. Plain answers are some kilobytes.
+	maxBufferedBytes = 1 << 20
+	// minTimeLeft is the time to the deadline below which no further attempt is
+	// made.
+	minTimeLeft = 30 * time.Millisecond
+)
+
+// inflight is an admitted request in progress. Only one goroutine uses it.
+type inflight struct {
+	relay   *Relay
+	request *Request
+	admitted
+	sink       Sink
+	balanceReq *balance.Request
+	tally      tally
+	// headSent says that the caller was sent the head of an answer.
+	headSent bool
+	// workCounted says that the request was counted as work of its service.
+	workCounted bool
+	// beganReported says that the observer was notified that the request began to
+	// run.
+	beganReported bool
+	// requestKey is the request's key, zero until key is called.
+	requestKey quarantine.Key
+	// lastPieceAt is when the caller was last sent a piece of a stream.
+	lastPieceAt time.Time
+	events      eventBuffer
+	outcome     Outcome
+}
+
+func newInflight(r *Relay, q *Request, a *admitted, sink Sink) *inflight {
+	f := &inflight{relay: r, request: q, admitted: *a, sink: sink, balanceReq: q.balanceRequest(a.service)}
+	f.events.lastID = q.LastEvent
+	f.outcome = initialOutcome(q, a)
+	f.outcome.Service = a.service
+	return f
+}
+
+// initialOutcome returns a request's outcome as known before any attempt.
+func initialOutcome(q *Request, a *admitted) Outcome {
+	o := Outcome{ID: q.ID, Verdict: verdict.NotRun, Tokens: q.tokens()}
+	if a.table != nil {
+		o.ConfigVersion = a.table.Version
+		o.ConfiguredAt = a.configuredAt
+	}
+	if a.route != nil {
+		o.Route = a.route.Name
+	}
+	if a.workspace != nil {
+		o.Workspace = a.workspace.Name
+	}
+	return o
+}
+
+// run makes attempts until the caller has its final answer.
+func (f *inflight) run(ctx context.Context) {
+	var failed *bufferedAnswer // the last complete answer that reports a failure of its endpoint
+	for {
+		choice, refusal := f.choose()
+		if refusal != nil && failed != nil {
+			f.outcome.Failed = true
+			f.conclude(ctx, answer, nil, failed)
+			return
+		}
+		if refusal != nil {
+			f.conclude(ctx, giveUp(f.tally), refusal, nil)
+			return
+		}
+		result, buffered := f.attempt(ctx, choice)
+		if result.class == Failure && result.complete {
+			failed = buffered
+		}
+		result.timeLeft = ctx.Err() == nil && time.Until(f.deadline) > minTimeLeft
+		step := next(f.route, f.tally, result, f.takeRetry)
+		if step == again {
+			f.outcome.keepFirstCause()
+			f.balanceReq.Tried = append(f.balanceReq.Tried, choice.Endpoint.ID)
+			continue
+		}
+		f.conclude(ctx, step, nil, buffered)
+		return
+	}
+}
+
+// choose returns the endpoint of the next attempt, or a refusal if there is none.
+func (f *inflight) choose() (balance.Choice, *Refusal) {
+	if refusal := f.refuseHeld(); refusal != nil {
+		return balance.Choice{}, refusal
+	}
+	return f.relay.state.pick(time.Now(), f)
+}
+
+func (f *inflight) takeRetry() bool { return f.relay.state.takeRetry(time.Now(), f.service) }
+
+// bufferedAnswer is an endpoint's complete answer that was not sent to the caller
+// yet.
+type bufferedAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// attempt sends the request to an endpoint once and reads its answer.
+func (f *inflight) attempt(ctx context.Context, c balance.Choice) (attemptResult, *bufferedAnswer) {
+	f.outcome.Endpoint, f.outcome.Version = c.Endpoint.ID, c.Endpoint.Version
+	f.outcome.Predicted = time.Duration(c.Wait * float64(time.Second))
+	sent := time.Now()
+	attemptCtx, abort := context.WithCancelCause(ctx)
+	defer abort(nil)
+	t := &trackedAttempt{inflight: f, choice: c, sent: sent, abort: abort}
+	res, buffered, err := f.exchange(attemptCtx, t)
+	if cause := context.Cause(attemptCtx); ctx.Err() == nil && cause != nil {
+		err = cause
+	}
+	f.outcome.Cause = err
+	if closedByEndpoint(ctx, attemptCtx, res, err) {
+		f.reportCut(t)
+	}
+	f.outcome.Failed = res.class == Failure && res.complete
+	switch {
+	case !res.reached:
+		f.tally.unreached++
+	case res.verdict == verdict.NotRun:
+		f.tally.reached++
+	default:
+		f.tally.reached++
+		f.tally.ran++
+		f.outcome.Verdict = res.verdict
+		if f.route.Kind != route.Streaming || res.complete && res.class != Success {
+			f.reportBegan(sent)
+		}
+	}
+	f.relay.state.done(time.Now(), t, balanceOutcome(ctx, res))
+	return res, buffered
+}
+
+// balanceOutcome returns an attempt's result in the balancer's terms.
+func balanceOutcome(ctx context.Context, res attemptResult) balance.Outcome {
+	switch {
+	case res.class == Success && res.complete, res.class == Rejected:
+		return balance.Answered
+	case !res.reached && ctx.Err() == nil, res.class == Misdirected:
+		return balance.Unreachable
+	case ctx.Err() == context.Canceled:
+		return balance.Abandoned
+	case res.verdict == verdict.NotRun:
+		return balance.Refused
+	default:
+		return balance.Failed
+	}
+}
+
+// exchange sends the request and reads its answer on one connection.
+func (f *inflight) exchange(ctx context.Context, t *trackedAttempt) (attemptResult, *bufferedAnswer, error) {
+	call := f.call(t)
+	f.relay.state.sent(t)
+	a, err := f.relay.pool.Send(ctx, call)
+	if err != nil {
+		v := verdict.Of(err)
+		return attemptResult{verdict: v, reached: v != verdict.NotRun}, nil, err
+	}
+	defer a.Close()
+	class := f.relay.protocol.Classify(a.Status, a.Header)
+	res := attemptResult{class: class, reached: true, verdict: verdict.Ran}
+	if class == Refused || class == Misdirected {
+		res.verdict = verdict.NotRun
+	}
+	f.outcome.Status = a.Status
+	if class == Success && f.route.Kind == route.Streaming {
+		err := f.forwardStream(t, a)
+		res.complete = err == nil
+		return res, nil, err
+	}
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBytes+1))
+	if err != nil {
+		return res, nil, err
+	}
+	f.firstPiece(t)
+	if len(body) > maxBufferedBytes {
+		err := f.forwardLong(a, body)
+		res.complete = err == nil
+		return res, nil, err
+	}
+	res.complete = true
+	return res, &bufferedAnswer{status: a.Status, header: f.relay.protocol.Answer(a.Header), body: body}, nil
+}
+
+// call returns the request to send in an attempt.
+func (f *inflight) call(t *trackedAttempt) *upstream.Call {
+	attempt := &Attempt{
+		Endpoint:  t.choice.Endpoint,
+		Workspace: f.outcome.Workspace,
+		Priority:  f.priority,
+		LastEvent: f.events.lastID,
+		FetchFrom: t.choice.FetchFrom,
+	}
+	c := &upstream.Call{
+		Address: t.choice.Endpoint.Address,
+		Method:  f.request.Method,
+		Target:  f.request.Target,
+		Host:    f.request.Host,
+		Header: func() http.Header {
+			attempt.TimeLeft = time.Until(f.deadline)
+			return f.relay.protocol.Header(f.request, attempt)
+		},
+		Body: f.request.Body,
+		Owns: f.relay.protocol.Owns(f.request),
+	}
+	canRetry := f.route.Repeatable() && f.tally.ran+1 < f.route.MaxAttempts
+	c.Patience = stallTimeout(canRetry, f.outcome.Predicted)
+	if canRetry && f.route.Kind == route.Idempotent {
+		c.HeadTimeout = max(time.Until(f.deadline)/2, f.route.Target)
+	}
+	return c
+}
+
+// firstPiece records that the first piece of an attempt's answer arrived.
+func (f *inflight) firstPiece(t *trackedAttempt) {
+	if !t.firstPieceSeen {
+		t.firstPieceSeen = true
+		f.relay.state.firstPiece(t)
+		f.relay.guard.Ran(&t.choice.Endpoint, t.sent, f.key)
+		if f.outcome.First == 0 {
+			f.outcome.First = time.Since(f.request.Received)
+		}
+	}
+}
+
+// reportBegan notifies the observer, once, that an endpoint began to run the
+// request.
+func (f *inflight) reportBegan(at time.Time) {
+	if !f.beganReported && f.workspace != nil {
+		f.beganReported = true
+		f.relay.observer.Began(f.workspace.Name, at)
+	}
+}
--- a/internal/relay/next.go
+++ b/internal/relay/next.go
@@ -5,18 +5,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// maxUnreached bounds the endpoints that are tried without reaching any: with
-// half of a set gone, six tries in a row fail one time in 64.
+// maxUnreached bounds the endpoints that are tried without a connection to any:
+// with half of the endpoints gone, six tries in a row fail one time in 64.
 const maxUnreached = 6
 
-// step is what to do after an attempt.
+// step is what follows an attempt.
 type step uint8
 
 const (
 	answer step = iota // pass the endpoint's answer on
 	again              // send to another endpoint
-	refuse             // tell the caller that it was not run
-	fail               // tell the caller that it may have run
+	refuse             // answer that the request was not run
+	fail               // answer that it may have run
 )
 
 // tally counts a request's attempts.
@@ -26,48 +26,48 @@
 	unreached int // endpoints to which there was no connection
 }
 
-// end is how an attempt ended.
-type end struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	class Class
-	// verdict says whether the endpoint may have run it.
+	// verdict says whether the endpoint may have run the request.
 	verdict verdict.Verdict
 	// reached says that the request was sent.
 	reached bool
-	// whole says that the endpoint's answer was read to its end, so that it
-	// can be passed on.
-	whole bool
-	// timeLeft says that another attempt can still be in time.
+	// complete says that the endpoint's answer was read to its end, so that it can
+	// be passed on.
+	complete bool
+	// timeLeft says that another attempt could still end before the deadline.
 	timeLeft bool
 }
 
-// next decides what follows an attempt. budget asks for a send beyond the
-// first; it is asked only where everything else allows one.
-func next(r *route.Route, t tally, e end, budget func() bool) step {
+// next decides what follows an attempt. budget takes a further send from the retry
+// budget; it is called only if everything else allows one.
+func next(r *route.Route, t tally, res attemptResult, budget func() bool) step {
 	switch {
-	case e.whole && (e.class == Success || e.class == Rejected):
+	case res.complete && (res.class == Success || res.class == Rejected):
 		return answer
-	case !e.reached:
-		if e.timeLeft && t.unreached < maxUnreached {
+	case !res.reached:
+		if res.timeLeft && t.unreached < maxUnreached {
 			return again
 		}
 		return giveUp(t)
-	case e.verdict == verdict.NotRun:
-		// A refusal is free of risk but is an arrival, which the budget and
-		// the route's bound count.
-		if e.timeLeft && t.reached <= r.MaxAttempts && budget() {
+	case res.verdict == verdict.NotRun:
+		// A refused request is safe to send again, but adds to the load, so the
+		// retry budget and the route's bound apply.
+		if res.timeLeft && t.reached <= r.MaxAttempts && budget() {
 			return again
 		}
 		return giveUp(t)
-	case r.Repeatable() && e.timeLeft && t.ran < r.MaxAttempts && budget():
+	case r.Repeatable() && res.timeLeft && t.ran < r.MaxAttempts && budget():
 		return again
-	case e.whole:
+	case res.complete:
 		return answer
 	default:
 		return fail
 	}
 }
 
-// giveUp ends a request whose last attempt did not run it.
+// giveUp returns the step that ends a request whose last attempt did not run it.
 func giveUp(t tally) step {
 	if t.ran > 0 {
 		return fail
