--- a/internal/gossip/check.go
+++ b/internal/gossip/check.go
@@ -6,14 +6,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// Bounds on what a datagram may say. A larger value can only come from a fault,
-// and would stay in all tables.
+// Bounds on the values in a datagram. A larger value can only come from a fault, and
+// would spread to the member tables of all daemons and stay there.
 const (
-	maxName        = 64      // bytes of an id or a name: a UUID has 36; two records fit into a packet
-	maxIncarnation = 1 << 60 // a start time in Unix ms needs 41 bits
+	maxName        = 64      // bytes of an ID, a name or an address; a UUID has 36, and two records still fit into a packet
+	maxIncarnation = 1 << 60 // incarnations are start times in Unix ms, which need 41 bits
 )
 
-// check refuses packets that the state machine must not see.
+// check returns an error for a packet that must not reach the Membership.
 func check(p *membership.Packet) error {
 	if p.Kind < membership.Ping || p.Kind > membership.SyncPage {
 		return Error.New("kind %d is unknown", p.Kind)
@@ -88,7 +88,7 @@
 	return err == nil && !a.Addr().IsUnspecified()
 }
 
-// checkSelf refuses to start a daemon whose packets all others would refuse.
+// checkSelf returns an error for a member whose packets other daemons would reject.
 func checkSelf(m membership.Member) error {
 	return checkUpdate(&membership.Update{
 		Instance:    m.Instance,
--- a/internal/gossip/codec_bench_test.go
+++ b/internal/gossip/codec_bench_test.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// BenchmarkDatagram reports what a quiet probe costs on the wire and in
-// processor time for sealing and opening, with three regions.
+// BenchmarkDatagram measures encoding, sealing, opening and decoding a ping without
+// updates in a fleet of three regions, and reports its size on the wire.
 func BenchmarkDatagram(b *testing.B) {
 	s := mustSealer(b, Keys{Primary: key})
 	p := &membership.Packet{
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -89,9 +89,9 @@
 }
 
 func TestPacketsSurviveTheWireWithinTheirSize(t *testing.T) {
-	// Packets are kept below 1200 bytes by membership's own bound of their
-	// encoded size. If the codec took more, large ones would be cut into
-	// fragments, of which the loss of any loses the packet.
+	// Guards against IP fragmentation, where the loss of any fragment loses the packet.
+	// Membership keeps packets below 1200 bytes by Packet.Size, its own bound on their
+	// encoded size, so the codec must not exceed that bound.
 	s := mustSealer(t, Keys{Primary: key})
 	rapid.Check(t, func(t *rapid.T) {
 		p := genPacket(t)
@@ -107,7 +107,7 @@
 	})
 }
 
-// assertSamePacket compares by content: an empty list comes back as nil.
+// assertSamePacket compares lists by content: an empty one is decoded as nil.
 func assertSamePacket(t *rapid.T, got, want *membership.Packet) {
 	assert.Equal(t, len(got.Updates), len(want.Updates))
 	for i := range want.Updates {
--- a/internal/gossip/decode.go
+++ b/internal/gossip/decode.go
@@ -8,7 +8,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// decode reads a packet and checks everything that the state machine relies on.
+// decode decodes a packet and checks everything that the Membership relies on.
 func decode(content []byte) (*membership.Packet, error) {
 	in := &gossippb.Packet{}
 	if err := proto.Unmarshal(content, in); err != nil {
@@ -81,5 +81,6 @@
 	}
 }
 
-// state narrows a state; what is out of range stays so, for check to refuse.
+// state converts a state to its narrower type. A value that is out of range stays out of
+// range, so that check rejects it.
 func state(s uint32) membership.State { return membership.State(min(s, 255)) }
--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -17,11 +17,11 @@
 // Error is the class of errors made by this package.
 var Error = errs.Class("gossip")
 
-// Keys are the keys of the fleet. To replace one without losing datagrams, add
-// the new one as Secondary everywhere, then swap the two everywhere, then drop
-// the old one.
+// Keys are the encryption keys of the fleet, of KeyBytes each. To replace a key without
+// losing datagrams, add the new one as Secondary on all daemons, then swap the two on
+// all daemons, then remove the old one.
 type Keys struct {
-	Primary   []byte // seals and opens; empty: datagrams are plain
+	Primary   []byte // seals and opens; if empty, datagrams are not encrypted
 	Secondary []byte // opens only; may be empty
 }
 
@@ -29,14 +29,14 @@
 	return bytes.Equal(k.Primary, other.Primary) && bytes.Equal(k.Secondary, other.Secondary)
 }
 
-// Versions of the datagram, its first byte.
+// Versions of the datagram format, sent as its first byte.
 const (
 	plainVersion  = 1
 	sealedVersion = 2
 )
 
-// The least that a sealed datagram has besides its content. It must not exceed
-// membership.SealOverhead, or packets outgrow their bound.
+// Sizes of the parts that sealing adds to a datagram. With the version byte, they must
+// not exceed membership.SealOverhead, or packets become larger than their bound.
 const (
 	nonceBytes = 12
 	tagBytes   = 16
@@ -44,10 +44,10 @@
 
 var _ [membership.SealOverhead - (1 + nonceBytes + tagBytes)]struct{}
 
-// sealer seals and opens datagrams. It is never changed after it was made.
+// sealer encrypts (seals) and decrypts (opens) datagrams. It is immutable.
 type sealer struct {
 	keys  Keys
-	aeads []cipher.AEAD // primary first; empty: plain
+	aeads []cipher.AEAD // primary first; if empty, datagrams are not encrypted
 }
 
 func newSealer(keys Keys) (*sealer, error) {
@@ -80,7 +80,7 @@
 	return aead, Error.Wrap(err)
 }
 
-// seal appends the datagram to dst.
+// seal appends the datagram for content to dst.
 func (s *sealer) seal(dst, content []byte) []byte {
 	if len(s.aeads) == 0 {
 		dst = append(dst, plainVersion)
@@ -88,13 +88,13 @@
 	}
 	dst = append(dst, sealedVersion)
 	var nonce [nonceBytes]byte
-	rand.Read(nonce[:]) // never fails, by its documentation
+	rand.Read(nonce[:]) // documented never to fail
 	dst = append(dst, nonce[:]...)
 	return s.aeads[0].Seal(dst, nonce[:], content, []byte{sealedVersion})
 }
 
-// open returns the content of a datagram. Where keys are set a plain one is
-// refused, or sealing would protect nothing.
+// open returns the content of a datagram. If keys are set, a plain datagram is
+// rejected; otherwise anyone could forge one.
 func (s *sealer) open(datagram []byte) ([]byte, error) {
 	if len(datagram) == 0 {
 		return nil, Error.New("empty datagram")
--- a/internal/gossip/memory_test.go
+++ b/internal/gossip/memory_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// memoryNet joins memoryConns, so that nodes can run under testing/synctest,
-// whose clock does not wait for sockets.
+// memoryNet is an in-memory network of memoryConns, so that nodes can run under
+// testing/synctest, whose clock does not advance while a goroutine reads a socket.
 type memoryNet struct {
 	mu    sync.Mutex
 	conns map[string]*memoryConn
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -10,10 +10,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/ring"
 )
 
-// Node runs a Membership.
+// Node runs a Membership over UDP. It is safe for concurrent use.
 type Node struct {
 	opts     Options
-	members  *membership.Membership // the owner's
+	members  *membership.Membership // used by the owner goroutine only
 	view     atomic.Pointer[membership.View]
 	sealer   atomic.Pointer[sealer]
 	inbound  *ring.Ring[*membership.Packet]
@@ -27,19 +27,19 @@
 	closeOnce sync.Once
 	closeErr  error
 	done      sync.WaitGroup
-	content   []byte // the owner's buffers
+	content   []byte // buffers of the owner goroutine
 	datagram  []byte
 }
 
-// command is something for the owner to do. done is closed afterwards.
+// command is a function for the owner goroutine to call. done is closed afterwards.
 type command struct {
 	run  func(now time.Time) []membership.Action
 	done chan struct{}
 }
 
-// Start starts a Node. It takes over the connection and the Membership. It
-// fails where the keys cannot be used or the member's names or addresses are
-// such that other daemons would refuse them.
+// Start starts a Node, which takes ownership of the connection and the Membership. It
+// returns an error if the keys are invalid, or if other daemons would reject the names or
+// addresses of this member.
 func Start(opts Options) (*Node, error) {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -69,22 +69,22 @@
 	return n, nil
 }
 
-// View returns the newest snapshot.
+// View returns the newest snapshot of the members.
 func (n *Node) View() *membership.View { return n.view.Load() }
 
-// Inbound returns the ring of received packets, for its metrics.
+// Inbound returns the ring buffer of received packets, for its metrics.
 func (n *Node) Inbound() *ring.Ring[*membership.Packet] { return n.inbound }
 
-// Subscribe has f called with every action but Send, in order, from the
-// owner's goroutine: f must return at once and must not call the Node's
-// methods other than View and Stats.
+// Subscribe registers f, which is called in order with every action other than Send. It
+// is called on the owner goroutine, so f must not block and must not call methods of the
+// Node other than View and Stats.
 func (n *Node) Subscribe(f func(membership.Action)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.subscribers = append(n.subscribers, f)
 }
 
-// SetDigest sets what peers are told about the configuration here.
+// SetDigest sets the digest of this daemon's configuration that is sent to peers.
 func (n *Node) SetDigest(d membership.Digest) {
 	n.do(context.Background(), func(time.Time) []membership.Action {
 		n.members.SetDigest(d)
@@ -92,7 +92,8 @@
 	})
 }
 
-// Seeds adds hints from the settings or the instance list.
+// Seeds adds addresses from the settings or the instance list at which there may be
+// daemons.
 func (n *Node) Seeds(members []membership.Member) {
 	n.do(context.Background(), func(now time.Time) []membership.Action {
 		n.members.AddSeeds(now, members)
@@ -100,8 +101,8 @@
 	})
 }
 
-// Introduced takes daemons that another one or the platform's store vouches for. Those
-// whose names or addresses other daemons would refuse are left out.
+// Introduced adds members that are known to exist from another daemon or from the
+// platform's store. It skips members whose names or addresses other daemons would reject.
 func (n *Node) Introduced(members []membership.Member) {
 	sound := make([]membership.Member, 0, len(members))
 	for _, m := range members {
@@ -112,13 +113,14 @@
 	n.do(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduce(now, sound) })
 }
 
-// Leave tells the fleet that this daemon takes no new work. It returns when
-// the first peers were told; they pass it on. The Node goes on answering.
+// Leave announces that this daemon accepts no new work. It returns once the
+// announcement is sent to the first peers, which spread it further. The Node keeps
+// running.
 func (n *Node) Leave(ctx context.Context) error {
 	return n.do(ctx, n.members.Leave)
 }
 
-// Close tells the fleet that this daemon is gone and stops.
+// Close announces that this daemon is gone, stops the Node and closes its connection.
 func (n *Node) Close() error {
 	n.closeOnce.Do(func() {
 		n.do(context.Background(), n.members.Depart)
@@ -129,7 +131,7 @@
 	return n.closeErr
 }
 
-// do has the owner run f and waits for it.
+// do runs f on the owner goroutine and waits until its actions are carried out.
 func (n *Node) do(ctx context.Context, f func(time.Time) []membership.Action) error {
 	c := command{run: f, done: make(chan struct{})}
 	select {
--- a/internal/gossip/node_bench_test.go
+++ b/internal/gossip/node_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// BenchmarkNodes runs 34 nodes over sealed UDP on loopback for five quiet
-// seconds and reports what one of them costs a second, system calls included.
+// BenchmarkNodes runs 34 nodes over encrypted UDP on loopback for five seconds without
+// membership changes. It reports the cost of one node per second, system calls included.
 func BenchmarkNodes(b *testing.B) {
 	const count, seconds = 34, 5
 	nodes := startNodes(b, count)
@@ -71,7 +71,7 @@
 	return sum
 }
 
-// processTime returns the processor time that the process has used.
+// processTime returns the user and system CPU time of the process.
 func processTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -112,9 +112,9 @@
 }
 
 func TestKeysAreReplacedWhileRunning(t *testing.T) {
-	// The key of a fleet is replaced in three steps without a restart. If one
-	// were missed, datagrams would be dropped and daemons held for dead. An
-	// unusable key must not take the place of a good one.
+	// The key of a fleet is replaced in three steps without a restart. A daemon that
+	// misses one drops the others' datagrams, and members are suspected and declared
+	// dead. An invalid key must not replace a valid one.
 	synctest.Test(t, func(t *testing.T) {
 		wire := &memoryNet{conns: map[string]*memoryConn{}}
 		var keys [2]atomic.Pointer[Keys]
@@ -126,7 +126,7 @@
 		for _, step := range []Keys{{key, otherKey}, {otherKey, key}, {otherKey, nil}} {
 			for i := range nodes {
 				keys[i].Store(&step)
-				time.Sleep(20 * time.Second) // of the test's clock: long enough to be held for dead
+				time.Sleep(20 * time.Second) // of the fake clock; long enough to be declared dead
 			}
 			for _, n := range nodes {
 				assert.Equal(t, len(n.View().Alive()), 2)
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -7,27 +7,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// Options say how a Node is to run.
+// Options configure a Node.
 type Options struct {
-	// Conn sends and receives the datagrams; Close closes it.
+	// Conn sends and receives the datagrams. Node.Close closes it.
 	Conn net.PacketConn
-	// Membership is owned by the Node from Start on.
+	// Membership must not be used by the caller after Start.
 	Membership *membership.Membership
-	// Now is the clock; time.Now where nil.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// Keys is asked for the keys once a second. Where it is nil or gives no
-	// primary key datagrams are plain; only loopback deployments may do that,
-	// which the caller sees to.
+	// Keys returns the current keys; it is called once a second. If it is nil or
+	// returns no primary key at Start, datagrams are not encrypted. The caller must
+	// allow that in loopback deployments only.
 	Keys func() Keys
 }
 
-// Times and sizes of the Node.
 const (
 	tickInterval = 100 * time.Millisecond
 	keyInterval  = time.Second
-	// ringSize bounds the packets that wait for the owner: a second's worth at
-	// hundredfold load.
+	// ringSize is the most packets that wait for the owner goroutine: those of a second
+	// at a hundred times the usual rate.
 	ringSize = 512
-	// readBuffer is more than the largest datagram that is sent.
+	// readBuffer, in bytes, is larger than any datagram that is sent.
 	readBuffer = 2048
 )
--- a/internal/gossip/owner.go
+++ b/internal/gossip/owner.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// own is the duty that owns the Membership.
+// own runs the goroutine that owns the Membership.
 func (n *Node) own() {
 	defer n.done.Done()
 	ticker := time.NewTimer(pause.ToNext(tickInterval))
@@ -36,7 +36,7 @@
 	}
 }
 
-// step runs one event and carries out its actions.
+// step passes one event to the Membership and carries out the resulting actions.
 func (n *Node) step(event func(time.Time) []membership.Action) {
 	start := n.opts.Now()
 	for _, a := range event(start) {
@@ -81,8 +81,8 @@
 	n.counters.bytesOut.Add(uint64(len(n.datagram)))
 }
 
-// reloadKeys takes over changed keys. Unusable ones are counted and the old
-// ones stay: a bad file must not cut the daemon off.
+// reloadKeys switches to changed keys. Invalid or missing ones are counted and the old
+// keys stay in use, so that a faulty key file doesn't isolate the daemon.
 func (n *Node) reloadKeys() {
 	keys := n.opts.Keys()
 	if keys.equal(n.sealer.Load().keys) {
--- a/internal/gossip/reader.go
+++ b/internal/gossip/reader.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// readPause keeps a reader whose socket keeps failing from spinning.
+// readPause is the time between reads of a socket that returns errors, which would
+// otherwise be a busy loop.
 const readPause = 100 * time.Millisecond
 
-// read is the duty that receives datagrams.
+// read runs the goroutine that receives datagrams.
 func (n *Node) read() {
 	defer n.done.Done()
 	buffer := make([]byte, readBuffer)
@@ -30,7 +31,7 @@
 	}
 }
 
-// pause waits a little and reports whether the Node is closing.
+// pause waits for readPause and reports whether the Node is closing.
 func (n *Node) pause() bool {
 	select {
 	case <-n.closing:
@@ -40,7 +41,7 @@
 	}
 }
 
-// receive decodes a datagram and passes it to the owner.
+// receive decodes a datagram and passes it to the owner goroutine.
 func (n *Node) receive(datagram []byte, from net.Addr) {
 	n.counters.packetsIn.Add(1)
 	n.counters.bytesIn.Add(uint64(len(datagram)))
--- a/internal/gossip/stats.go
+++ b/internal/gossip/stats.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Stats are totals since the start.
+// Stats are totals since the start of a Node.
 type Stats struct {
 	PacketsIn  uint64
 	PacketsOut uint64
-	BytesIn    uint64 // of datagrams, without IP and UDP headers
+	BytesIn    uint64 // of datagrams, excluding IP and UDP headers
 	BytesOut   uint64
-	Foreign    uint64 // dropped: not sealed with our keys, or of another version
-	Malformed  uint64 // dropped: sealed with our keys, but not a valid packet
-	RingDrops  uint64 // dropped: the owner was too slow
+	Foreign    uint64 // dropped: not sealed with a configured key, or another format version
+	Malformed  uint64 // dropped: opened, but not a valid packet
+	RingDrops  uint64 // dropped: the ring buffer was full
 	SendErrors uint64
-	KeyErrors  uint64 // reloaded keys that could not be used; the old ones stay
-	// Busy is the time spent in decoding, deciding and sending. It is measured
-	// by the clock, so it is an upper bound of the processor time.
+	KeyErrors  uint64 // reloads that returned invalid keys; the old ones stay in use
+	// Busy is the time spent on decoding, processing and sending. It is elapsed time,
+	// so it is an upper bound on the CPU time.
 	Busy time.Duration
 }
 
