--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed passes a changing set of named values on to others that know an
-// earlier state of it: what changed since then, or all of it. It is plain
-// state and not safe for concurrent use.
+// Package feed replicates a changing set of named values to readers that have an earlier
+// state of it: a reader gets the changes since that state, or the whole set. Its types
+// are plain state, not safe for concurrent use.
 package feed
 
 import (
@@ -12,54 +12,55 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// kept is the number of removals that are remembered. Whoever asks four times
-// a second misses a removal only after many seconds of silence, and is given
-// everything then.
+// kept is the most removals that a Log stores. A reader that is further behind gets the
+// whole set, or the keys of all names. One that asks four times a second is that far
+// behind only after many seconds without an answer.
 const kept = 1024
 
-// Position says which state somebody knows. The zero value knows nothing.
+// Position identifies the state that a reader has. The zero value is that of a reader
+// without any.
 type Position struct {
-	Epoch uint64 // of the log
-	Seq   uint64 // of its last change
-	// Revision is the source's up to which the state is complete. It says
-	// something to every log of the same source, Epoch and Seq to one alone.
+	Epoch uint64 // identifies the log
+	Seq   uint64 // the log's last change in the state
+	// Revision is the revision of the source up to which the state is complete, 0 if
+	// unknown. It is valid for all logs of the same source, Epoch and Seq for one only.
 	Revision uint64
 }
 
-// Unwanted is the position of who wants no update.
+// Unwanted is the position of a reader that wants no update.
 var Unwanted = Position{Epoch: math.MaxUint64}
 
-// Item is a value under its name.
+// Item is a named value.
 type Item struct {
 	Name string
 	Spec []byte
-	// Revision is the source's at which the value came.
+	// Revision is the revision of the source at which the value was set, 0 if unknown.
 	Revision uint64
 }
 
-// Update leads from a position to a newer one.
+// Update is the difference between a reader's position and a newer one.
 type Update struct {
 	To Position
-	// Full says that Items is all there is.
+	// Full means that Items is the whole set.
 	Full    bool
 	Items   []Item
 	Removed []string
-	// Keys, where there are any, are those of all names: whatever has another
-	// one is gone.
+	// Keys, unless empty, are the short keys of all names in the set: the reader must
+	// remove a name whose key is missing.
 	Keys []rendezvous.Short
 }
 
-// Empty reports whether an update changes nothing.
+// Empty reports whether the update changes nothing.
 func (u *Update) Empty() bool {
 	return !u.Full && len(u.Items) == 0 && len(u.Removed) == 0 && len(u.Keys) == 0
 }
 
-// Log is the set with its recent changes.
+// Log is the set together with its recent changes.
 type Log struct {
 	at      Position
 	items   map[string]entry
 	removed []removal // oldest first
-	oldest  uint64    // changes up to here may be missing in removed
+	oldest  uint64    // sequence number up to which removed may be incomplete
 }
 
 type entry struct {
@@ -73,13 +74,14 @@
 	name string
 }
 
-// NewLog returns an empty log. Two logs must have different epochs, not 0.
+// NewLog returns an empty log. Its epoch must not be 0 and must differ from those of all
+// other logs.
 func NewLog(epoch uint64) *Log {
 	return &Log{at: Position{Epoch: epoch}, items: map[string]entry{}}
 }
 
-// Set makes the set equal to items, which are complete up to a revision of the
-// source; what doesn't differ is no change.
+// Set replaces the set by items, which are complete up to a revision of the source. An
+// item with the same value as before doesn't count as a change.
 func (l *Log) Set(revision uint64, items []Item) {
 	l.at.Revision = revision
 	there := make(map[string]bool, len(items))
@@ -103,13 +105,12 @@
 	}
 }
 
-// Since returns what leads from a position to the newest. Failure: a daemon
-// follows another log, since the one it followed is gone or late, and is told
-// all there is. Symptom: where hundreds of daemons do so at once, the logs'
-// links are full for seconds, answers come too late and are asked for again.
-// Where the position says up to which of the source's revisions the daemon is
-// complete, what came since and the names' keys are enough: 4 bytes for what it
-// has, in place of some 250.
+// Since returns the update from a position to the newest one. A reader that switches to
+// another log, since its own is gone or late, gets the items that are newer than its
+// revision and the keys of all names: 4 bytes for each item that it has, instead of some
+// 250 for sending it again. If hundreds of readers that switch at once got the whole set
+// each, the network links of the logs would be saturated for seconds, and answers would
+// time out and be requested again.
 func (l *Log) Since(p Position) Update {
 	switch {
 	case p == Unwanted:
@@ -125,7 +126,7 @@
 	}
 }
 
-// changes returns what changed in this log after one of its changes.
+// changes returns the changes of this log after a sequence number.
 func (l *Log) changes(seq uint64) Update {
 	u := Update{To: l.at}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
@@ -141,7 +142,7 @@
 	return u
 }
 
-// newer returns what came after a revision, and all keys.
+// newer returns the items set after a revision of the source, and the keys of all names.
 func (l *Log) newer(revision uint64) Update {
 	u := Update{To: l.at, Keys: make([]rendezvous.Short, 0, len(l.items))}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -13,9 +13,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Several readers ask now and then, some after thousands of changes, some of a
-// log that was begun anew, as when they follow another daemon. After each answer
-// a reader has what the log has.
+// Several readers get updates now and then, some after thousands of changes, some from a
+// new log, as when they switch to another daemon. After each update, a reader must have
+// the same items as the log.
 func TestReadersEndWithTheLogsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type reader struct {
@@ -77,8 +77,8 @@
 	})
 }
 
-// A daemon that has listed the source itself follows a log: it must not be told
-// again what it has.
+// Guards against sending a daemon the items again that it has already listed from the
+// source itself, when it starts to follow a log.
 func TestKnownRevisionIsNotToldAgain(t *testing.T) {
 	log := NewLog(1)
 	var items []Item
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps up with the objects of one kind of the platform's
-// store: a list, then a watch that goes on from it, through outages and lost
-// history.
+// Package follow tracks the objects of one kind in the platform's store: it lists them and
+// then watches for changes from the list's revision on. It backs off during outages, and
+// lists again if the store no longer has the changes since that revision.
 package follow
 
 import (
@@ -15,73 +15,72 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// Pace is how often a follower calls the store.
+// Pace controls how often a Follower calls the store.
 type Pace interface {
-	// Wait returns how long a watch waits for a change: each wait is a call that
-	// is billed, and a connection that goes silent meanwhile is found out by the
-	// store client's keep-alive.
+	// Wait returns how long the store may hold a watch open until there is a change.
+	// Each watch is a billed call. A connection that becomes unresponsive meanwhile is
+	// detected by the keep-alive of the store's client.
 	Wait() time.Duration
-	// Together returns the time after a change in which further ones are left to
-	// come, so that many at once are one answer, which is billed once.
+	// Together returns the delay between a change and the next watch. Changes in this
+	// time come in one answer, which is billed once.
 	Together() time.Duration
-	// Pauses returns the pauses after failed calls.
+	// Pauses returns the bounds of the backoff after failed calls.
 	Pauses() Pauses
 }
 
-// Handler takes what is learned, in order, from one goroutine.
+// Handler receives the objects and their changes. Its methods are called in order, from
+// one goroutine.
 type Handler interface {
-	// Listed takes all objects there are at a revision.
+	// Listed receives all objects, as of a revision.
 	Listed(all []objects.Object, revision uint64)
-	// Changed takes changes since the list or the last change, up to a
-	// revision; the first call after Returned has all that happened meanwhile,
-	// which may be nothing.
+	// Changed receives the changes since the list or the last call, up to a revision.
+	// After an outage it is called even without changes.
 	Changed(changes []objects.Change, revision uint64)
-	// Lost says that the store stopped to answer.
+	// Lost is called when the store stops answering.
 	Lost(error)
-	// Returned says that it answers again; it comes before what it answered.
-	// failed is when the last call began that was not answered.
+	// Returned is called when the store answers again, before the call with its answer.
+	// failed is the time at which the last failed call began.
 	Returned(failed time.Time)
 }
 
-// Follower follows one kind.
+// Follower tracks the objects of one kind.
 type Follower struct {
 	store   objects.Store
 	kind    string
 	handler Handler
 	pace    Pace
 	lost    atomic.Bool
-	failed  time.Time // when the last failed call began
+	failed  time.Time // at which the last failed call began
 	pause   time.Duration
-	contact *clock.Moment // of the last answer
-	// revision is the store's up to which the handler has taken all there is.
+	contact *clock.Moment // time of the store's last answer
+	// revision is the store's revision up to which the handler has received everything.
 	revision atomic.Uint64
 }
 
-// New returns a follower of a kind.
+// New returns a Follower of the objects of a kind.
 func New(store objects.Store, kind string, h Handler, pace Pace) *Follower {
 	return &Follower{store: store, kind: kind, handler: h, pace: pace, contact: clock.NewMoment()}
 }
 
-// Kind returns the kind that is followed.
 func (f *Follower) Kind() string { return f.kind }
 
-// never is the age of an answer that has not come yet.
+// never is the greatest age that Age returns, also before the first answer.
 const never = 24 * time.Hour
 
 // Age returns how long ago the store last answered.
 func (f *Follower) Age() time.Duration { return min(time.Since(f.contact.Time()), never) }
 
-// Lost reports whether the last call was not answered.
+// Lost reports whether the last call failed.
 func (f *Follower) Lost() bool { return f.lost.Load() }
 
-// Revision returns the store's revision up to which the handler has taken all
-// there is, 0 before the first list.
+// Revision returns the store's revision up to which the handler has received everything,
+// 0 before the first answer.
 func (f *Follower) Revision() uint64 { return f.revision.Load() }
 
-// Run follows for as long as that is due, until the context ends. Where the
-// handler is complete up to a revision, it goes on from there without a list; 0 is
-// from nothing. due is asked before each call: a watch that is begun and cancelled
-// is billed.
+// Run lists and watches until the context ends or due returns false. due is called before
+// each call of the store, since a watch that is cancelled is billed as well. If the
+// handler already has everything up to revision from, Run starts with a watch from there;
+// if from is 0, it starts with a list.
 func (f *Follower) Run(ctx context.Context, from uint64, due func() bool) {
 	after, listed := from, from > 0
 	for ctx.Err() == nil && due() {
@@ -108,7 +107,7 @@
 		return 0, err
 	}
 	if last := f.Revision(); last != 0 && objects.EraOf(revision) > objects.EraOf(last) && !f.lost.Swap(true) {
-		f.failed = began // it was away, if only for a moment: entries may have lapsed
+		f.failed = began // the store came back from an older copy, so entries may have expired
 	}
 	f.returned()
 	f.handler.Listed(all, revision)
@@ -129,8 +128,9 @@
 	return max(next, after), nil
 }
 
-// after notes an error and waits before the next call, from the failed one's
-// beginning: one that took long in vain has spaced them already.
+// after waits after a failed call with exponential backoff and jitter. The wait counts from
+// the start of the failed call, so that a call that took long before it failed is
+// followed by the next one at once.
 func (f *Follower) after(ctx context.Context, began time.Time, err error) {
 	if err == nil || ctx.Err() != nil {
 		f.pause = 0
@@ -148,6 +148,7 @@
 	pause.For(ctx, f.pause/2+rand.N(f.pause)-time.Since(began))
 }
 
+// returned records that the store has answered.
 func (f *Follower) returned() {
 	f.contact.Set(time.Now())
 	if f.lost.Swap(false) {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -15,7 +15,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// answer is what the store says to one call; it comes after a while.
+// answer is the store's answer to one call, after a delay.
 type answer struct {
 	after    time.Duration
 	changes  []string
@@ -23,8 +23,8 @@
 	err      error
 }
 
-// script is a store that answers lists and watches as written, and then keeps
-// silent until the context ends.
+// script is a store that gives prepared answers to lists and watches. After the last one
+// it doesn't answer until the context ends.
 type script struct {
 	objects.Store
 	answers []answer
@@ -62,7 +62,7 @@
 	return all, a.revision, a.err
 }
 
-// heard notes what a follower says.
+// heard is a Handler that records its calls.
 type heard struct{ lines []string }
 
 func (h *heard) Listed(all []objects.Object, _ uint64) {
@@ -85,7 +85,6 @@
 
 func (h *heard) Returned(time.Time) { h.lines = append(h.lines, "returned") }
 
-// pace waits three seconds for a change.
 type pace struct{ pauses Pauses }
 
 func (pace) Wait() time.Duration { return 3 * time.Second }
@@ -96,7 +95,7 @@
 
 func always() bool { return true }
 
-// play follows the script for a minute.
+// play runs a Follower against the script for a minute.
 func play(t *testing.T, s *script, h *heard) *Follower {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -120,9 +119,9 @@
 	})
 }
 
-// The store drops its history while a watch waits: what happened since isn't to
-// be had as changes. The follower must list anew, or it would keep endpoints
-// that are gone.
+// Guards against keeping endpoints that are gone, where the store discards its history
+// while a watch waits. The missed changes can't be fetched, so the follower must list
+// again.
 func TestLostHistoryIsListedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{
@@ -137,9 +136,9 @@
 	})
 }
 
-// A hundred daemons turn to the store at the same moment, each with a list that
-// another daemon told it. Listed anew by all, the store and their links would be
-// busy for seconds.
+// Guards against saturating the store and its network links for seconds, where a hundred
+// daemons start to watch the store at the same moment. Each has a list from another daemon
+// and must continue from that list's revision.
 func TestKnownRevisionIsGoneOnFrom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{from: 7, answers: []answer{{changes: []string{"c"}, revision: 9}}}
@@ -150,9 +149,9 @@
 	})
 }
 
-// The store falls silent for some calls and comes back without a change. The
-// handler must hear of both, once each: until it hears of the return it treats
-// what it knows as old.
+// The store doesn't answer some calls and recovers without a change. The handler must be
+// notified of both, once each: until it learns of the recovery, it treats its state as
+// stale.
 func TestOutageIsToldOnceAndItsEndToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := errors.New("no answer")
@@ -169,8 +168,8 @@
 	})
 }
 
-// A revision that an answer repeats or lowers must not lead a watch back: it
-// would be told old changes as new ones.
+// Guards against receiving old changes as new ones, where an answer repeats or lowers the
+// revision. The next watch must not start from an earlier revision.
 func TestRevisionNeverFalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{
@@ -181,8 +180,8 @@
 	})
 }
 
-// A store that fails at once must not be called in a busy loop: its rate is
-// shared by all daemons, and each call is billed.
+// Guards against calling a store that fails at once in a busy loop: all daemons share its
+// rate limit, and each call is billed.
 func TestFailedCallsAreSpaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{}
@@ -194,7 +193,7 @@
 	})
 }
 
-// stamped notes when changes came.
+// stamped records the time of the last change.
 type stamped struct {
 	heard
 	at time.Time
@@ -202,7 +201,8 @@
 
 func (s *stamped) Changed([]objects.Change, uint64) { s.at = time.Now() }
 
-// A store that was silent answers again, and its followers pause on top of the call that they gave up.
+// Guards against a late recovery, where the backoff is added to the time that a call took
+// before it failed.
 func TestCallThatWasLongInVainIsFollowedByTheNextAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silent, calls = 2 * time.Second, 5
@@ -220,7 +220,7 @@
 	})
 }
 
-// refusing is a store that refuses all calls until it is back.
+// refusing is a store whose lists fail until a time.
 type refusing struct {
 	objects.Store
 	back  time.Time
@@ -243,9 +243,9 @@
 	return nil, 7, ctx.Err()
 }
 
-// The store refuses all calls for ten seconds, at a fleet of any size whose
-// daemons all turn to it. What they call in vain must not grow with the fleet, and
-// each must have its list soon after the store is back.
+// The store rejects all calls for ten seconds, and all daemons of a fleet call it. The
+// rate of failed calls must not grow with the fleet, and each daemon must have its list
+// soon after the store recovers.
 func TestFleetThatLostTheStoreCallsItSeldom(t *testing.T) {
 	for _, daemons := range []int{30, 195, 340} {
 		synctest.Test(t, func(t *testing.T) {
@@ -260,7 +260,7 @@
 				go f.Run(ctx, 0, always)
 			}
 			time.Sleep(outage)
-			// Two quick ones each to begin with, then some seventy a second.
+			// Two quick calls by each daemon at first, then some seventy a second in total.
 			assert.Assert(t, calls.Load() <= int64(3*daemons+70*10), "%d calls of %d daemons", calls.Load(), daemons)
 			time.Sleep(8 * time.Second)
 			for _, f := range followers {
@@ -273,8 +273,8 @@
 	}
 }
 
-// A daemon lists and relies on another one's word from then on. A watch that it
-// began in between would be billed for nothing.
+// Guards against a watch that is billed but not used, where a daemon lists the objects and
+// then relies on another daemon for changes.
 func TestNoWatchIsBegunThatIsNotDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{{changes: []string{"a"}, revision: 7}, {revision: 7}}}
--- a/internal/follow/pauses.go
+++ b/internal/follow/pauses.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// Pauses bound the pause after a failed call, which grows from First to Last.
+// Pauses are the bounds of the exponential backoff after failed calls, before jitter.
 type Pauses struct{ First, Last time.Duration }
 
 const (
-	// firstPause and lastPause are for a daemon on whose word others rely.
+	// The bounds for a daemon that others rely on for the state of the store.
 	firstPause = 50 * time.Millisecond
 	lastPause  = 400 * time.Millisecond
-	// pausePerDaemon bounds the calls that fail at all daemons of a fleet that look
-	// seldom, at some seventy a second.
+	// pausePerDaemon bounds the failed calls of a whole fleet to some seventy a second.
 	pausePerDaemon = 15 * time.Millisecond
 )
 
-// Often returns the pauses of a daemon on whose word others rely.
+// Often returns the backoff of a daemon that others rely on for the state of the store.
 func Often() Pauses { return Pauses{First: firstPause, Last: lastPause} }
 
-// Seldom returns the pauses of one daemon of a fleet that is told by others when
-// the store is back. Failure: the store refuses all calls for some seconds, and
-// every daemon calls it twice a second for each kind. Symptom: a fleet of 200
-// makes a thousand calls a second that are billed and do nothing, and as many at
-// the moment at which the store is back.
+// Seldom returns the backoff of a daemon that learns from others when the store is
+// available again, in a fleet of so many daemons. It grows with the fleet: if every daemon
+// called an unavailable store twice a second for each kind, a fleet of 200 would make a
+// thousand calls a second that are billed and fail, and as many at the moment of the
+// store's recovery.
 func Seldom(daemons int) Pauses {
 	last := max(lastPause, time.Duration(daemons)*pausePerDaemon)
 	return Pauses{First: last / 4, Last: last}
