--- a/internal/exchange/checkpoint.go
+++ b/internal/exchange/checkpoint.go
@@ -10,14 +10,14 @@
 // Checkpoint is what began at each daemon in the newest windows, as it is kept
 // in the store: a whole fleet can be killed at once, and what its daemons told
 // each other is gone with them.
-type Checkpoint map[fleet.DaemonID]map[uint64]Begun
+type Checkpoint map[fleet.DaemonID]map[uint64]RequestCounts
 
 // Checkpoint returns what began from a window on.
 func (h *Hub) Checkpoint(from uint64) Checkpoint {
 	out := Checkpoint{}
-	for id, p := range h.parts {
-		windows := maps.Clone(p.part.Windows)
-		maps.DeleteFunc(windows, func(w uint64, _ Begun) bool { return w < from })
+	for id, p := range h.daemons {
+		windows := maps.Clone(p.report.Windows)
+		maps.DeleteFunc(windows, func(w uint64, _ RequestCounts) bool { return w < from })
 		if len(windows) > 0 {
 			out[id] = windows
 		}
@@ -32,9 +32,9 @@
 // lives tells its own part, which then counts alone.
 func (h *Hub) Restore(now time.Time, c Checkpoint) {
 	for id, windows := range c {
-		if h.parts[id] == nil {
-			h.parts[id] = &heard{part: Part{Daemon: id, Windows: windows}, at: now.Add(-restoredAge), restored: true}
+		if h.daemons[id] == nil {
+			h.daemons[id] = &daemonState{report: Report{Daemon: id, Windows: windows}, receivedAt: now.Add(-restoredAge), restored: true}
 		}
 	}
-	h.sum = nil
+	h.loadTotal = nil
 }
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -12,28 +12,28 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-func encodePart(p *Part) *exchangepb.Report {
+func encodeReport(p *Report) *exchangepb.Report {
 	out := &exchangepb.Report{
 		Daemon:        string(p.Daemon),
-		ConfigVersion: p.Version,
-		Spent:         encodeSpent(p.Soft.Spent),
-		Loads:         packLoads(p.Soft.Load),
+		ConfigVersion: p.ConfigVersion,
+		Spent:         encodeAmounts(p.Soft.Spent),
+		Loads:         encodeLoads(p.Soft.Load),
 		WantLevels:    p.WantLevels,
 		Fetches:       p.Fetches,
 		Recent:        p.Soft.JustStarted,
-		WallMs:        p.Wall.UnixMilli(),
+		WallMs:        p.WallTime.UnixMilli(),
 		Holder:        encodeHolder(p.Holder),
-		Endpoints:     encodePosition(p.Endpoints),
-		Brief:         p.Brief,
+		Endpoints:     encodePosition(p.EndpointsPosition),
+		Brief:         p.OmitLoads,
 		Crashes:       quarantinepb.Encode(p.Crashes),
-		CrashesHave:   quarantinepb.EncodePosition(p.CrashesHave),
-		Rollouts:      encodeReports(p.Rollouts),
-		RolloutNews:   encodeNews(&p.RolloutNews),
+		CrashesHave:   quarantinepb.EncodePosition(p.CrashesPosition),
+		Rollouts:      encodeRolloutReports(p.Rollouts),
+		RolloutNews:   encodeRolloutUpdate(&p.RolloutUpdate),
 		Seq:           p.Seq,
-		Spare:         p.Spare,
-		Hub:           p.Hub,
-		Members:       encodePosition(p.Members),
-		Unpacks:       p.Unpacks,
+		Spare:         p.Backup,
+		Hub:           p.IsHub,
+		Members:       encodePosition(p.MembersPosition),
+		Unpacks:       p.AcceptsCompressed,
 	}
 	if p.Self != nil {
 		out.Self = encodeMember(p.Self)
@@ -56,37 +56,37 @@
 	return out
 }
 
-func decodePart(r *exchangepb.Report) Part {
-	p := Part{
-		Daemon:  fleet.DaemonID(r.Daemon),
-		Version: r.ConfigVersion,
+func decodeReport(r *exchangepb.Report) Report {
+	p := Report{
+		Daemon:        fleet.DaemonID(r.Daemon),
+		ConfigVersion: r.ConfigVersion,
 		Soft: relay.SoftState{
-			Spent:       decodeSpent(r.Spent),
+			Spent:       decodeAmounts(r.Spent),
 			JustStarted: r.Recent,
-			Load:        unpackLoads(r.Loads),
+			Load:        decodeLoads(r.Loads),
 			Work:        make(map[string]relay.Work, len(r.Works)),
 		},
-		Windows: make(map[uint64]Begun, len(r.Windows)),
-		Wall:    time.UnixMilli(r.WallMs),
-		Holder:  decodeHolder(r.Holder),
+		Windows:  make(map[uint64]RequestCounts, len(r.Windows)),
+		WallTime: time.UnixMilli(r.WallMs),
+		Holder:   decodeHolder(r.Holder),
 
-		Endpoints:  decodePosition(r.Endpoints),
-		Brief:      r.Brief,
-		WantLevels: r.WantLevels,
-		Fetches:    r.Fetches,
+		EndpointsPosition: decodePosition(r.Endpoints),
+		OmitLoads:         r.Brief,
+		WantLevels:        r.WantLevels,
+		Fetches:           r.Fetches,
 
-		Crashes:     quarantinepb.Decode(r.Crashes),
-		CrashesHave: quarantinepb.DecodePosition(r.CrashesHave),
+		Crashes:         quarantinepb.Decode(r.Crashes),
+		CrashesPosition: quarantinepb.DecodePosition(r.CrashesHave),
 
-		Rollouts:    decodeReports(r.Rollouts),
-		RolloutNews: decodeNews(r.RolloutNews),
+		Rollouts:      decodeRolloutReports(r.Rollouts),
+		RolloutUpdate: decodeRolloutUpdate(r.RolloutNews),
 
-		Seq:   r.Seq,
-		Spare: r.Spare,
-		Hub:   r.Hub,
+		Seq:    r.Seq,
+		Backup: r.Spare,
+		IsHub:  r.Hub,
 
-		Members: decodePosition(r.Members),
-		Unpacks: r.Unpacks,
+		MembersPosition:   decodePosition(r.Members),
+		AcceptsCompressed: r.Unpacks,
 	}
 	if r.Self != nil {
 		self := decodeMember(r.Self)
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, w := range r.Windows {
-		begun := make(Begun, len(w.Begun))
+		begun := make(RequestCounts, len(w.Begun))
 		for _, a := range w.Begun {
 			begun[fleet.WorkspaceID(a.Name)] = uint64(a.Amount)
 		}
@@ -111,64 +111,64 @@
 }
 
 // encodeRelayed leaves out what only the sender's own hub needs.
-func encodeRelayed(r *Relayed) *exchangepb.Report {
-	out := encodePart(&r.Part)
-	out.AgeMs, out.Changes = r.Age.Milliseconds(), r.Changes
+func encodeRelayed(r *RelayedReport) *exchangepb.Report {
+	out := encodeReport(&r.Report)
+	out.AgeMs, out.Changes = r.Age.Milliseconds(), r.ChangedOnly
 	out.Endpoints, out.CrashesHave, out.RolloutNews, out.Holder = nil, nil, nil, nil
 	out.Self, out.Members = nil, nil
 	return out
 }
 
-func decodeRelayed(r *exchangepb.Report) Relayed {
-	return Relayed{Part: decodePart(r), Age: time.Duration(r.AgeMs) * time.Millisecond, Changes: r.Changes}
+func decodeRelayed(r *exchangepb.Report) RelayedReport {
+	return RelayedReport{Report: decodeReport(r), Age: time.Duration(r.AgeMs) * time.Millisecond, ChangedOnly: r.Changes}
 }
 
-func encodeSum(s *Sum) *exchangepb.Totals {
+func encodeReply(s *Reply) *exchangepb.Totals {
 	out := &exchangepb.Totals{
-		Spent:         encodeSpent(s.Soft.Spent),
+		Spent:         encodeAmounts(s.Soft.Spent),
 		Recent:        s.Soft.JustStarted,
-		ConfigVersion: s.Version,
-		Config:        s.Text,
+		ConfigVersion: s.ConfigVersion,
+		Config:        s.Config,
 		Holder:        encodeHolder(s.Holder),
-		Endpoints:     encodeList(&s.Endpoints, s.Packed),
-		FreshMs:       s.Fresh.Milliseconds(),
-		Levels:        encodeSpent(s.Soft.Levels),
+		Endpoints:     encodeList(&s.Endpoints, s.Compress),
+		FreshMs:       s.StoreAge.Milliseconds(),
+		Levels:        encodeAmounts(s.Soft.Levels),
 
-		ConfigRevision: s.VersionAt,
+		ConfigRevision: s.ConfigRevision,
 
 		Crashes:   quarantinepb.Encode(s.Crashes),
-		CrashesTo: quarantinepb.EncodePosition(s.CrashesTo),
-		Rollouts:  encodeNews(&s.Rollouts),
-		Members:   encodeList(&s.Members, s.Packed),
+		CrashesTo: quarantinepb.EncodePosition(s.CrashesPosition),
+		Rollouts:  encodeRolloutUpdate(&s.RolloutUpdate),
+		Members:   encodeList(&s.Members, s.Compress),
 	}
 	if s.Loads != nil {
-		out.Loads, out.OwnLoads = s.Loads.packed, packLoads(s.Loads.Own)
+		out.Loads, out.OwnLoads = s.Loads.encoded, encodeLoads(s.Loads.Own)
 	}
-	if !s.True.IsZero() {
-		out.TrueMs = s.True.UnixMilli()
+	if !s.FleetTime.IsZero() {
+		out.TrueMs = s.FleetTime.UnixMilli()
 	}
 	return out
 }
 
-func decodeSum(t *exchangepb.Totals) Sum {
-	s := Sum{
-		Version:   t.ConfigVersion,
-		Text:      t.Config,
-		VersionAt: t.ConfigRevision,
-		Soft:      relay.SoftState{Spent: decodeSpent(t.Spent), JustStarted: t.Recent, Levels: decodeSpent(t.Levels)},
-		Holder:    decodeHolder(t.Holder),
-		Endpoints: decodeList(t.Endpoints),
-		Fresh:     time.Duration(t.FreshMs) * time.Millisecond,
-		Crashes:   quarantinepb.Decode(t.Crashes),
-		CrashesTo: quarantinepb.DecodePosition(t.CrashesTo),
-		Rollouts:  decodeNews(t.Rollouts),
-		Members:   decodeList(t.Members),
+func decodeReply(t *exchangepb.Totals) Reply {
+	s := Reply{
+		ConfigVersion:   t.ConfigVersion,
+		Config:          t.Config,
+		ConfigRevision:  t.ConfigRevision,
+		Soft:            relay.SoftState{Spent: decodeAmounts(t.Spent), JustStarted: t.Recent, Levels: decodeAmounts(t.Levels)},
+		Holder:          decodeHolder(t.Holder),
+		Endpoints:       decodeList(t.Endpoints),
+		StoreAge:        time.Duration(t.FreshMs) * time.Millisecond,
+		Crashes:         quarantinepb.Decode(t.Crashes),
+		CrashesPosition: quarantinepb.DecodePosition(t.CrashesTo),
+		RolloutUpdate:   decodeRolloutUpdate(t.Rollouts),
+		Members:         decodeList(t.Members),
 	}
 	if t.Loads != nil {
-		s.Loads = &Loads{All: unpackLoads(t.Loads), Own: unpackLoads(t.OwnLoads)}
+		s.Loads = &Loads{All: decodeLoads(t.Loads), Own: decodeLoads(t.OwnLoads)}
 	}
 	if t.TrueMs != 0 {
-		s.True = time.UnixMilli(t.TrueMs)
+		s.FleetTime = time.UnixMilli(t.TrueMs)
 	}
 	return s
 }
@@ -229,7 +229,7 @@
 	return Holder{Daemon: fleet.DaemonID(h.GetDaemon()), Token: h.GetToken()}
 }
 
-func encodeSpent(m map[fleet.WorkspaceID]float64) []*exchangepb.Amount {
+func encodeAmounts(m map[fleet.WorkspaceID]float64) []*exchangepb.Amount {
 	out := make([]*exchangepb.Amount, 0, len(m))
 	for name, v := range m {
 		out = append(out, &exchangepb.Amount{Name: string(name), Amount: v})
@@ -237,7 +237,7 @@
 	return out
 }
 
-func decodeSpent(all []*exchangepb.Amount) map[fleet.WorkspaceID]float64 {
+func decodeAmounts(all []*exchangepb.Amount) map[fleet.WorkspaceID]float64 {
 	out := make(map[fleet.WorkspaceID]float64, len(all))
 	for _, a := range all {
 		out[fleet.WorkspaceID(a.Name)] = a.Amount
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -23,53 +23,53 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// pieceInTest is the length of a piece that begins a patch.
-const pieceInTest = 64 << 10
+// pieceBytes is the length of a piece that begins a patch.
+const pieceBytes = 64 << 10
 
-// large answers with as much as there may be.
-type large struct{}
+// largeHandler answers with as much as there may be.
+type largeHandler struct{}
 
-func (large) Tell(Part) Sum {
-	return Sum{Endpoints: feed.Update{Items: []feed.Item{{Spec: make([]byte, pieceInTest)}}}}
+func (largeHandler) Report(Report) Reply {
+	return Reply{Endpoints: feed.Update{Items: []feed.Item{{Spec: make([]byte, pieceBytes)}}}}
 }
 
-func (large) Fetch(w spread.Want) (spread.Piece, error) {
-	return spread.Piece{Version: w.Version, Size: pieceInTest, Data: make([]byte, pieceInTest)}, nil
+func (largeHandler) Fetch(w spread.Want) (spread.Piece, error) {
+	return spread.Piece{Version: w.Version, Size: pieceBytes, Data: make([]byte, pieceBytes)}, nil
 }
 
 // serveOne serves calls of a large answerer on one connection.
 func serveOne(ctx context.Context, conn net.Conn) error {
 	mux := drpcmux.New()
-	if err := exchangepb.DRPCRegisterExchange(mux, &server{answerer: large{}}); err != nil {
+	if err := exchangepb.DRPCRegisterExchange(mux, &server{handler: largeHandler{}}); err != nil {
 		return err
 	}
 	return drpcserver.New(mux).ServeOne(ctx, conn)
 }
 
-// answerer answers with what it was asked.
-type answerer struct{}
+// echoHandler answers with what it was asked.
+type echoHandler struct{}
 
-func (answerer) Tell(p Part) Sum {
-	return Sum{Version: p.Version + 1, Holder: Holder{Daemon: p.Daemon, Token: 3}}
+func (echoHandler) Report(p Report) Reply {
+	return Reply{ConfigVersion: p.ConfigVersion + 1, Holder: Holder{Daemon: p.Daemon, Token: 3}}
 }
 
-func (answerer) Fetch(w spread.Want) (spread.Piece, error) {
+func (echoHandler) Fetch(w spread.Want) (spread.Piece, error) {
 	return spread.Piece{Version: w.Version, Base: w.Have, Size: 100, Offset: w.Offset, Data: []byte("rest")}, nil
 }
 
-func TestTellOverTheWire(t *testing.T) {
+func TestReportAndFetchOverTCP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() {
-		served <- Serve(ctx, l, answerer{})
+		served <- Serve(ctx, l, echoHandler{})
 	}()
 	c := NewClient()
 	for range 3 {
-		sum, err := c.Tell(t.Context(), l.Addr().String(), &Part{Daemon: "a", Version: 4})
+		sum, err := c.Report(t.Context(), l.Addr().String(), &Report{Daemon: "a", ConfigVersion: 4})
 		assert.NilError(t, err)
-		assert.Equal(t, sum.Version, uint64(5))
+		assert.Equal(t, sum.ConfigVersion, uint64(5))
 		assert.Equal(t, sum.Holder.Daemon, fleet.DaemonID("a"))
 	}
 	assert.Equal(t, len(c.conns), 1)
@@ -77,9 +77,9 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, piece, spread.Piece{Version: 4, Base: 3, Size: 100, Offset: 70, Data: []byte("rest")})
 	assert.Equal(t, len(c.conns), 2)
-	c.Keep(nil) // a fetch isn't cut by the next round of reports
+	c.KeepOnly(nil) // a fetch isn't cut by the next round of reports
 	assert.Equal(t, len(c.conns), 1)
-	c.EndFetches()
+	c.CloseFetches()
 	assert.Equal(t, len(c.conns), 0)
 	cancel()
 	<-served
@@ -87,41 +87,41 @@
 
 // A hub takes calls and never answers. A report must end in time, and its
 // connection must not be used again.
-func TestSilentHubIsGivenUp(t *testing.T) {
+func TestCallToUnresponsiveHubTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
 	c := NewClient()
-	_, err = c.Tell(t.Context(), l.Addr().String(), &Part{Daemon: "a"})
+	_, err = c.Report(t.Context(), l.Addr().String(), &Report{Daemon: "a"})
 	assert.Assert(t, err != nil)
 	assert.Equal(t, len(c.conns), 0)
 }
 
-// behindPipe returns a client of a server whose bytes come slowly, in packets.
-func behindPipe(t *testing.T, packet int, pause time.Duration) *Client {
+// newSlowClient returns a client of a server whose bytes come slowly, in packets.
+func newSlowClient(t *testing.T, packet int, pause time.Duration) *Client {
 	client, server := net.Pipe()
 	served := make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { served <- serveOne(ctx, server) }()
 	c := NewClient()
-	c.Dial = func(context.Context, string) (net.Conn, error) { return &slow{client, packet, pause}, nil }
+	c.Dial = func(context.Context, string) (net.Conn, error) { return &slowConn{client, packet, pause}, nil }
 	t.Cleanup(func() {
-		c.EndFetches()
-		c.Keep(nil)
+		c.CloseFetches()
+		c.KeepOnly(nil)
 		cancel()
 		<-served
 	})
 	return c
 }
 
-// slow is a connection on which a packet comes at each pause.
-type slow struct {
+// slowConn is a connection on which a packet comes at each pause.
+type slowConn struct {
 	net.Conn
 	packet int
 	pause  time.Duration
 }
 
-func (s *slow) Read(p []byte) (int, error) {
+func (s *slowConn) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p[:min(len(p), s.packet)])
 	time.Sleep(s.pause)
 	return n, err
@@ -130,30 +130,30 @@
 // A piece comes over a link that is full of other traffic, and takes 1.3 s. Cut
 // by its length it would be asked for again for ever, and the daemon's routes
 // would stay old ones. The same holds for a long list in the answer to a report.
-func TestAnswerThatComesSlowlyIsNotCut(t *testing.T) {
+func TestSlowReplyIsNotCutOffWhileItProgresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := behindPipe(t, 4<<10, 80*time.Millisecond)
+		c := newSlowClient(t, 4<<10, 80*time.Millisecond)
 		piece, err := c.Fetch(t.Context(), "a", spread.Want{Version: 4})
 		assert.NilError(t, err)
-		assert.Equal(t, len(piece.Data), pieceInTest)
+		assert.Equal(t, len(piece.Data), pieceBytes)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		c := behindPipe(t, 4<<10, 80*time.Millisecond)
-		sum, err := c.Tell(t.Context(), "a", &Part{Daemon: "a"})
+		c := newSlowClient(t, 4<<10, 80*time.Millisecond)
+		sum, err := c.Report(t.Context(), "a", &Report{Daemon: "a"})
 		assert.NilError(t, err)
-		assert.Equal(t, len(sum.Endpoints.Items[0].Spec), pieceInTest)
+		assert.Equal(t, len(sum.Endpoints.Items[0].Spec), pieceBytes)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		c := behindPipe(t, 1<<10, 300*time.Millisecond) // it drips
+		c := newSlowClient(t, 1<<10, 300*time.Millisecond) // it drips
 		began := time.Now()
-		_, err := c.Tell(t.Context(), "a", &Part{Daemon: "a"})
+		_, err := c.Report(t.Context(), "a", &Report{Daemon: "a"})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Assert(t, time.Since(began) < 12*Prompt, time.Since(began))
+		assert.Assert(t, time.Since(began) < 12*ReplyTimeout, time.Since(began))
 	})
 }
 
 // Guards against a list that never arrives, since its hub takes longer to make it than a call waits.
-func TestHubThatIsLateIsWaitedForLonger(t *testing.T) {
+func TestWaitForFirstByteDoublesAfterATimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -161,44 +161,44 @@
 		c.Dial = func(context.Context, string) (net.Conn, error) {
 			client, server := net.Pipe()
 			served.Go(func() { _ = serveOne(ctx, server) })
-			return &late{client, time.Second}, nil
+			return &lateConn{client, time.Second}, nil
 		}
 		calls := 1
 		for ; ; calls++ {
-			if _, err := c.Tell(t.Context(), "a", &Part{Daemon: "a"}); err == nil {
+			if _, err := c.Report(t.Context(), "a", &Report{Daemon: "a"}); err == nil {
 				break
 			}
 			assert.Assert(t, calls < 4, "no answer in %d calls", calls)
 		}
 		assert.Equal(t, calls, 3) // 0.4, 0.8 and 1.6 s
-		assert.Equal(t, c.bounds(route{address: "a"}), bounds)
-		c.Keep(nil)
+		assert.Equal(t, c.boundsFor(connKey{address: "a"}), defaultBounds)
+		c.KeepOnly(nil)
 		cancel()
 		served.Wait()
 	})
 }
 
-// late is a connection on which nothing comes for a while.
-type late struct {
+// lateConn is a connection on which nothing comes for a while.
+type lateConn struct {
 	net.Conn
 	after time.Duration
 }
 
-func (l *late) Read(p []byte) (int, error) {
+func (l *lateConn) Read(p []byte) (int, error) {
 	time.Sleep(l.after)
 	l.after = 0
 	return l.Conn.Read(p)
 }
 
-// fleetPart is a daemon's part in a fleet of the size that the users plan for.
-func fleetPart(i int) Part {
-	p := Part{
-		Daemon: fleet.DaemonID(fmt.Sprintf("5-%036d", i)), Wall: start,
+// fleetReport is a daemon's part in a fleet of the size that the users plan for.
+func fleetReport(i int) Report {
+	p := Report{
+		Daemon: fleet.DaemonID(fmt.Sprintf("5-%036d", i)), WallTime: start,
 		Soft: relay.SoftState{
 			Spent: map[fleet.WorkspaceID]float64{}, Load: balance.Loads{},
 			Work: map[string]relay.Work{"engines": {Requests: 1}, "services": {Requests: 1}},
 		},
-		Windows: map[uint64]Begun{},
+		Windows: map[uint64]RequestCounts{},
 	}
 	for w := range 16 {
 		p.Soft.Spent[fleet.WorkspaceID(fmt.Sprint("workspace", w))] = 1e6
@@ -206,32 +206,32 @@
 	for e := range 24 {
 		p.Soft.Load[rendezvous.ShortOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, PendingPrefill: 800}
 	}
-	for w := range uint64(toldInBench) {
-		p.Windows[w] = Begun{"workspace1": 3, "workspace2": 5}
+	for w := range uint64(benchWindows) {
+		p.Windows[w] = RequestCounts{"workspace1": 3, "workspace2": 5}
 	}
 	return p
 }
 
-// toldInBench is the usage windows in a part.
-const toldInBench = 4
+// benchWindows is the usage windows in a part.
+const benchWindows = 4
 
 // BenchmarkHub is one report at a hub of a fleet, with its encoding.
 func BenchmarkHub(b *testing.B) {
 	for _, n := range []int{9, 63, 340} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			h := NewHub(reports)
+			h := NewHub(reportInterval)
 			for i := range n {
-				h.Take(start, 0, fleetPart(i))
+				h.Add(start, 0, fleetReport(i))
 			}
-			p := fleetPart(0)
-			report := encodePart(&p)
+			p := fleetReport(0)
+			report := encodeReport(&p)
 			b.ReportAllocs()
 			bytes := 0
 			for b.Loop() {
-				part := decodePart(report)
-				h.Take(start, time.Second, part)
-				sum := Sum{Soft: relay.SoftState{Spent: h.Spent(start, part.Daemon)}, Loads: h.Loads(start, part.Daemon)}
-				bytes = sizeOf(encodeSum(&sum))
+				part := decodeReport(report)
+				h.Add(start, time.Second, part)
+				sum := Reply{Soft: relay.SoftState{Spent: h.Spent(start, part.Daemon)}, Loads: h.Loads(start, part.Daemon)}
+				bytes = sizeOf(encodeReply(&sum))
 			}
 			b.ReportMetric(float64(sizeOf(report)), "B/report")
 			b.ReportMetric(float64(bytes), "B/sum")
--- a/internal/exchange/groups.go
+++ b/internal/exchange/groups.go
@@ -8,13 +8,13 @@
 	HubCount = 2
 	// GroupSize is the daemons that two hubs serve at largeInterval. A larger fleet
 	// has hubs in each data centre, which relay to each other what they are told.
-	GroupSize = int(largeInterval / perDaemon)
+	GroupSize = int(largeInterval / normalPerDaemon)
 	// RelayInterval is the time between two relays of a hub: with two urgent reports
 	// it is how late a daemon of a fleet of any size hears of another's spending.
 	RelayInterval = 100 * time.Millisecond
-	// SpareEvery is every how manieth of its reports goes to the hub that doesn't relay
+	// BackupEvery is every how manieth of its reports goes to the hub that doesn't relay
 	// it, too: that one hears of it by the relays.
-	SpareEvery = 3
+	BackupEvery = 3
 	// meshPerDaemon bounds the reports that come to a hub that relays at 200 a second: a
 	// daemon of a thousand serves about one request between two of them.
 	meshPerDaemon = 5 * time.Millisecond
@@ -31,7 +31,7 @@
 // MeshStartInterval is the time between two reports of a daemon that has just started,
 // of so many that report to its hub.
 func MeshStartInterval(daemons int) time.Duration {
-	return max(firstInterval, time.Duration(daemons)*startPerDaemon)
+	return max(startInterval, time.Duration(daemons)*startPerDaemon)
 }
 
 // Meshed reports whether a fleet has hubs in each data centre.
--- a/internal/exchange/hub_test.go
+++ b/internal/exchange/hub_test.go
@@ -17,176 +17,176 @@
 
 var start = time.Unix(1000, 0)
 
-// reports is the interval of the reports that the hubs of these tests are told at.
-const reports = 400 * time.Millisecond
+// reportInterval is the interval of the reportInterval that the hubs of these tests are told at.
+const reportInterval = 400 * time.Millisecond
 
-// anEndpoint is the endpoint at which all parts have requests.
-var anEndpoint = rendezvous.ShortOf("e")
+// testEndpoint is the endpoint at which all parts have requests.
+var testEndpoint = rendezvous.ShortOf("e")
 
-func part(id fleet.DaemonID, spent float64, requests int, begun uint64) Part {
-	return Part{
+func newReport(id fleet.DaemonID, spent float64, requests int, begun uint64) Report {
+	return Report{
 		Daemon: id,
 		Soft: relay.SoftState{
 			Spent: map[fleet.WorkspaceID]float64{"w": spent},
-			Load:  balance.Loads{anEndpoint: {Requests: requests}},
+			Load:  balance.Loads{testEndpoint: {Requests: requests}},
 		},
-		Windows: map[uint64]Begun{7: {"w": begun}},
-		Wall:    start,
+		Windows:  map[uint64]RequestCounts{7: {"w": begun}},
+		WallTime: start,
 	}
 }
 
 // A daemon dies with requests under way. Its load must go, but what it had let
 // in still counts against the limit and what began there is still reported.
-func TestDeadDaemonsLoadGoesItsTotalsStay(t *testing.T) {
-	h := NewHub(reports)
-	h.Take(start, 0, part("a", 10, 1, 3))
-	h.Take(start, 0, part("b", 20, 2, 4))
-	later := start.Add(leastSilence + time.Millisecond)
-	h.Take(later, 0, part("a", 11, 1, 3))
-	b := part("b", 50, 2, 4)
-	h.Take(start, 0, b)
+func TestDeadDaemonsLoadExpiresAndItsTotalsStay(t *testing.T) {
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("a", 10, 1, 3))
+	h.Add(start, 0, newReport("b", 20, 2, 4))
+	later := start.Add(minStaleAfter + time.Millisecond)
+	h.Add(later, 0, newReport("a", 11, 1, 3))
+	b := newReport("b", 50, 2, 4)
+	h.Add(start, 0, b)
 	assert.Equal(t, h.Spent(later, "a")["w"], 30.0)
-	assert.Equal(t, h.Loads(later, "a").Others()[anEndpoint].Requests, 0)
-	assert.Equal(t, h.Begun(7)["w"], uint64(7))
-	h.Take(start.Add(time.Minute), 0, part("a", 12, 1, 3))
+	assert.Equal(t, h.Loads(later, "a").Others()[testEndpoint].Requests, 0)
+	assert.Equal(t, h.RequestCounts(7)["w"], uint64(7))
+	h.Add(start.Add(time.Minute), 0, newReport("a", 12, 1, 3))
 	assert.Equal(t, h.Spent(start.Add(time.Minute), "a")["w"], 30.0)
 }
 
 // A third of the machines' clocks jump. Were the fleet's time their mean, the
 // windows of usage would be cut at the wrong moment.
-func TestStepsOfAFewClocksDoNotMoveTheTime(t *testing.T) {
-	h := NewHub(reports)
+func TestStepsOfAFewClocksDoNotMoveFleetTime(t *testing.T) {
+	h := NewHub(reportInterval)
 	for i, step := range []time.Duration{0, 0, 0, 0, 2400 * time.Millisecond, -2400 * time.Millisecond} {
-		p := part(fleet.DaemonID(rune('a'+i)), 0, 0, 0)
-		p.Wall = start.Add(step)
-		h.Take(start, 100, p)
+		p := newReport(fleet.DaemonID(rune('a'+i)), 0, 0, 0)
+		p.WallTime = start.Add(step)
+		h.Add(start, 100, p)
 	}
 	skew, ok := h.Skew(start)
 	assert.Assert(t, ok)
 	assert.Equal(t, skew, time.Duration(start.UnixNano())-100)
 }
 
-func TestPartsAndSumsSurviveTheWay(t *testing.T) {
-	p := part("a", 1.5, 2, 3)
+func TestReportsAndRepliesRoundTrip(t *testing.T) {
+	p := newReport("a", 1.5, 2, 3)
 	p.Holder = Holder{Daemon: "b", Token: 6}
-	p.Version = 4
+	p.ConfigVersion = 4
 	p.Soft.Work = map[string]relay.Work{"s": {Requests: 1, Refused: 2, SlotSeconds: 2.5, Prefill: 7}}
-	p.Endpoints, p.Brief, p.WantLevels, p.Fetches = feed.Position{Epoch: 8, Seq: 9, Revision: 4}, true, true, true
+	p.EndpointsPosition, p.OmitLoads, p.WantLevels, p.Fetches = feed.Position{Epoch: 8, Seq: 9, Revision: 4}, true, true, true
 	p.Rollouts = []rollout.Report{{
 		Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Asked: 3, Exposed: 1, Running: 2, Moved: true,
 		Rows: []rollout.Row{{Route: "r", Endpoint: "e", Counts: rollout.Counts{Failed: 1}}},
 	}}
-	p.RolloutNews = rollout.Update{
+	p.RolloutUpdate = rollout.Update{
 		Rank: rollout.Rank{Token: 4, Seq: 2}, Age: 30 * time.Millisecond, OrdersAge: 40 * time.Millisecond,
 		Splits: []rollout.Split{{
 			Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Phase: rollout.Moving, Share: 0.25,
 			Routes: map[string]float64{"r": 1}, Spread: 4, Rotation: 9,
 		}},
 	}
-	assert.DeepEqual(t, decodePart(encodePart(&p)), p)
-	s := Sum{Version: 4, Text: []byte("text"), VersionAt: 77, Soft: relay.SoftState{Spent: p.Soft.Spent, Levels: p.Soft.Spent}, True: start, Holder: Holder{Daemon: "a", Token: 7}}
-	s.Fresh, s.Rollouts = 300*time.Millisecond, p.RolloutNews
+	assert.DeepEqual(t, decodeReport(encodeReport(&p)), p)
+	s := Reply{ConfigVersion: 4, Config: []byte("text"), ConfigRevision: 77, Soft: relay.SoftState{Spent: p.Soft.Spent, Levels: p.Soft.Spent}, FleetTime: start, Holder: Holder{Daemon: "a", Token: 7}}
+	s.StoreAge, s.RolloutUpdate = 300*time.Millisecond, p.RolloutUpdate
 	s.Endpoints = feed.Update{
 		To: feed.Position{Epoch: 1, Seq: 2, Revision: 6}, Full: true, Keys: []rendezvous.Short{7, 8},
 		Items: []feed.Item{{Name: "e", Spec: []byte("{}"), Revision: 5}}, Removed: []string{"f"},
 	}
-	assert.DeepEqual(t, decodeSum(encodeSum(&s)), s)
+	assert.DeepEqual(t, decodeReply(encodeReply(&s)), s)
 }
 
 // A hub starts anew and hears one daemon after the other, each with all that
 // it has let in since its own start. Counted as spent just now, a whole day's
 // spending would be taken from the workspaces' limits at once, and everything
 // would be refused for as long as the limit takes to fill up again.
-func TestNewHubCountsWhatIsSpentSinceItHears(t *testing.T) {
-	h := NewHub(reports)
-	h.Take(start, 0, part("a", 0, 0, 0))
-	h.Take(start, 0, part("b", 1_000_000, 0, 0))
+func TestNewHubCountsSpendingFromTheFirstReport(t *testing.T) {
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("a", 0, 0, 0))
+	h.Add(start, 0, newReport("b", 1_000_000, 0, 0))
 	before := h.Spent(start, "a")["w"]
-	h.Take(start, 0, part("c", 2_000_000, 0, 0))
-	h.Take(start, 0, part("b", 1_000_010, 0, 0))
-	assert.Equal(t, h.Spent(start.Add(2*sumAge), "a")["w"]-before, 10.0)
+	h.Add(start, 0, newReport("c", 2_000_000, 0, 0))
+	h.Add(start, 0, newReport("b", 1_000_010, 0, 0))
+	assert.Equal(t, h.Spent(start.Add(2*maxCacheAge), "a")["w"]-before, 10.0)
 }
 
 // A daemon was told everything in the fleet's first second, before all knew
 // who the hubs are, and becomes a hub half a minute later. What was spent in
 // between would come as one jump.
-func TestHubThatHeardNothingForAWhile(t *testing.T) {
-	h := NewHub(reports)
-	h.Take(start, 0, part("a", 0, 0, 0))
-	h.Take(start, 0, part("b", 10, 0, 0))
+func TestSpendingInALongGapIsNotCounted(t *testing.T) {
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("a", 0, 0, 0))
+	h.Add(start, 0, newReport("b", 10, 0, 0))
 	before := h.Spent(start, "a")["w"]
 	later := start.Add(30 * time.Second)
-	h.Take(later, 0, part("b", 1_000_000, 0, 0))
-	h.Take(later, 0, part("b", 1_000_010, 0, 0))
-	assert.Equal(t, h.Spent(later.Add(2*sumAge), "a")["w"]-before, 10.0)
+	h.Add(later, 0, newReport("b", 1_000_000, 0, 0))
+	h.Add(later, 0, newReport("b", 1_000_010, 0, 0))
+	assert.Equal(t, h.Spent(later.Add(2*maxCacheAge), "a")["w"]-before, 10.0)
 }
 
 // All daemons are killed at once. The next holder reads what the last one wrote
 // down a second before, and adds what began since. A daemon that did live counts
 // once, and what it had let in before isn't taken for spent just now.
-func TestCountsOutliveTheWholeFleet(t *testing.T) {
-	old := NewHub(reports)
-	old.Take(start, 0, part("a", 10, 1, 3))
-	old.Take(start, 0, part("lives", 500, 1, 4))
+func TestRequestCountsSurviveLossOfTheWholeFleet(t *testing.T) {
+	old := NewHub(reportInterval)
+	old.Add(start, 0, newReport("a", 10, 1, 3))
+	old.Add(start, 0, newReport("lives", 500, 1, 4))
 	c := old.Checkpoint(7)
 	assert.Equal(t, len(old.Checkpoint(8)), 0)
-	h := NewHub(reports)
-	h.Take(start, 0, part("new", 0, 1, 2))
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("new", 0, 1, 2))
 	h.Restore(start, c)
-	assert.Equal(t, h.Begun(7)["w"], uint64(2+3+4))
+	assert.Equal(t, h.RequestCounts(7)["w"], uint64(2+3+4))
 	before := h.Spent(start, "new")["w"]
-	h.Take(start, 0, part("lives", 500, 1, 5))
-	later := start.Add(2 * sumAge)
-	assert.Equal(t, h.Begun(7)["w"], uint64(2+3+5))
+	h.Add(start, 0, newReport("lives", 500, 1, 5))
+	later := start.Add(2 * maxCacheAge)
+	assert.Equal(t, h.RequestCounts(7)["w"], uint64(2+3+5))
 	assert.Equal(t, h.Spent(later, "new")["w"], before)
-	assert.Equal(t, h.Loads(later, "new").Others()[anEndpoint].Requests, 1)
+	assert.Equal(t, h.Loads(later, "new").Others()[testEndpoint].Requests, 1)
 }
 
 // A daemon is cut off from its hub for three seconds and lets in meanwhile what
 // its own share allows. Were all of that told as spent by the others, they would
 // refuse for it once more, though they had left room for it.
-func TestSpentInASilenceCountsInPart(t *testing.T) {
-	h := NewHub(reports)
-	h.Take(start, 0, part("a", 0, 0, 0))
-	h.Take(start, 0, part("b", 10, 0, 0))
+func TestSpendingInAShortGapCountsInPart(t *testing.T) {
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("a", 0, 0, 0))
+	h.Add(start, 0, newReport("b", 10, 0, 0))
 	before := h.Spent(start, "a")["w"]
 	later := start.Add(3 * time.Second)
-	h.Take(later, 0, part("b", 1010, 0, 0))
+	h.Add(later, 0, newReport("b", 1010, 0, 0))
 	// An interval and a half and a quarter of a second, of the three seconds.
 	const counted = 1000 * 0.85 / 3
 	assert.Assert(t, math.Abs(h.Spent(later, "a")["w"]-before-counted) < 1e-6)
-	h.Take(later.Add(time.Millisecond), 0, part("b", 1020, 0, 0))
-	assert.Assert(t, math.Abs(h.Spent(later.Add(2*sumAge), "a")["w"]-before-counted-10) < 1e-6)
+	h.Add(later.Add(time.Millisecond), 0, newReport("b", 1020, 0, 0))
+	assert.Assert(t, math.Abs(h.Spent(later.Add(2*maxCacheAge), "a")["w"]-before-counted-10) < 1e-6)
 }
 
 // A daemon of a large fleet reports as seldom as that fleet does. Were it taken to
 // be gone between two of its reports, the others would send to endpoints that it
 // has filled, and limits would count only a part of what it lets in.
-func TestLivingDaemonCountsBetweenItsReportsAtAnySize(t *testing.T) {
+func TestDaemonStaysLiveBetweenReportsAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range []int{6, 80, 195, 340, 1000} {
-		interval := CalmInterval(daemons)
+		interval := NormalInterval(daemons)
 		h := NewHub(interval)
-		h.Take(start, 0, part("a", 0, 1, 0))
-		h.Take(start, 0, part("b", 0, 1, 0))
+		h.Add(start, 0, newReport("a", 0, 1, 0))
+		h.Add(start, 0, newReport("b", 0, 1, 0))
 		h.Spent(start, "a")
 		late := start.Add(interval*3/2 + 200*time.Millisecond)
-		assert.Equal(t, h.Loads(late, "a").Others()[anEndpoint].Requests, 1, "%d daemons", daemons)
+		assert.Equal(t, h.Loads(late, "a").Others()[testEndpoint].Requests, 1, "%d daemons", daemons)
 		_, ok := h.Skew(late)
 		assert.Assert(t, ok, "%d daemons", daemons)
-		h.Take(late, 0, part("b", 500, 1, 0))
-		assert.Equal(t, h.Spent(late.Add(2*sumAge), "a")["w"], 500.0, "%d daemons", daemons)
+		h.Add(late, 0, newReport("b", 500, 1, 0))
+		assert.Equal(t, h.Spent(late.Add(2*maxCacheAge), "a")["w"], 500.0, "%d daemons", daemons)
 	}
 }
 
 // The windows of usage are told less often than the rest. A report without them
 // must not take back what was counted: usage would be reported too low.
-func TestReportWithoutWindowsLeavesThemAsTheyWere(t *testing.T) {
-	h := NewHub(reports)
-	h.Take(start, 0, part("a", 10, 1, 3))
-	brief := part("a", 20, 1, 0)
+func TestReportWithoutWindowsKeepsThePreviousOnes(t *testing.T) {
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("a", 10, 1, 3))
+	brief := newReport("a", 20, 1, 0)
 	brief.Windows = nil
-	h.Take(start.Add(reports), 0, brief)
-	assert.Equal(t, h.Begun(7)["w"], uint64(3))
-	h.Take(start.Add(2*reports), 0, part("a", 30, 1, 5))
-	assert.Equal(t, h.Begun(7)["w"], uint64(5))
+	h.Add(start.Add(reportInterval), 0, brief)
+	assert.Equal(t, h.RequestCounts(7)["w"], uint64(3))
+	h.Add(start.Add(2*reportInterval), 0, newReport("a", 30, 1, 5))
+	assert.Equal(t, h.RequestCounts(7)["w"], uint64(5))
 }
--- a/internal/exchange/interval.go
+++ b/internal/exchange/interval.go
@@ -14,31 +14,31 @@
 	// largeInterval is that of a fleet above SmallFleet, where each daemon lets
 	// in less meanwhile.
 	largeInterval = 400 * time.Millisecond
-	// firstInterval is that of a daemon that has just started: until it is told
+	// startInterval is that of a daemon that has just started: until it is told
 	// something it lets in little.
-	firstInterval = 80 * time.Millisecond
-	// perDaemon bounds the reports that come to a hub at 670 a second.
-	perDaemon = 1500 * time.Microsecond
+	startInterval = 80 * time.Millisecond
+	// normalPerDaemon bounds the reports that come to a hub at 670 a second.
+	normalPerDaemon = 1500 * time.Microsecond
 	// urgentPerDaemon bounds them at 1,000 a second while a limit is short.
 	urgentPerDaemon = time.Millisecond
 )
 
-// CalmInterval is the time between two reports of a daemon, where so many daemons
+// NormalInterval is the time between two reports of a daemon, where so many daemons
 // report to its hub.
-func CalmInterval(daemons int) time.Duration {
+func NormalInterval(daemons int) time.Duration {
 	if daemons <= SmallFleet {
 		return smallInterval
 	}
-	return max(largeInterval, time.Duration(daemons)*perDaemon)
+	return max(largeInterval, time.Duration(daemons)*normalPerDaemon)
 }
 
 // UrgentInterval is that of a daemon that sees a workspace's limit run short: the
 // daemons have to hear of each other's spending before the limit is used up.
 func UrgentInterval(daemons int) time.Duration {
-	return min(CalmInterval(daemons), max(smallInterval, time.Duration(daemons)*urgentPerDaemon))
+	return min(NormalInterval(daemons), max(smallInterval, time.Duration(daemons)*urgentPerDaemon))
 }
 
 // StartInterval is that of a daemon that has just started.
 func StartInterval(daemons int) time.Duration {
-	return max(firstInterval, time.Duration(daemons)*perDaemon)
+	return max(startInterval, time.Duration(daemons)*normalPerDaemon)
 }
--- a/internal/exchange/loads.go
+++ b/internal/exchange/loads.go
@@ -15,7 +15,7 @@
 	All balance.Loads // shared, not to be changed
 	Own balance.Loads // likewise
 
-	packed *exchangepb.Loads // All, encoded, where a hub made it
+	encoded *exchangepb.Loads // All, encoded, where a hub made it
 }
 
 // Others returns all loads but the daemon's own.
@@ -34,28 +34,28 @@
 	return out
 }
 
-// unreadUnit is the prompt tokens that one unit of a told load stands for: a
+// prefillUnit is the prompt tokens that one unit of a told load stands for: a
 // millisecond or two of an engine's reading.
-const unreadUnit = 64
+const prefillUnit = 64
 
-func packLoads(m balance.Loads) *exchangepb.Loads {
+func encodeLoads(m balance.Loads) *exchangepb.Loads {
 	out := &exchangepb.Loads{
 		Endpoints: make([]uint32, 0, len(m)), Requests: make([]uint32, 0, len(m)), Unread: make([]uint32, 0, len(m)),
 	}
 	for key, l := range m {
 		out.Endpoints = append(out.Endpoints, uint32(key))
 		out.Requests = append(out.Requests, uint32(l.Requests))
-		out.Unread = append(out.Unread, uint32((max(l.PendingPrefill, 0)+unreadUnit/2)/unreadUnit))
+		out.Unread = append(out.Unread, uint32((max(l.PendingPrefill, 0)+prefillUnit/2)/prefillUnit))
 	}
 	return out
 }
 
-// unpackLoads ignores what has no counterpart in each of the lists.
-func unpackLoads(p *exchangepb.Loads) balance.Loads {
+// decodeLoads ignores what has no counterpart in each of the lists.
+func decodeLoads(p *exchangepb.Loads) balance.Loads {
 	n := min(len(p.GetEndpoints()), len(p.GetRequests()), len(p.GetUnread()))
 	out := make(balance.Loads, n)
 	for i := range n {
-		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * unreadUnit}
+		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * prefillUnit}
 	}
 	return out
 }
--- a/internal/exchange/loads_test.go
+++ b/internal/exchange/loads_test.go
@@ -13,32 +13,32 @@
 
 // A hub tells all daemons the same loads. Each must take its own off, or it
 // would count them twice.
-func TestLoadsOfTheOthers(t *testing.T) {
-	h := NewHub(reports)
-	a, b := part("a", 0, 2, 0), part("b", 0, 5, 0)
+func TestOthersLoadsExcludeOwn(t *testing.T) {
+	h := NewHub(reportInterval)
+	a, b := newReport("a", 0, 2, 0), newReport("b", 0, 5, 0)
 	a.Soft.Load[rendezvous.ShortOf("only a's")] = balance.Load{Requests: 1, PendingPrefill: 640}
-	h.Take(start, 0, a)
-	h.Take(start, 0, b)
-	assert.DeepEqual(t, h.Loads(start, "a").Others(), balance.Loads{anEndpoint: {Requests: 5}})
+	h.Add(start, 0, a)
+	h.Add(start, 0, b)
+	assert.DeepEqual(t, h.Loads(start, "a").Others(), balance.Loads{testEndpoint: {Requests: 5}})
 	assert.DeepEqual(t, h.Loads(start, "b").Others(), balance.Loads{
-		anEndpoint: {Requests: 2}, rendezvous.ShortOf("only a's"): {Requests: 1, PendingPrefill: 640},
+		testEndpoint: {Requests: 2}, rendezvous.ShortOf("only a's"): {Requests: 1, PendingPrefill: 640},
 	})
 	assert.Equal(t, len(h.Loads(start, "new").Others()), 2)
 }
 
-func TestLoadsSurviveTheWay(t *testing.T) {
-	h := NewHub(reports)
-	h.Take(start, 0, part("a", 0, 2, 0))
-	h.Take(start, 0, part("b", 0, 5, 0))
-	sum := decodeSum(encodeSum(&Sum{Loads: h.Loads(start, "a")}))
-	assert.DeepEqual(t, sum.Loads.Others(), balance.Loads{anEndpoint: {Requests: 5}})
-	brief := decodeSum(encodeSum(&Sum{}))
+func TestLoadsRoundTrip(t *testing.T) {
+	h := NewHub(reportInterval)
+	h.Add(start, 0, newReport("a", 0, 2, 0))
+	h.Add(start, 0, newReport("b", 0, 5, 0))
+	sum := decodeReply(encodeReply(&Reply{Loads: h.Loads(start, "a")}))
+	assert.DeepEqual(t, sum.Loads.Others(), balance.Loads{testEndpoint: {Requests: 5}})
+	brief := decodeReply(encodeReply(&Reply{}))
 	assert.Assert(t, brief.Loads == nil)
 }
 
 // Lists that don't belong together must not end a daemon.
-func FuzzUnpackLoads(f *testing.F) {
-	seed, err := proto.Marshal(packLoads(balance.Loads{anEndpoint: {Requests: 3, PendingPrefill: 128}}))
+func FuzzDecodeLoads(f *testing.F) {
+	seed, err := proto.Marshal(encodeLoads(balance.Loads{testEndpoint: {Requests: 3, PendingPrefill: 128}}))
 	assert.NilError(f, err)
 	f.Add(seed)
 	f.Add([]byte{0x0d, 1, 2, 3, 4, 0x10, 7})
@@ -47,7 +47,7 @@
 		if proto.Unmarshal(text, &p) != nil {
 			return
 		}
-		got := unpackLoads(&p)
+		got := decodeLoads(&p)
 		assert.Assert(t, len(got) <= len(p.Endpoints))
 	})
 }
--- a/internal/exchange/packing.go
+++ b/internal/exchange/packing.go
@@ -8,14 +8,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// packedItems is the least number of items that are worth packing: entries are much
+// minCompressedItems is the least number of items that are worth packing: entries are much
 // alike, and many take an eighth of their bytes.
-const packedItems = 16
+const minCompressedItems = 16
 
 // encodeList encodes a list, packed where that is worth it and understood.
 func encodeList(u *feed.Update, packed bool) *exchangepb.Feed {
 	out := encodeUpdate(u)
-	if !packed || len(out.Items) < packedItems {
+	if !packed || len(out.Items) < minCompressedItems {
 		return out
 	}
 	text, err := proto.Marshal(&exchangepb.Feed{Items: out.Items})
--- a/internal/exchange/packing_test.go
+++ b/internal/exchange/packing_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a start in which a list of thousands goes to each daemon as it is.
-func TestLongListsArePacked(t *testing.T) {
+func TestLongListsAreCompressed(t *testing.T) {
 	u := feed.Update{To: feed.Position{Epoch: 1, Seq: 3000}, Full: true, Removed: []string{"gone"}}
 	for i := range 3000 {
 		u.Items = append(u.Items, feed.Item{
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -10,17 +10,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-func told(id fleet.DaemonID, seq uint64, spare bool, spent map[fleet.WorkspaceID]float64) Part {
-	p := part(id, 0, 1, 3)
-	p.Soft.Spent, p.Seq, p.Spare = spent, seq, spare
+func sequencedReport(id fleet.DaemonID, seq uint64, spare bool, spent map[fleet.WorkspaceID]float64) Report {
+	p := newReport(id, 0, 1, 3)
+	p.Soft.Spent, p.Seq, p.Backup = spent, seq, spare
 	return p
 }
 
 // relayAll gives one hub all that another has to relay since a turn.
-func relayAll(from, to *Hub, now time.Time, since Turn) []Relayed {
-	all := from.Relay(now, since, since)
+func relayAll(from, to *Hub, now time.Time, since Cursor) []RelayedReport {
+	all := from.ReportsToRelay(now, since, since)
 	for i := range all {
-		to.TakeRelayed(now, 0, &all[i])
+		to.AddRelayed(now, 0, &all[i])
 	}
 	return all
 }
@@ -28,68 +28,68 @@
 // Guards against spending that is counted twice or not at all where two hubs of a data
 // centre hear of it and one of them relays it.
 func TestRelayedPartsCountOnce(t *testing.T) {
-	first, second, far := NewHub(reports), NewHub(reports), NewHub(reports)
+	first, second, far := NewHub(reportInterval), NewHub(reportInterval), NewHub(reportInterval)
 	spent := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
 	tell := func(at time.Time, seq uint64, v float64) {
-		first.Take(at, 0, told("a", seq, false, spent(v)))
-		second.Take(at, 0, told("a", seq, true, spent(v)))
+		first.Add(at, 0, sequencedReport("a", seq, false, spent(v)))
+		second.Add(at, 0, sequencedReport("a", seq, true, spent(v)))
 	}
 	tell(start, 1, 10)
 	relayAll(first, far, start, 0)
 	relayAll(first, second, start, 0)
-	assert.Equal(t, len(second.Relay(start, 0, 0)), 0)
-	before := first.Turn()
-	later := start.Add(reports)
+	assert.Equal(t, len(second.ReportsToRelay(start, 0, 0)), 0)
+	before := first.Cursor()
+	later := start.Add(reportInterval)
 	tell(later, 2, 25)
 	relayAll(first, far, later, before)
 	relayAll(first, second, later, before)
 	assert.Equal(t, far.Spent(later, "x")["w"], 15.0)
 	assert.Equal(t, second.Spent(later, "x")["w"], 15.0)
-	assert.Equal(t, far.Begun(7)["w"], uint64(3))
+	assert.Equal(t, far.RequestCounts(7)["w"], uint64(3))
 }
 
 // Guards against spending that is lost with a hub that died before it relayed it.
-func TestHubThatTakesOverRelaysAll(t *testing.T) {
-	second, far := NewHub(reports), NewHub(reports)
+func TestHubThatTakesOverRelaysAllSpending(t *testing.T) {
+	second, far := NewHub(reportInterval), NewHub(reportInterval)
 	both := map[fleet.WorkspaceID]float64{"v": 1, "w": 2}
-	second.Take(start, 0, told("a", 1, true, both))
-	at := start.Add(reports)
-	second.Take(at, 0, told("b", 1, false, map[fleet.WorkspaceID]float64{"w": 0}))
+	second.Add(start, 0, sequencedReport("a", 1, true, both))
+	at := start.Add(reportInterval)
+	second.Add(at, 0, sequencedReport("b", 1, false, map[fleet.WorkspaceID]float64{"w": 0}))
 	relayAll(second, far, at, 0)
-	before := second.Turn()
-	take := at.Add(reports)
-	second.Take(take, 0, told("a", 2, false, both))
+	before := second.Cursor()
+	take := at.Add(reportInterval)
+	second.Add(take, 0, sequencedReport("a", 2, false, both))
 	all := relayAll(second, far, take, before)
 	assert.Equal(t, len(all), 1)
 	assert.Equal(t, len(all[0].Soft.Spent), 2)
 }
 
 // A relay carries what changed alone; the rest stays as it was told before.
-func TestRelayHasWhatChanged(t *testing.T) {
-	from, to := NewHub(reports), NewHub(reports)
-	from.Take(start, 0, told("a", 1, false, map[fleet.WorkspaceID]float64{"v": 1, "w": 2}))
+func TestRelayContainsOnlyChanges(t *testing.T) {
+	from, to := NewHub(reportInterval), NewHub(reportInterval)
+	from.Add(start, 0, sequencedReport("a", 1, false, map[fleet.WorkspaceID]float64{"v": 1, "w": 2}))
 	relayAll(from, to, start, 0)
-	before := from.Turn()
-	at := start.Add(reports)
-	from.Take(at, 0, told("a", 2, false, map[fleet.WorkspaceID]float64{"v": 1, "w": 5}))
+	before := from.Cursor()
+	at := start.Add(reportInterval)
+	from.Add(at, 0, sequencedReport("a", 2, false, map[fleet.WorkspaceID]float64{"v": 1, "w": 5}))
 	all := relayAll(from, to, at, before)
 	assert.Equal(t, len(all[0].Soft.Spent), 1)
 	assert.Equal(t, to.Spent(at, "x")["w"], 3.0)
 	assert.Equal(t, to.Spent(at, "x")["v"], 0.0)
-	assert.Equal(t, len(relayAll(from, to, at, from.Turn())), 0)
+	assert.Equal(t, len(relayAll(from, to, at, from.Cursor())), 0)
 }
 
-func TestRelaysSurviveTheWay(t *testing.T) {
-	p := told("hub", 3, true, nil)
-	p.Hub = true
+func TestRelayedReportsAndMembersRoundTrip(t *testing.T) {
+	p := sequencedReport("hub", 3, true, nil)
+	p.IsHub = true
 	p.Self = &membership.Member{Instance: "i", Daemon: "hub", Caller: "c", Peer: "p", DataCentre: "d", Region: "r", Incarnation: 9}
-	p.Relayed = []Relayed{{Part: told("a", 4, false, map[fleet.WorkspaceID]float64{"w": 2}), Age: 30 * time.Millisecond, Changes: true}}
-	got := decodePart(encodePart(&p))
+	p.Relayed = []RelayedReport{{Report: sequencedReport("a", 4, false, map[fleet.WorkspaceID]float64{"w": 2}), Age: 30 * time.Millisecond, ChangedOnly: true}}
+	got := decodeReport(encodeReport(&p))
 	assert.DeepEqual(t, *got.Self, *p.Self)
-	assert.Assert(t, got.Hub && got.Spare && got.Seq == 3)
+	assert.Assert(t, got.IsHub && got.Backup && got.Seq == 3)
 	assert.Equal(t, len(got.Relayed), 1)
 	r := got.Relayed[0]
-	assert.Assert(t, r.Changes && r.Age == 30*time.Millisecond && r.Seq == 4 && r.Daemon == "a")
+	assert.Assert(t, r.ChangedOnly && r.Age == 30*time.Millisecond && r.Seq == 4 && r.Daemon == "a")
 	assert.Equal(t, r.Soft.Spent["w"], 2.0)
 	text, err := EncodeMember(p.Self)
 	assert.NilError(t, err)
@@ -100,19 +100,19 @@
 
 // Guards against spending that is lost where a report comes while the hub relays: its
 // time is taken before its turn.
-func TestReportThatCameBeforeARelayIsRelayedAfterIt(t *testing.T) {
-	from, to := NewHub(reports), NewHub(reports)
-	from.Take(start, 0, told("a", 1, false, map[fleet.WorkspaceID]float64{"w": 2}))
-	at := start.Add(reports)
+func TestReportReceivedDuringARelayIsInTheNextOne(t *testing.T) {
+	from, to := NewHub(reportInterval), NewHub(reportInterval)
+	from.Add(start, 0, sequencedReport("a", 1, false, map[fleet.WorkspaceID]float64{"w": 2}))
+	at := start.Add(reportInterval)
 	relayAll(from, to, at, 0)
-	before := from.Turn()
-	from.Take(at.Add(-time.Millisecond), 0, told("a", 2, false, map[fleet.WorkspaceID]float64{"w": 5}))
+	before := from.Cursor()
+	from.Add(at.Add(-time.Millisecond), 0, sequencedReport("a", 2, false, map[fleet.WorkspaceID]float64{"w": 5}))
 	relayAll(from, to, at, before)
 	assert.Equal(t, to.Spent(at, "x")["w"], 3.0)
 }
 
 // The interval of reports doesn't grow with a fleet whose hubs relay to each other.
-func TestReportsOfAnyFleetAreAsOften(t *testing.T) {
+func TestReportIntervalInAMeshDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, daemons := range []int{300, 986, 1972, 4000} {
 		centre := daemons / 6
 		reporters := centre / Groups(centre)
--- a/internal/exchange/rollouts.go
+++ b/internal/exchange/rollouts.go
@@ -7,7 +7,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-func encodeReports(all []rollout.Report) []*exchangepb.RolloutReport {
+func encodeRolloutReports(all []rollout.Report) []*exchangepb.RolloutReport {
 	out := make([]*exchangepb.RolloutReport, len(all))
 	for i := range all {
 		r := &all[i]
@@ -25,7 +25,7 @@
 	return out
 }
 
-func decodeReports(all []*exchangepb.RolloutReport) []rollout.Report {
+func decodeRolloutReports(all []*exchangepb.RolloutReport) []rollout.Report {
 	if len(all) == 0 {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	return out
 }
 
-func encodeNews(n *rollout.Update) *exchangepb.RolloutNews {
+func encodeRolloutUpdate(n *rollout.Update) *exchangepb.RolloutNews {
 	if n.Rank.Token == 0 {
 		return nil
 	}
@@ -63,7 +63,7 @@
 	return out
 }
 
-func decodeNews(n *exchangepb.RolloutNews) rollout.Update {
+func decodeRolloutUpdate(n *exchangepb.RolloutNews) rollout.Update {
 	if n == nil {
 		return rollout.Update{}
 	}
--- a/internal/exchange/server.go
+++ b/internal/exchange/server.go
@@ -11,18 +11,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// Answerer answers other daemons.
-type Answerer interface {
-	// Tell takes a report and returns the sum of all others'.
-	Tell(Part) Sum
+// Handler answers other daemons.
+type Handler interface {
+	// Report takes a report and returns the sum of all others'.
+	Report(Report) Reply
 	// Fetch returns a piece of a configuration.
 	Fetch(spread.Want) (spread.Piece, error)
 }
 
 // Serve answers calls on a listener until the context ends.
-func Serve(ctx context.Context, l net.Listener, a Answerer) error {
+func Serve(ctx context.Context, l net.Listener, a Handler) error {
 	mux := drpcmux.New()
-	if err := exchangepb.DRPCRegisterExchange(mux, &server{answerer: a}); err != nil {
+	if err := exchangepb.DRPCRegisterExchange(mux, &server{handler: a}); err != nil {
 		return Error.Wrap(err)
 	}
 	return Error.Wrap(drpcserver.New(mux).Serve(ctx, l))
@@ -30,18 +30,18 @@
 
 type server struct {
 	exchangepb.DRPCExchangeUnimplementedServer
-	answerer Answerer
+	handler Handler
 }
 
 // Tell implements the generated interface.
 func (s *server) Tell(_ context.Context, r *exchangepb.Report) (*exchangepb.Totals, error) {
-	sum := s.answerer.Tell(decodePart(r))
-	return encodeSum(&sum), nil
+	sum := s.handler.Report(decodeReport(r))
+	return encodeReply(&sum), nil
 }
 
 // Fetch implements the generated interface.
 func (s *server) Fetch(_ context.Context, w *exchangepb.Want) (*exchangepb.Piece, error) {
-	piece, err := s.answerer.Fetch(decodeWant(w))
+	piece, err := s.handler.Fetch(decodeWant(w))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/begun.go
+++ b/internal/node/begun.go
@@ -17,11 +17,11 @@
 type begunCounts struct {
 	window time.Duration
 	mu     sync.Mutex
-	counts map[uint64]exchange.Begun
+	counts map[uint64]exchange.RequestCounts
 }
 
 func newBegunCounts(window time.Duration) *begunCounts {
-	return &begunCounts{window: window, counts: map[uint64]exchange.Begun{}}
+	return &begunCounts{window: window, counts: map[uint64]exchange.RequestCounts{}}
 }
 
 // number returns the window that a time lies in.
@@ -32,17 +32,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.counts[id] == nil {
-		b.counts[id] = exchange.Begun{}
-		maps.DeleteFunc(b.counts, func(old uint64, _ exchange.Begun) bool { return old+toldWindows <= id })
+		b.counts[id] = exchange.RequestCounts{}
+		maps.DeleteFunc(b.counts, func(old uint64, _ exchange.RequestCounts) bool { return old+toldWindows <= id })
 	}
 	b.counts[id][w]++
 }
 
 // windows returns a copy of the counts.
-func (b *begunCounts) windows() map[uint64]exchange.Begun {
+func (b *begunCounts) windows() map[uint64]exchange.RequestCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[uint64]exchange.Begun, len(b.counts))
+	out := make(map[uint64]exchange.RequestCounts, len(b.counts))
 	for id, c := range b.counts {
 		out[id] = maps.Clone(c)
 	}
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -140,7 +140,7 @@
 // than gatherTime.
 func (d *duties) gathered(now time.Time) bool {
 	if !d.complete {
-		d.node.telling.ask(func(h *exchange.Hub) { d.complete = h.HeardAll(d.since, d.node.members.ids()) })
+		d.node.telling.ask(func(h *exchange.Hub) { d.complete = h.ReceivedFromAll(d.since, d.node.members.ids()) })
 	}
 	return d.complete || now.Sub(d.since) >= gatherTime
 }
--- a/internal/node/fetching.go
+++ b/internal/node/fetching.go
@@ -73,7 +73,7 @@
 		}
 		f.step(ctx, address, want)
 	}
-	f.node.telling.client.EndFetches()
+	f.node.telling.client.CloseFetches()
 }
 
 // step fetches one piece.
--- a/internal/node/large_test.go
+++ b/internal/node/large_test.go
@@ -64,7 +64,7 @@
 		n.telling.mu.Lock()
 		defer n.telling.mu.Unlock()
 		for window := range last.begun.windows() {
-			if n.telling.hub.Begun(window)["w"] == 1 {
+			if n.telling.hub.RequestCounts(window)["w"] == 1 {
 				return true
 			}
 		}
@@ -131,7 +131,7 @@
 		}
 		n.telling.mu.Lock()
 		defer n.telling.mu.Unlock()
-		return n.telling.hub.HeardAll(at, []fleet.DaemonID{last.id})
+		return n.telling.hub.ReceivedFromAll(at, []fleet.DaemonID{last.id})
 	})
 }
 
--- a/internal/node/lister.go
+++ b/internal/node/lister.go
@@ -83,17 +83,17 @@
 
 // list takes a hub's list of endpoints where this daemon follows it, or none. A
 // daemon that has no list takes an old one as well: it goes on from there.
-func (t *telling) list(address string, sum *exchange.Sum) {
+func (t *telling) list(address string, sum *exchange.Reply) {
 	t.mu.Lock()
 	lister := t.lister
 	t.mu.Unlock()
 	wanted := lister == "" || lister == address
-	old := sum.Fresh > t.node.watching.stale() && t.node.endpoints.known()
+	old := sum.StoreAge > t.node.watching.stale() && t.node.endpoints.known()
 	if !wanted || old || sum.Endpoints.To.Seq == 0 {
 		return
 	}
 	t.node.endpoints.heard(&sum.Endpoints)
-	t.setLister(address, sum.Endpoints.To, sum.Fresh)
+	t.setLister(address, sum.Endpoints.To, sum.StoreAge)
 }
 
 // checkLister lets the followed hub go where it has told nothing for a while.
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -23,7 +23,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.hub.Relays(time.Now())
+	return t.hub.IsRelaying(time.Now())
 }
 
 // begin begins a round.
@@ -52,7 +52,7 @@
 		}
 	}
 	out = append(out, peersOf(l.standIns[:min(silent, len(l.standIns))])...)
-	if l.meshed && silent == 0 && len(out) > 1 && t.loader == out[0] && t.seq%exchange.SpareEvery != 0 {
+	if l.meshed && silent == 0 && len(out) > 1 && t.loader == out[0] && t.seq%exchange.BackupEvery != 0 {
 		return out[:1]
 	}
 	return out
@@ -94,14 +94,14 @@
 }
 
 // relay adds what this hub was told since it last told another one. The lock is held.
-func (t *telling) relay(l *layout, address string, p *exchange.Part) {
+func (t *telling) relay(l *layout, address string, p *exchange.Report) {
 	r := t.to(address)
-	r.relaying = t.hub.Turn()
+	r.relaying = t.hub.Cursor()
 	counted := r.relaying // no windows
 	if t.countsWindows(l, address) {
 		counted = r.windowsTo
 	}
-	p.Relayed = t.hub.Relay(time.Now(), r.relayedTo, counted)
+	p.Relayed = t.hub.ReportsToRelay(time.Now(), r.relayedTo, counted)
 }
 
 // countsWindows reports whether a daemon may hold the duties, for which usage is counted.
@@ -111,8 +111,8 @@
 }
 
 // takeRelayed takes what another hub has relayed. The lock is held.
-func (t *telling) takeRelayed(now time.Time, steady time.Duration, p *exchange.Part) {
-	if !p.Hub || p.Daemon == t.node.id {
+func (t *telling) takeRelayed(now time.Time, steady time.Duration, p *exchange.Report) {
+	if !p.IsHub || p.Daemon == t.node.id {
 		return
 	}
 	for _, m := range t.node.members.serving() {
@@ -122,16 +122,16 @@
 	}
 	for i := range p.Relayed {
 		r := &p.Relayed[i]
-		t.hub.TakeRelayed(now, steady, r)
+		t.hub.AddRelayed(now, steady, r)
 		t.node.rollouts.told.hear(r.Daemon, r.Rollouts)
 	}
 }
 
 // relayed notes that a hub has what was relayed to it, or that it is to be told all
 // again.
-func (r *reports) relayed(p *exchange.Part, err error) {
+func (r *reports) relayed(p *exchange.Report, err error) {
 	switch {
-	case !p.Hub:
+	case !p.IsHub:
 	case err != nil:
 		r.relayedTo, r.windowsTo = 0, 0
 	default:
@@ -140,9 +140,9 @@
 }
 
 // useHub takes another hub's answer to a relay, which has no sums: this hub makes its own.
-func (t *telling) useHub(address string, sum *exchange.Sum, took time.Duration) {
+func (t *telling) useHub(address string, sum *exchange.Reply, took time.Duration) {
 	t.useNews(address, sum, took)
-	if took > exchange.Prompt {
+	if took > exchange.ReplyTimeout {
 		t.late(sum)
 		return
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -22,18 +22,18 @@
 	told, heard quarantine.Position
 	// relaying is up to when the relay under way has what this hub was told, relayedTo
 	// and windowsTo up to when the other hub has it.
-	relaying, relayedTo, windowsTo exchange.Turn
+	relaying, relayedTo, windowsTo exchange.Cursor
 }
 
 // crashes takes what a hub told of crashes after it was told up to a position. A
 // hub that has started again has nothing of what it was told before.
-func (t *telling) crashes(address string, upTo quarantine.Position, sum *exchange.Sum) {
+func (t *telling) crashes(address string, upTo quarantine.Position, sum *exchange.Reply) {
 	t.mu.Lock()
 	r := t.to(address)
-	if r.heard.Epoch != sum.CrashesTo.Epoch && r.heard.Epoch != 0 {
+	if r.heard.Epoch != sum.CrashesPosition.Epoch && r.heard.Epoch != 0 {
 		upTo = quarantine.Position{}
 	}
-	r.told, r.heard = upTo, sum.CrashesTo
+	r.told, r.heard = upTo, sum.CrashesPosition
 	t.mu.Unlock()
 	t.node.crashes.add(sum.Crashes)
 }
@@ -68,7 +68,7 @@
 
 // ended notes how a report ended. The first failure after an answer is logged,
 // further ones are only counted: in an outage there are several a second.
-func (t *telling) ended(address string, p *exchange.Part, err error) {
+func (t *telling) ended(address string, p *exchange.Report, err error) {
 	t.node.metrics.reported(err)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/telling.go
+++ b/internal/node/telling.go
@@ -24,7 +24,7 @@
 	if l.meshed {
 		return exchange.MeshInterval(l.reporters)
 	}
-	return exchange.CalmInterval(l.reporters)
+	return exchange.NormalInterval(l.reporters)
 }
 
 // way is how old a report is that a hub has from a daemon, whatever it came through.
@@ -66,7 +66,7 @@
 	return &telling{
 		node:   n,
 		client: exchange.NewClient(),
-		hub:    exchange.NewHub(exchange.CalmInterval(1)),
+		hub:    exchange.NewHub(exchange.NormalInterval(1)),
 		hubs:   map[string]*reports{},
 
 		relayers: map[string]time.Time{},
@@ -94,48 +94,48 @@
 // Fetch implements exchange.Answerer.
 func (t *telling) Fetch(w spread.Want) (spread.Piece, error) { return t.node.config.piece(w) }
 
-// Tell implements exchange.Answerer.
-func (t *telling) Tell(p exchange.Part) exchange.Sum {
-	t.node.fetching.heardFrom(p.Daemon, p.Version)
+// Report implements exchange.Answerer.
+func (t *telling) Report(p exchange.Report) exchange.Reply {
+	t.node.fetching.heardFrom(p.Daemon, p.ConfigVersion)
 	t.node.crashes.add(p.Crashes)
 	if p.Self != nil {
 		t.node.introduce([]membership.Member{*p.Self})
 	}
 	t.node.rollouts.told.hear(p.Daemon, p.Rollouts)
 	now := time.Now()
-	t.node.state.ApplyRollouts(now, p.RolloutNews)
+	t.node.state.ApplyRollouts(now, p.RolloutUpdate)
 	steady := t.node.clock.Steady()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.hub.Take(now, steady, p)
+	t.hub.Add(now, steady, p)
 	t.takeRelayed(now, steady, &p)
 	t.holder = t.holder.Newer(p.Holder)
-	sum := exchange.Sum{Soft: relay.SoftState{JustStarted: t.node.gathering()}, Holder: t.holder, Packed: p.Unpacks}
-	relayer := p.Hub && p.Daemon != t.node.id
+	sum := exchange.Reply{Soft: relay.SoftState{JustStarted: t.node.gathering()}, Holder: t.holder, Compress: p.AcceptsCompressed}
+	relayer := p.IsHub && p.Daemon != t.node.id
 	if !relayer {
 		sum.Soft.Spent = t.hub.Spent(now, p.Daemon)
 	}
-	if !p.Brief && !relayer {
+	if !p.OmitLoads && !relayer {
 		sum.Loads = t.hub.Loads(now, p.Daemon)
 	}
-	sum.Rollouts = t.node.state.RolloutUpdate(now)
-	sum.Crashes, sum.CrashesTo = t.node.crashes.table.Since(p.CrashesHave)
+	sum.RolloutUpdate = t.node.state.RolloutUpdate(now)
+	sum.Crashes, sum.CrashesPosition = t.node.crashes.table.Since(p.CrashesPosition)
 	if p.WantLevels && now.Sub(t.node.started) > knownLevels {
 		sum.Soft.Levels = t.node.state.Levels(now)
 	}
 	if skew, ok := t.hub.Skew(now); ok {
-		sum.True = time.Unix(0, int64(steady+skew))
+		sum.FleetTime = time.Unix(0, int64(steady+skew))
 	}
-	sum.Endpoints = t.node.endpoints.since(p.Endpoints)
+	sum.Endpoints = t.node.endpoints.since(p.EndpointsPosition)
 	if t.relaying {
-		sum.Members = t.members.since(now, p.Members)
+		sum.Members = t.members.since(now, p.MembersPosition)
 	}
-	sum.Fresh = t.fresh(now)
-	sum.VersionAt = t.node.config.upTo() // before the version, which may only be newer
+	sum.StoreAge = t.fresh(now)
+	sum.ConfigRevision = t.node.config.upTo() // before the version, which may only be newer
 	newest := t.node.config.current()
-	sum.Version = newest.Version
-	if !p.Fetches && p.Version < newest.Version {
-		sum.Text = newest.Bytes
+	sum.ConfigVersion = newest.Version
+	if !p.Fetches && p.ConfigVersion < newest.Version {
+		sum.Config = newest.Bytes
 	}
 	return sum
 }
@@ -210,7 +210,7 @@
 	t.begin()
 	t.chooseLoader(targets)
 	kept := appendNew(slices.Clone(targets), peersOf(t.node.members.layout().own)...)
-	t.client.Keep(kept)
+	t.client.KeepOnly(kept)
 	t.node.state.KeepHubs(kept)
 	t.checkLister()
 	answered := make(chan struct{}, len(targets))
@@ -293,7 +293,7 @@
 	defer t.exit(address)
 	p, upTo := t.part(address, soft)
 	if address == t.node.settings.Listen.Peers {
-		sum := t.Tell(p)
+		sum := t.Report(p)
 		if t.node.gathering() && len(t.node.members.serving()) == 1 {
 			return // it has not found the others yet, and knows nothing of them
 		}
@@ -301,16 +301,16 @@
 		return
 	}
 	asked := time.Now()
-	sum, err := t.client.Tell(ctx, address, &p)
+	sum, err := t.client.Report(ctx, address, &p)
 	took := time.Since(asked)
 	t.ended(address, &p, err)
 	if err != nil {
 		return
 	}
-	t.node.fetching.heard(address, sum.Version)
-	t.node.config.heard(sum.Version, sum.VersionAt)
+	t.node.fetching.heard(address, sum.ConfigVersion)
+	t.node.config.heard(sum.ConfigVersion, sum.ConfigRevision)
 	t.crashes(address, upTo, &sum)
-	if p.Hub {
+	if p.IsHub {
 		t.useHub(address, &sum, took)
 		return
 	}
@@ -319,55 +319,55 @@
 
 // part returns this daemon's part for a hub, with what it has of its own in this round,
 // and up to where it tells crashes.
-func (t *telling) part(address string, soft relay.SoftState) (exchange.Part, quarantine.Position) {
-	p := exchange.Part{
-		Daemon:  t.node.id,
-		Version: t.node.config.current().Version,
-		Fetches: true,
-		Unpacks: true,
-		Soft:    soft,
-		Wall:    time.Now(),
+func (t *telling) part(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
+	p := exchange.Report{
+		Daemon:            t.node.id,
+		ConfigVersion:     t.node.config.current().Version,
+		Fetches:           true,
+		AcceptsCompressed: true,
+		Soft:              soft,
+		WallTime:          time.Now(),
 	}
 	p.Soft.JustStarted = t.node.gathering()
-	p.Rollouts, p.RolloutNews = t.node.state.RolloutReports(p.Wall), t.node.state.RolloutUpdate(p.Wall)
+	p.Rollouts, p.RolloutUpdate = t.node.state.RolloutReports(p.WallTime), t.node.state.RolloutUpdate(p.WallTime)
 	l := t.node.members.layout()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p.Seq, p.Spare = t.seq, t.loader != "" && t.loader != address
+	p.Seq, p.Backup = t.seq, t.loader != "" && t.loader != address
 	if time.Since(t.to(address).counted) >= windowsInterval {
 		p.Windows = t.node.begun.windows()
 	}
 	p.Holder = t.holder
-	p.Hub = t.relaying
-	p.Endpoints = t.position(l, address)
-	p.Members = t.members.position(address, p.Hub || t.loader == "" || t.loader == address)
+	p.IsHub = t.relaying
+	p.EndpointsPosition = t.position(l, address)
+	p.MembersPosition = t.members.position(address, p.IsHub || t.loader == "" || t.loader == address)
 	if r := t.to(address); r.unanswered || r.answered.IsZero() {
 		p.Self = &t.node.members.self
 	}
-	p.Brief = t.brief(address)
+	p.OmitLoads = t.brief(address)
 	p.WantLevels = !t.node.state.LevelsKnown()
 	if address == t.node.settings.Listen.Peers {
 		return p, quarantine.Position{}
 	}
-	if p.Hub {
+	if p.IsHub {
 		t.relay(l, address, &p)
 	}
 	var upTo quarantine.Position
 	p.Crashes, upTo = t.node.crashes.table.Since(t.to(address).told)
-	p.CrashesHave = t.to(address).heard
+	p.CrashesPosition = t.to(address).heard
 	return p, upTo
 }
 
 // use takes a hub's sum, whose answer took a while. Of one that took long, time
 // and loads are past, and only what stays true is taken.
-func (t *telling) use(address string, sum *exchange.Sum, took time.Duration) {
+func (t *telling) use(address string, sum *exchange.Reply, took time.Duration) {
 	t.useNews(address, sum, took)
-	if took > exchange.Prompt {
+	if took > exchange.ReplyTimeout {
 		t.late(sum)
 		return
 	}
-	if !sum.True.IsZero() {
-		t.node.clock.Correct(sum.True, t.node.clock.Steady())
+	if !sum.FleetTime.IsZero() {
+		t.node.clock.Correct(sum.FleetTime, t.node.clock.Steady())
 	}
 	now := time.Now()
 	t.mu.Lock()
@@ -383,12 +383,12 @@
 }
 
 // useNews takes what a hub knows from the store and of the roll-outs.
-func (t *telling) useNews(address string, sum *exchange.Sum, took time.Duration) {
-	sum.Fresh += took
-	sum.Rollouts.Age += took
-	sum.Rollouts.OrdersAge += took
-	t.node.state.ApplyRollouts(time.Now(), sum.Rollouts)
-	t.node.watching.told(sum.Fresh)
+func (t *telling) useNews(address string, sum *exchange.Reply, took time.Duration) {
+	sum.StoreAge += took
+	sum.RolloutUpdate.Age += took
+	sum.RolloutUpdate.OrdersAge += took
+	t.node.state.ApplyRollouts(time.Now(), sum.RolloutUpdate)
+	t.node.watching.told(sum.StoreAge)
 	t.list(address, sum)
 	t.mu.Lock()
 	members := t.members.heard(address, &sum.Members)
@@ -397,7 +397,7 @@
 }
 
 // late takes what stays true of a sum that came late.
-func (t *telling) late(sum *exchange.Sum) {
+func (t *telling) late(sum *exchange.Reply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder = t.holder.Newer(sum.Holder)
--- a/internal/node/usageduty.go
+++ b/internal/node/usageduty.go
@@ -48,8 +48,8 @@
 
 // begun returns a window's counts from all daemons.
 func (d *duties) begun(window uint64) map[fleet.WorkspaceID]uint64 {
-	var out exchange.Begun
-	d.node.telling.ask(func(h *exchange.Hub) { out = h.Begun(window) })
+	var out exchange.RequestCounts
+	d.node.telling.ask(func(h *exchange.Hub) { out = h.RequestCounts(window) })
 	return out
 }
 
--- a/internal/node/watching_test.go
+++ b/internal/node/watching_test.go
@@ -16,7 +16,7 @@
 	const call = 300 * time.Millisecond // a connection and an answer from a slow store
 	for _, change := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second} {
 		for _, daemons := range []int{13, 80, 195, 266} {
-			interval := exchange.CalmInterval(daemons)
+			interval := exchange.NormalInterval(daemons)
 			stale := staleAge(interval, staleSlack+turnTime, change)
 			assert.Check(t, stale >= hubWait+interval, "a sound hub's word is stale at %d daemons", daemons)
 			assert.Check(t, stale+roleInterval+call <= change, "%v, of %v at %d daemons", stale, change, daemons)
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -73,7 +73,7 @@
 	s := &fleetSim{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_000_000, 0), outcomes: map[quarantine.Key]*outcome{},
 	}
-	interval := exchange.CalmInterval(daemons)
+	interval := exchange.NormalInterval(daemons)
 	for i := range daemons {
 		s.daemons = append(s.daemons, &daemon{
 			table: quarantine.NewTable(uint64(i) + 1), nextReport: s.now.Add(time.Duration(s.rng.Int64N(int64(interval)))),
@@ -91,7 +91,7 @@
 
 // report exchanges crashes with both hubs for each daemon whose report is due.
 func (s *fleetSim) report() {
-	interval := exchange.CalmInterval(len(s.daemons))
+	interval := exchange.NormalInterval(len(s.daemons))
 	for _, d := range s.daemons {
 		if s.now.Before(d.nextReport) {
 			continue
--- a/internal/quota/fleetsize_test.go
+++ b/internal/quota/fleetsize_test.go
@@ -70,7 +70,7 @@
 	hubs         map[string]*exchange.Hub
 	seqs         []uint64
 	// relayed is the turn up to which each pair of hubs has relayed.
-	relayed   map[[2]string]exchange.Turn
+	relayed   map[[2]string]exchange.Cursor
 	admitted  []float64 // by step, in seconds of the limit
 	requested []float64 // likewise
 }
@@ -83,7 +83,7 @@
 	f.newHubs()
 	f.seqs = make([]uint64, f.daemons)
 	f.lastReport = make([]time.Duration, f.daemons)
-	interval := exchange.CalmInterval(f.reporters(f.daemons))
+	interval := exchange.NormalInterval(f.reporters(f.daemons))
 	for i := range f.daemons {
 		q := quota.New(true, tolerated)
 		q.SetRandom(f.quotaRNG)
@@ -127,8 +127,8 @@
 
 // newHubs starts all hubs without any state.
 func (f *sizedFleet) newHubs() {
-	f.hubs, f.relayed = map[string]*exchange.Hub{}, map[[2]string]exchange.Turn{}
-	interval := exchange.CalmInterval(f.reporters(f.daemons))
+	f.hubs, f.relayed = map[string]*exchange.Hub{}, map[[2]string]exchange.Cursor{}
+	interval := exchange.NormalInterval(f.reporters(f.daemons))
 	if exchange.Meshed(f.daemons) {
 		interval = exchange.MeshInterval(f.reporters(f.daemons)) + exchange.RelayInterval
 	}
@@ -183,11 +183,11 @@
 				continue
 			}
 			pair := [2]string{from, to}
-			parts := f.hubs[from].Relay(now, f.relayed[pair], f.hubs[from].Turn())
-			f.relayed[pair] = f.hubs[from].Turn()
-			slices.SortFunc(parts, func(a, b exchange.Relayed) int { return cmp.Compare(a.Daemon, b.Daemon) })
+			parts := f.hubs[from].ReportsToRelay(now, f.relayed[pair], f.hubs[from].Cursor())
+			f.relayed[pair] = f.hubs[from].Cursor()
+			slices.SortFunc(parts, func(a, b exchange.RelayedReport) int { return cmp.Compare(a.Daemon, b.Daemon) })
 			for i := range parts {
-				f.hubs[to].TakeRelayed(now, t, &parts[i])
+				f.hubs[to].AddRelayed(now, t, &parts[i])
 			}
 		}
 	}
@@ -280,7 +280,7 @@
 	case q.NearLimit(startTime.Add(t)):
 		return exchange.UrgentInterval(f.visibleDaemons(i, t))
 	default:
-		return exchange.CalmInterval(f.visibleDaemons(i, t))
+		return exchange.NormalInterval(f.visibleDaemons(i, t))
 	}
 }
 
@@ -316,12 +316,12 @@
 	id := fleet.DaemonID(fmt.Sprint(i))
 	f.seqs[i]++
 	for n, name := range hubs {
-		if n > 0 && exchange.Meshed(f.daemons) && f.seqs[i]%exchange.SpareEvery != 0 {
+		if n > 0 && exchange.Meshed(f.daemons) && f.seqs[i]%exchange.BackupEvery != 0 {
 			break
 		}
 		spent := map[fleet.WorkspaceID]float64{testWorkspace: q.Spent()[testWorkspace]}
-		f.hubs[name].Take(now, t, exchange.Part{
-			Daemon: id, Soft: relay.SoftState{Spent: spent, JustStarted: justRestarted}, Wall: now, Seq: f.seqs[i], Spare: n > 0,
+		f.hubs[name].Add(now, t, exchange.Report{
+			Daemon: id, Soft: relay.SoftState{Spent: spent, JustStarted: justRestarted}, WallTime: now, Seq: f.seqs[i], Backup: n > 0,
 		})
 		q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), justRestarted)
 	}
--- a/internal/quota/partition_test.go
+++ b/internal/quota/partition_test.go
@@ -126,7 +126,7 @@
 	now, q := startTime.Add(t), f.limits[i]
 	spent := map[fleet.WorkspaceID]float64{testWorkspace: q.Spent()[testWorkspace]}
 	id := fleet.DaemonID(fmt.Sprint(i))
-	f.hubs[name].Take(now, t, exchange.Part{Daemon: id, Soft: relay.SoftState{Spent: spent}, Wall: now})
+	f.hubs[name].Add(now, t, exchange.Report{Daemon: id, Soft: relay.SoftState{Spent: spent}, WallTime: now})
 	q.KeepHubs([]string{name})
 	q.UpdateOthers(now, name, f.hubs[name].Spent(now, id), false)
 }
