--- a/internal/exchange/checkpoint.go
+++ b/internal/exchange/checkpoint.go
@@ -7,12 +7,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Checkpoint is what began at each daemon in the newest windows, as it is kept
-// in the store: a whole fleet can be killed at once, and what its daemons told
-// each other is gone with them.
+// Checkpoint is the requests started at each daemon in the newest usage windows, by
+// daemon and number of the window. It is saved in the store, since the state in the hubs
+// is lost if the whole fleet is killed at once.
 type Checkpoint map[fleet.DaemonID]map[uint64]RequestCounts
 
-// Checkpoint returns what began from a window on.
+// Checkpoint returns the requests started in a window and those after it.
 func (h *Hub) Checkpoint(from uint64) Checkpoint {
 	out := Checkpoint{}
 	for id, p := range h.daemons {
@@ -25,11 +25,12 @@
 	return out
 }
 
-// restoredAge makes restored parts older than silence: their loads are over.
+// restoredAge is the age given to restored reports, above staleAfter: their loads don't
+// count.
 const restoredAge = 10 * time.Second
 
-// Restore adds the windows of daemons that this hub hasn't heard of. One that
-// lives tells its own part, which then counts alone.
+// Restore adds the windows of daemons that this hub has no report from. If such a daemon
+// is still alive, its next report replaces the restored windows.
 func (h *Hub) Restore(now time.Time, c Checkpoint) {
 	for id, windows := range c {
 		if h.daemons[id] == nil {
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -20,41 +20,41 @@
 // Error is the class of errors made by this package.
 var Error = errs.Class("exchange")
 
-// ReplyTimeout is the time within which a call is answered in a sound fleet: data
-// centres are a few milliseconds apart, and the next report is due by then.
+// ReplyTimeout is the time within which a call is answered in a healthy fleet: data
+// centres are a few milliseconds apart, and the next report is due after this time.
 const ReplyTimeout = 400 * time.Millisecond
 
-// defaultBounds bound a call by its silence, not by its length: a long list over a busy link
-// would be cut and begun anew for ever. What a late answer brings is 4 s old at the most.
+// defaultBounds limit mainly the time in which no bytes arrive, not the length of a call:
+// otherwise a long list over a busy link would time out and start over without end. The
+// total keeps the content of a late answer from being older than 4 s.
 var defaultBounds = progress.Bounds{First: ReplyTimeout, Silence: ReplyTimeout, Total: 10 * ReplyTimeout}
 
-// Client tells hubs this daemon's part and fetches configurations, over one kept
-// connection for each of the two: a connection carries one call at a time, and a
-// report doesn't wait for a piece. It is safe for concurrent use.
+// Client sends reports to hubs and fetches configurations. It keeps one connection to an
+// address for each of the two, since a connection carries one call at a time and a report
+// must not wait for a fetch. It is safe for concurrent use.
 type Client struct {
 	// Dial opens connections; it may be replaced before the first call.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu    sync.Mutex
 	conns map[connKey]*connection
-	// firstWaits is how long the next call waits for its answer to begin, where the last
-	// one was given up before it had.
+	// firstWaits is how long the next call waits for the first byte of its answer, if the
+	// last call timed out without one.
 	firstWaits map[connKey]time.Duration
 }
 
-// connKey is where a kept connection leads to, and what for.
+// connKey is the address and the purpose of a connection, reports or fetches.
 type connKey struct {
 	address string
 	fetch   bool
 }
 
-// connection is a connection that is used again.
+// connection is a connection that is reused by calls.
 type connection struct {
 	*drpcconn.Conn
 	received *progress.Meter
 }
 
-// NewClient returns a client without connections.
 func NewClient() *Client {
 	return &Client{Dial: dialPeer, conns: map[connKey]*connection{}, firstWaits: map[connKey]time.Duration{}}
 }
@@ -64,8 +64,8 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Report gives a hub a part and returns its sum. A connection on which a call
-// failed is closed, so that one that went silent is not kept.
+// Report sends a report to a hub and returns the hub's reply. It closes the connection if
+// the call fails, so that an unresponsive one isn't reused.
 func (c *Client) Report(ctx context.Context, address string, p *Report) (Reply, error) {
 	var sum Reply
 	err := c.call(ctx, connKey{address: address}, func(ctx context.Context, hub exchangepb.DRPCExchangeClient) error {
@@ -79,7 +79,7 @@
 	return sum, err
 }
 
-// Fetch asks a daemon for a piece of a configuration.
+// Fetch requests a piece of a configuration from a daemon.
 func (c *Client) Fetch(ctx context.Context, address string, w spread.Want) (spread.Piece, error) {
 	var piece spread.Piece
 	err := c.call(ctx, connKey{address, true}, func(ctx context.Context, source exchangepb.DRPCExchangeClient) error {
@@ -93,7 +93,7 @@
 	return piece, err
 }
 
-// call makes a call on the connection of a route.
+// call calls f with a client on the connection of a key, within the bounds of progress.
 func (c *Client) call(ctx context.Context, r connKey, f func(context.Context, exchangepb.DRPCExchangeClient) error) error {
 	conn, err := c.conn(ctx, r)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// boundsFor returns those of the next call on a route.
+// boundsFor returns the bounds of the next call on a connection.
 func (c *Client) boundsFor(r connKey) progress.Bounds {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,9 +122,9 @@
 	return b
 }
 
-// adjustFirstWait notes how much of an answer came within a call's bounds. Where nothing did, the
-// next call waits twice as long: a hub that takes long to make a long list would begin
-// anew with each call.
+// adjustFirstWait sets how long the next call waits for the first byte, from the bytes
+// that the last call received. If there were none, the next call waits twice as long:
+// otherwise a hub that needs longer to make a long list would start over with each call.
 func (c *Client) adjustFirstWait(r connKey, b progress.Bounds, came int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +140,8 @@
 	c.closeWhere(func(r connKey) bool { return !r.fetch && !slices.Contains(addresses, r.address) })
 }
 
-// CloseFetches closes the connections for fetches: configurations change seldom.
+// CloseFetches closes the connections for fetches. They aren't kept, since configurations
+// change seldom.
 func (c *Client) CloseFetches() { c.closeWhere(func(r connKey) bool { return r.fetch }) }
 
 func (c *Client) closeWhere(which func(connKey) bool) {
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -110,7 +110,7 @@
 	return p
 }
 
-// encodeRelayed leaves out what only the sender's own hub needs.
+// encodeRelayed omits the fields that only the reporting daemon's own hub needs.
 func encodeRelayed(r *RelayedReport) *exchangepb.Report {
 	out := encodeReport(&r.Report)
 	out.AgeMs, out.Changes = r.Age.Milliseconds(), r.ChangedOnly
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -23,10 +23,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// pieceBytes is the length of a piece that begins a patch.
+// pieceBytes is the length of the largest piece.
 const pieceBytes = 64 << 10
 
-// largeHandler answers with as much as there may be.
+// largeHandler gives answers of the largest size.
 type largeHandler struct{}
 
 func (largeHandler) Report(Report) Reply {
@@ -37,7 +37,7 @@
 	return spread.Piece{Version: w.Version, Size: pieceBytes, Data: make([]byte, pieceBytes)}, nil
 }
 
-// serveOne serves calls of a large answerer on one connection.
+// serveOne serves calls with a largeHandler on one connection.
 func serveOne(ctx context.Context, conn net.Conn) error {
 	mux := drpcmux.New()
 	if err := exchangepb.DRPCRegisterExchange(mux, &server{handler: largeHandler{}}); err != nil {
@@ -46,7 +46,7 @@
 	return drpcserver.New(mux).ServeOne(ctx, conn)
 }
 
-// echoHandler answers with what it was asked.
+// echoHandler gives answers that contain values of the call.
 type echoHandler struct{}
 
 func (echoHandler) Report(p Report) Reply {
@@ -77,7 +77,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, piece, spread.Piece{Version: 4, Base: 3, Size: 100, Offset: 70, Data: []byte("rest")})
 	assert.Equal(t, len(c.conns), 2)
-	c.KeepOnly(nil) // a fetch isn't cut by the next round of reports
+	c.KeepOnly(nil) // must not close the connection for fetches
 	assert.Equal(t, len(c.conns), 1)
 	c.CloseFetches()
 	assert.Equal(t, len(c.conns), 0)
@@ -85,8 +85,8 @@
 	<-served
 }
 
-// A hub takes calls and never answers. A report must end in time, and its
-// connection must not be used again.
+// A hub accepts connections and never answers. A report must time out, and its connection
+// must not be reused.
 func TestCallToUnresponsiveHubTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -97,7 +97,7 @@
 	assert.Equal(t, len(c.conns), 0)
 }
 
-// newSlowClient returns a client of a server whose bytes come slowly, in packets.
+// newSlowClient returns a client that receives a packet of a server's bytes at each pause.
 func newSlowClient(t *testing.T, packet int, pause time.Duration) *Client {
 	client, server := net.Pipe()
 	served := make(chan error, 1)
@@ -114,7 +114,7 @@
 	return c
 }
 
-// slowConn is a connection on which a packet comes at each pause.
+// slowConn is a connection that pauses after each read of up to packet bytes.
 type slowConn struct {
 	net.Conn
 	packet int
@@ -127,9 +127,10 @@
 	return n, err
 }
 
-// A piece comes over a link that is full of other traffic, and takes 1.3 s. Cut
-// by its length it would be asked for again for ever, and the daemon's routes
-// would stay old ones. The same holds for a long list in the answer to a report.
+// A piece takes 1.3 s over a link that is busy with other traffic. If the length of a call
+// were limited to ReplyTimeout, the piece would be requested again without end, and the
+// daemon's configuration would stay outdated. The same holds for a long list in the reply
+// to a report.
 func TestSlowReplyIsNotCutOffWhileItProgresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSlowClient(t, 4<<10, 80*time.Millisecond)
@@ -144,7 +145,7 @@
 		assert.Equal(t, len(sum.Endpoints.Items[0].Spec), pieceBytes)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		c := newSlowClient(t, 1<<10, 300*time.Millisecond) // it drips
+		c := newSlowClient(t, 1<<10, 300*time.Millisecond) // too slow for the limit on the whole call
 		began := time.Now()
 		_, err := c.Report(t.Context(), "a", &Report{Daemon: "a"})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
@@ -152,7 +153,8 @@
 	})
 }
 
-// Guards against a list that never arrives, since its hub takes longer to make it than a call waits.
+// Guards against a list that never arrives, where its hub takes longer to make it than a
+// call waits for the first byte.
 func TestWaitForFirstByteDoublesAfterATimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient()
@@ -170,7 +172,7 @@
 			}
 			assert.Assert(t, calls < 4, "no answer in %d calls", calls)
 		}
-		assert.Equal(t, calls, 3) // 0.4, 0.8 and 1.6 s
+		assert.Equal(t, calls, 3) // which wait 0.4, 0.8 and 1.6 s
 		assert.Equal(t, c.boundsFor(connKey{address: "a"}), defaultBounds)
 		c.KeepOnly(nil)
 		cancel()
@@ -178,7 +180,7 @@
 	})
 }
 
-// lateConn is a connection on which nothing comes for a while.
+// lateConn is a connection whose first read is delayed.
 type lateConn struct {
 	net.Conn
 	after time.Duration
@@ -190,7 +192,7 @@
 	return l.Conn.Read(p)
 }
 
-// fleetReport is a daemon's part in a fleet of the size that the users plan for.
+// fleetReport returns the report of a daemon in a large fleet.
 func fleetReport(i int) Report {
 	p := Report{
 		Daemon: fleet.DaemonID(fmt.Sprintf("5-%036d", i)), WallTime: start,
@@ -212,10 +214,11 @@
 	return p
 }
 
-// benchWindows is the usage windows in a part.
+// benchWindows is the number of usage windows in a report.
 const benchWindows = 4
 
-// BenchmarkHub is one report at a hub of a fleet, with its encoding.
+// BenchmarkHub measures the handling of one report by the hub of a fleet: decoding, sums,
+// and encoding of the reply.
 func BenchmarkHub(b *testing.B) {
 	for _, n := range []int{9, 63, 340} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -11,69 +11,72 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/relay"
 )
 
-// minStaleAfter is how long a daemon's loads count after its last report where
-// reports come often: its requests go on for longer than a report that is late.
+// minStaleAfter is the least of staleAfter, for short intervals: requests last longer than
+// a report is usually late, so their load must not be dropped for a late report.
 const minStaleAfter = time.Second
 
-// staleAfter is how long a daemon's loads count after its last report: two reports
-// and a half are missing then.
+// staleAfter returns how long a daemon's loads count after its last report: two and a half
+// intervals.
 func (h *Hub) staleAfter() time.Duration { return max(minStaleAfter, 5*h.interval/2) }
 
-// maxCacheAge is how long a sum is used again: reports come some hundred times a
-// second in a large fleet, and what they tell is a quarter of a second old.
+// maxCacheAge is how long a computed sum is reused. A hub of a large fleet gets some hundred
+// reports a second, whose content is a quarter of a second old.
 const maxCacheAge = 50 * time.Millisecond
 
-// maxCountedGap is the silence after which nothing of what a daemon spent meanwhile is
-// counted: this daemon was no hub for a while, and limits are judged over about
-// eight seconds.
+// maxCountedGap is the longest gap between two reports of a daemon in which its spending
+// counts. After a longer one, the hub's state is outdated, since it was not the daemon's hub
+// for a while, and limits apply over about eight seconds.
 const maxCountedGap = 10 * time.Second
 
-// Hub sums the parts of all daemons, which tell it themselves or through other
-// hubs. It is a plain decision and not safe for
-// concurrent use. Parts of daemons that are gone stay in the totals.
+// Hub sums the reports of all daemons, received directly or relayed by other hubs. What
+// daemons have spent stays in the total when they are gone. A Hub is plain state, not safe
+// for concurrent use.
 type Hub struct {
 	daemons map[fleet.DaemonID]*daemonState
-	// relayed are the parts of daemons that tell this hub and that it relayed.
+	// relayed are the daemons whose reports this hub relays.
 	relayed   map[fleet.DaemonID]*daemonState
 	cursor    Cursor
-	spent     map[fleet.WorkspaceID]float64 // by all, those that were forgotten among them
-	loadTotal *loadTotal                    // of loads, the last one, nil before
-	expiredAt time.Time                     // when silent daemons were last looked for
-	skew      *skew                         // the last one, nil before
-	// interval is how often a daemon that has nothing urgent to tell reports.
+	spent     map[fleet.WorkspaceID]float64 // by all daemons, including removed ones
+	loadTotal *loadTotal                    // cached; nil before the first use
+	expiredAt time.Time                     // when expired daemons were last removed
+	skew      *skew                         // cached; nil before the first use
+	// interval is the time between two reports of a daemon without urgent changes.
 	interval time.Duration
 }
 
-// daemonState is a daemon's last part.
+// daemonState is the last report of a daemon.
 type daemonState struct {
 	report     Report
 	receivedAt time.Time     // by the hub's clock
-	skew       time.Duration // its time of day less the hub's steady count
-	// base is what it had spent when it was first heard of: a hub's sum counts
-	// from there, so that it doesn't jump when a hub that has just started
-	// hears of one daemon after the other.
+	skew       time.Duration // the daemon's wall-clock time minus the hub's monotonic time
+	// base is the spending that doesn't count, which is that of the daemon's first report
+	// unless the daemon has just started. Otherwise, the sum of a hub that has just
+	// started would jump with the first report of each daemon.
 	base map[fleet.WorkspaceID]float64
-	// restored says that only the windows of usage are known.
+	// restored means that the report comes from a checkpoint, with usage windows only.
 	restored bool
-	// direct says that the daemon told this hub, not another one that relayed it.
+	// direct means that the daemon sent the report to this hub, not through another one.
 	direct bool
-	// cursor is the hub's when the part came, windowsCursor when its windows of usage did, and
-	// changed when each workspace's spending was last another; nil: all of it is.
+	// The hub's cursor at the time of the report, at the time of its usage windows, and at
+	// the last change of each workspace's spending. If changeCursors is nil, all spending
+	// counts as changed.
 	cursor, windowsCursor Cursor
 	changeCursors         map[fleet.WorkspaceID]Cursor
 }
 
-// Cursor counts the parts that a hub has taken.
+// Cursor is the number of reports that a hub has added. It identifies a point in their
+// sequence.
 type Cursor uint64
 
-// spent returns what was spent since the daemon was first heard of.
+// spent returns the spending that counts, in units of the limit.
 func (h *daemonState) spent(w fleet.WorkspaceID) float64 { return h.report.Soft.Spent[w] - h.base[w] }
 
-// expireAfter is how long the part of a silent daemon is kept: its windows of
-// usage are due for a while after its death.
+// expireAfter is how long the state of a daemon is kept after its last report. Its usage
+// windows are still needed for a while after it has died.
 const expireAfter = 40 * time.Second
 
-// NewHub returns an empty hub that is told at an interval.
+// NewHub returns a hub without reports. interval is the time between two reports of a
+// daemon without urgent changes.
 func NewHub(interval time.Duration) *Hub {
 	return &Hub{
 		daemons: map[fleet.DaemonID]*daemonState{}, relayed: map[fleet.DaemonID]*daemonState{},
@@ -81,15 +84,15 @@
 	}
 }
 
-// SetInterval takes a changed interval of reports.
+// SetInterval changes the interval of reports.
 func (h *Hub) SetInterval(d time.Duration) { h.interval = d }
 
-// Add takes a part that came when the hub's steady count was steady. One without
-// windows leaves those that are known as they are.
+// Add adds a report that was received directly, at a monotonic time of the hub. It replaces
+// the daemon's last report, except for the usage windows if it has none.
 func (h *Hub) Add(now time.Time, steady time.Duration, p Report) { h.add(now, steady, p, true) }
 
-// AddRelayed takes a part that came through another hub. One that is no newer than
-// what is known is left.
+// AddRelayed adds a report that another hub has relayed. It ignores a report that is no
+// newer than the last one from that daemon.
 func (h *Hub) AddRelayed(now time.Time, steady time.Duration, r *RelayedReport) {
 	old := h.daemons[r.Daemon]
 	if old != nil && (r.Seq == 0 && old.direct || r.Seq != 0 && r.Seq <= old.report.Seq) {
@@ -131,9 +134,10 @@
 	}
 }
 
-// updateChanged returns when each workspace's spending changed, once a newer part has come.
-// All of it counts as changed where this hub relays the daemon from now on: another
-// hub may have died with a change that it had not relayed.
+// updateChanged returns the cursors of the last changes of each workspace's spending, given
+// a newer report. The result is nil, so that all spending counts as changed, if this hub
+// starts to relay the daemon's reports: another hub may have failed before it relayed a
+// change.
 func (h *daemonState) updateChanged(turn Cursor, p *Report) map[fleet.WorkspaceID]Cursor {
 	if !h.direct || h.report.Backup && !p.Backup {
 		return nil
@@ -153,12 +157,13 @@
 	return out
 }
 
-// Cursor returns the hub's turn, up to which a relay has all that was told.
+// Cursor returns the cursor after the last report that was added. A relay made now has all
+// reports up to it.
 func (h *Hub) Cursor() Cursor { return h.cursor }
 
-// ReportsToRelay returns the parts that daemons have told this hub since a turn, of those that
-// no other hub relays; since 0 it is all. Of their spending it has what has changed
-// since. Windows are those of parts that have told theirs since counted.
+// ReportsToRelay returns the reports received after the cursor since, of the daemons whose
+// reports this hub relays. They have only the spending that has changed after that cursor,
+// or all of it if since is 0, and the usage windows if these were received after counted.
 func (h *Hub) ReportsToRelay(now time.Time, since, counted Cursor) []RelayedReport {
 	var out []RelayedReport
 	for _, p := range h.relayed {
@@ -177,7 +182,7 @@
 	return out
 }
 
-// IsRelaying reports whether this hub was told something lately that it relays.
+// IsRelaying reports whether this hub has a recent report that it relays.
 func (h *Hub) IsRelaying(now time.Time) bool {
 	for _, p := range h.relayed {
 		if now.Sub(p.receivedAt) <= h.staleAfter() {
@@ -187,7 +192,7 @@
 	return false
 }
 
-// spentSince returns the spending that has changed since a turn.
+// spentSince returns the spending that has changed after a cursor.
 func (h *daemonState) spentSince(since Cursor) map[fleet.WorkspaceID]float64 {
 	out := map[fleet.WorkspaceID]float64{}
 	for w, v := range h.report.Soft.Spent {
@@ -198,8 +203,8 @@
 	return out
 }
 
-// updateSpent brings the total of spending up to date with a daemon's next part. moved says
-// that the part counts from another base than the one before.
+// updateSpent updates the total spending with a daemon's next report. moved means that the
+// base of this report differs from that of the old one.
 func (h *Hub) updateSpent(old, next *daemonState, moved bool) {
 	if old != nil && (moved || len(next.report.Soft.Spent) < len(old.report.Soft.Spent)) {
 		for w := range old.report.Soft.Spent {
@@ -222,8 +227,8 @@
 	}
 }
 
-// removeExpired lets the parts of daemons go that have been silent for long. What they
-// spent stays in the total.
+// removeExpired removes daemons without a report for expireAfter. Their spending stays in
+// the total.
 func (h *Hub) removeExpired(now time.Time) {
 	for id, old := range h.daemons {
 		if now.Sub(old.receivedAt) > expireAfter {
@@ -233,9 +238,9 @@
 	}
 }
 
-// rebase returns the base of the next part, which comes after a silence. What a
-// daemon lets in while it isn't heard is its own share, for which the others
-// left room: only what it let in at the beginning is counted.
+// rebase returns the base of the next report after a gap, and whether it differs from the
+// last one. During a gap a daemon admits only its own share of a limit, which the others
+// leave unused, so only the spending at the beginning of the gap counts.
 func (h *daemonState) rebase(silence, interval time.Duration, spent map[fleet.WorkspaceID]float64) (map[fleet.WorkspaceID]float64, bool) {
 	counts := quota.CountedShare(silence, interval)
 	if h.restored || silence > maxCountedGap {
@@ -251,7 +256,7 @@
 	return base, true
 }
 
-// Spent returns what all daemons but one have let in.
+// Spent returns what all daemons but one have spent, by workspace.
 func (h *Hub) Spent(now time.Time, but fleet.DaemonID) map[fleet.WorkspaceID]float64 {
 	h.maybeRemoveExpired(now)
 	out := maps.Clone(h.spent)
@@ -263,8 +268,8 @@
 	return out
 }
 
-// Loads returns the endpoints' loads for one daemon, as of sumAge ago at the
-// most.
+// Loads returns the endpoints' loads for the reply to one daemon. They may be up to
+// maxCacheAge old.
 func (h *Hub) Loads(now time.Time, to fleet.DaemonID) *Loads {
 	if h.loadTotal == nil || now.Sub(h.loadTotal.at) > maxCacheAge || now.Before(h.loadTotal.at) {
 		h.loadTotal = h.sumLoads(now)
@@ -272,7 +277,7 @@
 	return h.loadTotal.loadsFor(to)
 }
 
-// maybeRemoveExpired forgets silent daemons now and then: their parts are kept for much longer.
+// maybeRemoveExpired removes expired daemons at most once a second.
 func (h *Hub) maybeRemoveExpired(now time.Time) {
 	if now.Sub(h.expiredAt) >= time.Second || now.Before(h.expiredAt) {
 		h.expiredAt = now
@@ -280,7 +285,7 @@
 	}
 }
 
-// sumLoads adds up the loads of all daemons that were heard of lately.
+// sumLoads sums the loads of all daemons whose last report isn't stale.
 func (h *Hub) sumLoads(now time.Time) *loadTotal {
 	t := &loadTotal{at: now, all: balance.Loads{}, byDaemon: make(map[fleet.DaemonID]balance.Loads, len(h.daemons))}
 	for id, p := range h.daemons {
@@ -296,8 +301,8 @@
 	return t
 }
 
-// Work returns the fleet's totals by service. They shrink when a daemon is
-// forgotten.
+// Work returns the fleet's totals by service. They decrease when an expired daemon is
+// removed.
 func (h *Hub) Work() map[string]relay.Work {
 	out := map[string]relay.Work{}
 	for _, p := range h.daemons {
@@ -314,7 +319,7 @@
 	return out
 }
 
-// RequestCounts returns the requests that began in a window, at all daemons.
+// RequestCounts returns the number of requests started in a usage window at all daemons.
 func (h *Hub) RequestCounts(window uint64) RequestCounts {
 	out := RequestCounts{}
 	for _, p := range h.daemons {
@@ -325,7 +330,8 @@
 	return out
 }
 
-// ReceivedFromAll reports whether all of some daemons have reported since a time.
+// ReceivedFromAll reports whether the hub has received a report from each of the daemons
+// after a time.
 func (h *Hub) ReceivedFromAll(since time.Time, daemons []fleet.DaemonID) bool {
 	for _, id := range daemons {
 		if p := h.daemons[id]; p == nil || !p.receivedAt.After(since) {
@@ -335,9 +341,10 @@
 	return true
 }
 
-// Skew returns what to add to the hub's steady count for the fleet's time, as of sumAge
-// ago at the most: the median of the daemons heard of lately, so that steps of fewer
-// than half of the clocks don't move it.
+// Skew returns the difference between the fleet's time and the hub's monotonic time, and
+// whether it is known. It is the median over all daemons whose last report isn't stale, so
+// that steps of fewer than half of the clocks don't change it. It may be up to maxCacheAge
+// old.
 func (h *Hub) Skew(now time.Time) (time.Duration, bool) {
 	if h.skew == nil || now.Sub(h.skew.at) > maxCacheAge || now.Before(h.skew.at) {
 		h.skew = h.medianSkew(now)
@@ -345,7 +352,8 @@
 	return h.skew.median, h.skew.known
 }
 
-// skew is the fleet's time less the hub's steady count, at a moment.
+// skew is the median difference between the daemons' wall-clock times and the hub's
+// monotonic time.
 type skew struct {
 	at     time.Time
 	median time.Duration
--- a/internal/exchange/hub_test.go
+++ b/internal/exchange/hub_test.go
@@ -17,10 +17,10 @@
 
 var start = time.Unix(1000, 0)
 
-// reportInterval is the interval of the reportInterval that the hubs of these tests are told at.
+// reportInterval is the time between two reports to the hubs of these tests.
 const reportInterval = 400 * time.Millisecond
 
-// testEndpoint is the endpoint at which all parts have requests.
+// testEndpoint is the endpoint at which all daemons have requests.
 var testEndpoint = rendezvous.ShortOf("e")
 
 func newReport(id fleet.DaemonID, spent float64, requests int, begun uint64) Report {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A daemon dies with requests under way. Its load must go, but what it had let
-// in still counts against the limit and what began there is still reported.
+// A daemon dies while it has requests. Its load must expire, but what it has admitted must
+// still count against the limit, and the requests that it started must still be reported.
 func TestDeadDaemonsLoadExpiresAndItsTotalsStay(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 10, 1, 3))
@@ -52,8 +52,8 @@
 	assert.Equal(t, h.Spent(start.Add(time.Minute), "a")["w"], 30.0)
 }
 
-// A third of the machines' clocks jump. Were the fleet's time their mean, the
-// windows of usage would be cut at the wrong moment.
+// A third of the instances' clocks step. If the fleet's time were their mean, usage windows
+// would start and end at the wrong time.
 func TestStepsOfAFewClocksDoNotMoveFleetTime(t *testing.T) {
 	h := NewHub(reportInterval)
 	for i, step := range []time.Duration{0, 0, 0, 0, 2400 * time.Millisecond, -2400 * time.Millisecond} {
@@ -93,10 +93,10 @@
 	assert.DeepEqual(t, decodeReply(encodeReply(&s)), s)
 }
 
-// A hub starts anew and hears one daemon after the other, each with all that
-// it has let in since its own start. Counted as spent just now, a whole day's
-// spending would be taken from the workspaces' limits at once, and everything
-// would be refused for as long as the limit takes to fill up again.
+// A new hub receives the first report of each daemon, which has all that the daemon has
+// admitted since its own start. If that counted as spent now, a whole day's spending would
+// be deducted from the workspaces' limits at once, and all requests would be rejected until
+// the limits refill.
 func TestNewHubCountsSpendingFromTheFirstReport(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 0, 0, 0))
@@ -107,9 +107,9 @@
 	assert.Equal(t, h.Spent(start.Add(2*maxCacheAge), "a")["w"]-before, 10.0)
 }
 
-// A daemon was told everything in the fleet's first second, before all knew
-// who the hubs are, and becomes a hub half a minute later. What was spent in
-// between would come as one jump.
+// A daemon receives reports in the fleet's first second, before all daemons agree on the
+// hubs, and becomes a hub half a minute later. The spending in between must not count as one
+// jump.
 func TestSpendingInALongGapIsNotCounted(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 0, 0, 0))
@@ -121,9 +121,9 @@
 	assert.Equal(t, h.Spent(later.Add(2*maxCacheAge), "a")["w"]-before, 10.0)
 }
 
-// All daemons are killed at once. The next holder reads what the last one wrote
-// down a second before, and adds what began since. A daemon that did live counts
-// once, and what it had let in before isn't taken for spent just now.
+// All daemons are killed at once. The next holder of the duties restores the last one's
+// checkpoint and adds the requests started since. A daemon that survived must count once,
+// and its earlier spending must not count as spent now.
 func TestRequestCountsSurviveLossOfTheWholeFleet(t *testing.T) {
 	old := NewHub(reportInterval)
 	old.Add(start, 0, newReport("a", 10, 1, 3))
@@ -142,9 +142,9 @@
 	assert.Equal(t, h.Loads(later, "new").Others()[testEndpoint].Requests, 1)
 }
 
-// A daemon is cut off from its hub for three seconds and lets in meanwhile what
-// its own share allows. Were all of that told as spent by the others, they would
-// refuse for it once more, though they had left room for it.
+// A daemon is partitioned from its hub for three seconds and meanwhile admits what its own
+// share of the limit allows. The other daemons have left that share unused. If all of it
+// counted afterwards, they would reject requests for it a second time.
 func TestSpendingInAShortGapCountsInPart(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 0, 0, 0))
@@ -152,16 +152,16 @@
 	before := h.Spent(start, "a")["w"]
 	later := start.Add(3 * time.Second)
 	h.Add(later, 0, newReport("b", 1010, 0, 0))
-	// An interval and a half and a quarter of a second, of the three seconds.
+	// One and a half intervals plus a quarter of a second, of the three seconds.
 	const counted = 1000 * 0.85 / 3
 	assert.Assert(t, math.Abs(h.Spent(later, "a")["w"]-before-counted) < 1e-6)
 	h.Add(later.Add(time.Millisecond), 0, newReport("b", 1020, 0, 0))
 	assert.Assert(t, math.Abs(h.Spent(later.Add(2*maxCacheAge), "a")["w"]-before-counted-10) < 1e-6)
 }
 
-// A daemon of a large fleet reports as seldom as that fleet does. Were it taken to
-// be gone between two of its reports, the others would send to endpoints that it
-// has filled, and limits would count only a part of what it lets in.
+// Guards against treating a daemon as gone between two reports, which are far apart in a
+// large fleet. Other daemons would then send requests to endpoints that it has filled, and
+// only a part of what it admits would count against limits.
 func TestDaemonStaysLiveBetweenReportsAtAnyFleetSize(t *testing.T) {
 	for _, daemons := range []int{6, 80, 195, 340, 1000} {
 		interval := NormalInterval(daemons)
@@ -178,8 +178,8 @@
 	}
 }
 
-// The windows of usage are told less often than the rest. A report without them
-// must not take back what was counted: usage would be reported too low.
+// Usage windows are sent less often than the rest of a report. A report without them must
+// not discard the counts of an earlier one, or reported usage would be too low.
 func TestReportWithoutWindowsKeepsThePreviousOnes(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 10, 1, 3))
--- a/internal/exchange/interval.go
+++ b/internal/exchange/interval.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Times between a daemon's reports to the hubs. What a daemon lets in beyond a
-// limit, and how far its view of the endpoints' loads is off, grows with them;
-// a hub's work is the number of its daemons by them.
+// Times between a daemon's reports to its hubs. With longer intervals, a daemon admits more
+// beyond a limit and its view of the endpoints' loads is less accurate. The rate of reports
+// at a hub is the number of its daemons divided by the interval.
 const (
-	// SmallFleet is the number of daemons up to which each does all for itself.
+	// SmallFleet is the most daemons of a small fleet, where each watches the store itself.
 	SmallFleet = 12
-	// smallInterval is that of a small fleet: limits overshoot by what is let in
-	// meanwhile, a few percent of a window.
+	// smallInterval is for a small fleet. Limits are exceeded by what is admitted in an
+	// interval, a few percent of the limit's window.
 	smallInterval = 250 * time.Millisecond
-	// largeInterval is that of a fleet above SmallFleet, where each daemon lets
-	// in less meanwhile.
+	// largeInterval is the least for a larger fleet, where each daemon admits less in the
+	// same time.
 	largeInterval = 400 * time.Millisecond
-	// startInterval is that of a daemon that has just started: until it is told
-	// something it lets in little.
+	// startInterval is for a daemon that has just started, which admits little until it
+	// has a reply.
 	startInterval = 80 * time.Millisecond
-	// normalPerDaemon bounds the reports that come to a hub at 670 a second.
+	// normalPerDaemon bounds the reports to a hub at 670 a second.
 	normalPerDaemon = 1500 * time.Microsecond
-	// urgentPerDaemon bounds them at 1,000 a second while a limit is short.
+	// urgentPerDaemon bounds them at 1,000 a second while a limit is nearly used up.
 	urgentPerDaemon = time.Millisecond
 )
 
-// NormalInterval is the time between two reports of a daemon, where so many daemons
-// report to its hub.
+// NormalInterval returns the time between two reports of a daemon without urgent changes,
+// where so many daemons report to its hub.
 func NormalInterval(daemons int) time.Duration {
 	if daemons <= SmallFleet {
 		return smallInterval
@@ -32,13 +32,13 @@
 	return max(largeInterval, time.Duration(daemons)*normalPerDaemon)
 }
 
-// UrgentInterval is that of a daemon that sees a workspace's limit run short: the
-// daemons have to hear of each other's spending before the limit is used up.
+// UrgentInterval returns the time between two reports of a daemon while a workspace's limit
+// is nearly used up: daemons need each other's spending before it is exceeded.
 func UrgentInterval(daemons int) time.Duration {
 	return min(NormalInterval(daemons), max(smallInterval, time.Duration(daemons)*urgentPerDaemon))
 }
 
-// StartInterval is that of a daemon that has just started.
+// StartInterval returns the time between two reports of a daemon that has just started.
 func StartInterval(daemons int) time.Duration {
 	return max(startInterval, time.Duration(daemons)*normalPerDaemon)
 }
--- a/internal/exchange/interval_test.go
+++ b/internal/exchange/interval_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A hub answers every daemon of the fleet. Its work must not grow without bound
-// with the fleet, nor may the daemons hear of each other more seldom where a limit
-// is short than where none is.
+// The rate of reports at a hub must be bounded at any size of the fleet, and urgent reports
+// must not be less frequent than normal ones.
 func TestReportRateAtAHubIsBounded(t *testing.T) {
 	for daemons := 1; daemons <= 2000; daemons++ {
 		calm, urgent := NormalInterval(daemons), UrgentInterval(daemons)
--- a/internal/exchange/loads.go
+++ b/internal/exchange/loads.go
@@ -8,17 +8,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Loads is the endpoints' loads as a hub tells them to one daemon: all, which
-// are the same for every daemon and encoded once, and what of them is the
-// daemon's own.
+// Loads is the endpoints' loads in a hub's reply to one daemon: the total of all daemons,
+// which is the same in every reply and encoded once, and the part that this daemon has
+// reported itself.
 type Loads struct {
-	All balance.Loads // shared, not to be changed
+	All balance.Loads // shared, must not be modified
 	Own balance.Loads // likewise
 
-	encoded *exchangepb.Loads // All, encoded, where a hub made it
+	encoded *exchangepb.Loads // All in its encoded form; set by a hub only
 }
 
-// Others returns all loads but the daemon's own.
+// Others returns the loads without the daemon's own part.
 func (l *Loads) Others() balance.Loads {
 	out := maps.Clone(l.All)
 	for key, own := range l.Own {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// prefillUnit is the prompt tokens that one unit of a told load stands for: a
-// millisecond or two of an engine's reading.
+// prefillUnit is the number of prompt tokens in one unit of an encoded load. An engine
+// takes a millisecond or two to prefill them.
 const prefillUnit = 64
 
 func encodeLoads(m balance.Loads) *exchangepb.Loads {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// decodeLoads ignores what has no counterpart in each of the lists.
+// decodeLoads ignores the elements of a list that have no counterpart in the others.
 func decodeLoads(p *exchangepb.Loads) balance.Loads {
 	n := min(len(p.GetEndpoints()), len(p.GetRequests()), len(p.GetUnread()))
 	out := make(balance.Loads, n)
--- a/internal/exchange/loads_test.go
+++ b/internal/exchange/loads_test.go
@@ -11,8 +11,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// A hub tells all daemons the same loads. Each must take its own off, or it
-// would count them twice.
+// A hub sends all daemons the same total of loads. Each must subtract its own part, or its
+// own requests would count twice.
 func TestOthersLoadsExcludeOwn(t *testing.T) {
 	h := NewHub(reportInterval)
 	a, b := newReport("a", 0, 2, 0), newReport("b", 0, 5, 0)
@@ -36,7 +36,7 @@
 	assert.Assert(t, brief.Loads == nil)
 }
 
-// Lists that don't belong together must not end a daemon.
+// Lists of different lengths must not crash a daemon.
 func FuzzDecodeLoads(f *testing.F) {
 	seed, err := proto.Marshal(encodeLoads(balance.Loads{testEndpoint: {Requests: 3, PendingPrefill: 128}}))
 	assert.NilError(f, err)
--- a/internal/exchange/members.go
+++ b/internal/exchange/members.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// EncodeMember returns a member as an item of a list of members has it.
+// EncodeMember encodes a member as the Spec of an item in a list of members.
 func EncodeMember(m *membership.Member) ([]byte, error) {
 	text, err := proto.Marshal(encodeMember(m))
 	return text, Error.Wrap(err)
 }
 
-// DecodeMember reads an item of a list of members.
+// DecodeMember decodes the Spec of an item in a list of members.
 func DecodeMember(text []byte) (membership.Member, error) {
 	var m exchangepb.Member
 	if err := proto.Unmarshal(text, &m); err != nil {
--- a/internal/exchange/packing.go
+++ b/internal/exchange/packing.go
@@ -8,11 +8,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// minCompressedItems is the least number of items that are worth packing: entries are much
-// alike, and many take an eighth of their bytes.
+// minCompressedItems is the least number of items that are compressed. Items resemble each
+// other, so that many of them compress to an eighth of their size.
 const minCompressedItems = 16
 
-// encodeList encodes a list, packed where that is worth it and understood.
+// encodeList encodes a list, compressed if the receiver accepts that and there are enough
+// items.
 func encodeList(u *feed.Update, packed bool) *exchangepb.Feed {
 	out := encodeUpdate(u)
 	if !packed || len(out.Items) < minCompressedItems {
@@ -28,7 +29,8 @@
 	return out
 }
 
-// decodeList decodes a list. One that can't be unpacked is none: it is asked for again.
+// decodeList decodes a list. If it can't be decompressed, the result is an empty update at
+// the zero position, so that the whole list is requested again.
 func decodeList(f *exchangepb.Feed) feed.Update {
 	if len(f.GetPacked()) == 0 {
 		return decodeUpdate(f)
--- a/internal/exchange/packing_test.go
+++ b/internal/exchange/packing_test.go
@@ -10,7 +10,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/feed"
 )
 
-// Guards against a start in which a list of thousands goes to each daemon as it is.
+// Guards against sending a list of thousands of endpoints uncompressed to each daemon of a
+// fleet that starts.
 func TestLongListsAreCompressed(t *testing.T) {
 	u := feed.Update{To: feed.Position{Epoch: 1, Seq: 3000}, Full: true, Removed: []string{"gone"}}
 	for i := range 3000 {
--- a/internal/exchange/part.go
+++ b/internal/exchange/part.go
@@ -11,93 +11,100 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-// RequestCounts is the requests that began in a window of usage, by workspace.
+// RequestCounts is the number of requests started in a usage window, by workspace.
 type RequestCounts map[fleet.WorkspaceID]uint64
 
-// Report is one daemon's part.
+// Report is one daemon's state, as sent to a hub.
 type Report struct {
 	Daemon        fleet.DaemonID
-	ConfigVersion uint64 // of its configuration
+	ConfigVersion uint64 // of the daemon's configuration
 	Soft          relay.SoftState
-	Windows       map[uint64]RequestCounts // none: as told before
-	WallTime      time.Time                // the daemon's time of day
+	Windows       map[uint64]RequestCounts // by number of the window; empty: as in the last report
+	WallTime      time.Time                // by the daemon's clock
 	Holder        Holder
-	// EndpointsPosition is the hub's state of the list that the daemon has.
+	// EndpointsPosition is the position in the hub's list of endpoints that the daemon has
+	// reached.
 	EndpointsPosition feed.Position
-	// OmitLoads says that the sum may come without the endpoints' loads, which
-	// are most of its bytes: another hub tells them.
+	// OmitLoads means that the reply may omit the endpoints' loads, which are most of its
+	// bytes, since another hub sends them.
 	OmitLoads bool
-	// Fetches says that the daemon fetches configurations; one of an earlier
-	// release takes their texts with its sums.
+	// Fetches means that the daemon fetches configurations. A daemon of an earlier
+	// release gets them in the replies.
 	Fetches bool
-	// Crashes is what has changed of the endpoints' crashes since the hub was
-	// told last, and CrashesHave what the daemon has of the hub's.
+	// Crashes is the endpoint crashes that are new or changed since the last report to
+	// the hub. CrashesPosition is the position in the hub's table of crashes that the
+	// daemon has reached.
 	Crashes         []quarantine.Crash
 	CrashesPosition quarantine.Position
-	// Rollouts is what the daemon has counted of those under way, RolloutNews what it
-	// was told of them.
+	// Rollouts is the daemon's counts for the roll-outs in progress, and RolloutUpdate the
+	// newest update about them that it has received.
 	Rollouts      []rollout.Report
 	RolloutUpdate rollout.Update
-	// WantLevels asks for what the limits have left.
+	// WantLevels requests the remaining levels of the limits.
 	WantLevels bool
-	// Seq rises with each report; 0 of an earlier release.
+	// Seq increases with each report; it is 0 from an earlier release.
 	Seq uint64
-	// Backup says that another hub relays this report.
+	// Backup means that the receiver is the backup hub: another hub relays this report.
 	Backup bool
-	// IsHub says that the daemon relays reports, and needs no sums.
+	// IsHub means that the daemon relays reports, and needs no sums in the reply.
 	IsHub bool
-	// Relayed is what a hub was told since its last relay.
+	// Relayed is the reports that a hub has received since its last relay.
 	Relayed []RelayedReport
-	// AcceptsCompressed says that lists may be told packed.
+	// AcceptsCompressed means that lists in the reply may be compressed.
 	AcceptsCompressed bool
-	// Self is the daemon itself, as long as the hub may not know it; nil otherwise.
+	// Self is the daemon as a member, until the hub has answered a report; nil otherwise.
 	Self *membership.Member
-	// MembersPosition is the hub's state of the list of members that the daemon has.
+	// MembersPosition is the position in the hub's list of members that the daemon has
+	// reached.
 	MembersPosition feed.Position
 }
 
-// RelayedReport is a part that comes through a hub.
+// RelayedReport is a report that one hub relays to another.
 type RelayedReport struct {
 	Report
-	Age time.Duration // since the hub was told
-	// ChangedOnly says that only the spending that has changed is told.
+	Age time.Duration // since the relaying hub received it
+	// ChangedOnly means that Soft.Spent has only the workspaces whose spending has changed.
 	ChangedOnly bool
 }
 
-// Reply is what a hub answers: the sum of all others' parts.
+// Reply is a hub's reply to a report: sums over the reports of all other daemons, and
+// newer state of the fleet.
 type Reply struct {
 	ConfigVersion uint64 // of the hub's configuration
-	Config        []byte // of it, for a daemon that doesn't fetch
-	// ConfigRevision is the store's revision up to which the hub knows all versions,
-	// 0 where it has not listed them.
+	Config        []byte // text of the configuration, for a daemon that doesn't fetch
+	// ConfigRevision is the store's revision up to which the hub has all versions of the
+	// configuration, 0 if it has not listed them.
 	ConfigRevision uint64
-	Soft           relay.SoftState // Spent and Levels
-	Loads          *Loads          // nil where the report was brief
-	FleetTime      time.Time       // the fleet's time; zero where not known
+	Soft           relay.SoftState // Spent, Levels and Recent only
+	Loads          *Loads          // nil if the report had OmitLoads
+	FleetTime      time.Time       // median of the daemons' clocks; zero if unknown
 	Holder         Holder
-	// Endpoints leads to the hub's list.
+	// Endpoints updates the daemon's list of endpoints to the hub's.
 	Endpoints feed.Update
-	// Crashes leads to the hub's crashes of endpoints, at CrashesTo.
+	// Crashes updates the daemon's table of endpoint crashes to the hub's, up to
+	// CrashesPosition.
 	Crashes         []quarantine.Crash
 	CrashesPosition quarantine.Position
-	// RolloutUpdate is what the hub was told of the roll-outs.
+	// RolloutUpdate is the newest update about the roll-outs that the hub has.
 	RolloutUpdate rollout.Update
-	// Members leads to the hub's list of members; see EncodeMember.
+	// Members updates the daemon's list of members to the hub's; see EncodeMember.
 	Members feed.Update
-	// Compress says that long lists are told packed.
+	// Compress means that long lists are compressed when encoded.
 	Compress bool
-	// StoreAge is the time since the hub last heard from the store.
+	// StoreAge is the time since the hub last had an answer from the store, or from
+	// another hub that had one.
 	StoreAge time.Duration
 }
 
-// Holder is the daemon that does the duties under a lease; Token rises with
-// each acquisition. The zero value is none known.
+// Holder is the daemon that holds the lease of the fleet-wide duties. Token is the lease's
+// fencing token, which increases with each acquisition. The zero value means that the
+// holder is unknown.
 type Holder struct {
 	Daemon fleet.DaemonID
 	Token  uint64
 }
 
-// Newer returns the holder of the later acquisition.
+// Newer returns the holder with the later acquisition.
 func (h Holder) Newer(o Holder) Holder {
 	if o.Token > h.Token {
 		return o
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -16,7 +16,7 @@
 	return p
 }
 
-// relayAll gives one hub all that another has to relay since a turn.
+// relayAll relays one hub's reports after a cursor to another hub.
 func relayAll(from, to *Hub, now time.Time, since Cursor) []RelayedReport {
 	all := from.ReportsToRelay(now, since, since)
 	for i := range all {
@@ -25,8 +25,8 @@
 	return all
 }
 
-// Guards against spending that is counted twice or not at all where two hubs of a data
-// centre hear of it and one of them relays it.
+// Guards against spending that counts twice or not at all, where two hubs of a data centre
+// receive a report and one of them relays it.
 func TestRelayedPartsCountOnce(t *testing.T) {
 	first, second, far := NewHub(reportInterval), NewHub(reportInterval), NewHub(reportInterval)
 	spent := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
@@ -48,7 +48,7 @@
 	assert.Equal(t, far.RequestCounts(7)["w"], uint64(3))
 }
 
-// Guards against spending that is lost with a hub that died before it relayed it.
+// Guards against losing spending that a hub received but did not relay before it failed.
 func TestHubThatTakesOverRelaysAllSpending(t *testing.T) {
 	second, far := NewHub(reportInterval), NewHub(reportInterval)
 	both := map[fleet.WorkspaceID]float64{"v": 1, "w": 2}
@@ -64,7 +64,7 @@
 	assert.Equal(t, len(all[0].Soft.Spent), 2)
 }
 
-// A relay carries what changed alone; the rest stays as it was told before.
+// A relay must contain only what has changed, and the receiver must keep the rest.
 func TestRelayContainsOnlyChanges(t *testing.T) {
 	from, to := NewHub(reportInterval), NewHub(reportInterval)
 	from.Add(start, 0, sequencedReport("a", 1, false, map[fleet.WorkspaceID]float64{"v": 1, "w": 2}))
@@ -98,8 +98,8 @@
 	assert.DeepEqual(t, m, *p.Self)
 }
 
-// Guards against spending that is lost where a report comes while the hub relays: its
-// time is taken before its turn.
+// Guards against losing the spending in a report that arrives while the hub relays. Its
+// time is before that of the relay, though the hub adds it afterwards.
 func TestReportReceivedDuringARelayIsInTheNextOne(t *testing.T) {
 	from, to := NewHub(reportInterval), NewHub(reportInterval)
 	from.Add(start, 0, sequencedReport("a", 1, false, map[fleet.WorkspaceID]float64{"w": 2}))
@@ -111,7 +111,7 @@
 	assert.Equal(t, to.Spent(at, "x")["w"], 3.0)
 }
 
-// The interval of reports doesn't grow with a fleet whose hubs relay to each other.
+// The time between reports must not grow with a fleet whose hubs relay to each other.
 func TestReportIntervalInAMeshDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, daemons := range []int{300, 986, 1972, 4000} {
 		centre := daemons / 6
--- a/internal/exchange/server.go
+++ b/internal/exchange/server.go
@@ -11,15 +11,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// Handler answers other daemons.
+// Handler handles the calls of other daemons.
 type Handler interface {
-	// Report takes a report and returns the sum of all others'.
+	// Report handles a report and returns the reply.
 	Report(Report) Reply
 	// Fetch returns a piece of a configuration.
 	Fetch(spread.Want) (spread.Piece, error)
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve serves calls on a listener until the context ends.
 func Serve(ctx context.Context, l net.Listener, a Handler) error {
 	mux := drpcmux.New()
 	if err := exchangepb.DRPCRegisterExchange(mux, &server{handler: a}); err != nil {
--- a/internal/exchange/total.go
+++ b/internal/exchange/total.go
@@ -8,18 +8,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// loadTotal is the sum of all loads at a moment, from which one daemon's own is
-// taken off again: adding up all for each report would cost a hub time that
-// grows with the square of the fleet.
+// loadTotal is the sum of all daemons' loads at one time. Each reply has this sum and the
+// daemon's own part of it: summing the others' loads for each report separately would cost
+// a hub time that grows with the square of the fleet.
 type loadTotal struct {
 	at  time.Time
 	all balance.Loads
-	// encoded is load as it is told, made when it is asked for first.
+	// encoded is the encoded form of all, nil before its first use.
 	encoded  *exchangepb.Loads
 	byDaemon map[fleet.DaemonID]balance.Loads
 }
 
-// loadsFor returns the total of loadsFor with what one daemon's part added.
+// loadsFor returns the total for the reply to one daemon.
 func (t *loadTotal) loadsFor(id fleet.DaemonID) *Loads {
 	if t.encoded == nil {
 		t.encoded = encodeLoads(t.all)
