--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -12,10 +12,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// kept is the most removals that a Log stores. A reader that is further behind gets the
+// maxRemovals is the most removals that a Log stores. A reader that is further behind gets the
 // whole set, or the keys of all names. One that asks four times a second is that far
 // behind only after many seconds without an answer.
-const kept = 1024
+const maxRemovals = 1024
 
 // Position identifies the state that a reader has. The zero value is that of a reader
 // without any.
@@ -27,8 +27,8 @@
 	Revision uint64
 }
 
-// Unwanted is the position of a reader that wants no update.
-var Unwanted = Position{Epoch: math.MaxUint64}
+// NoUpdate is the position of a reader that wants no update.
+var NoUpdate = Position{Epoch: math.MaxUint64}
 
 // Item is a named value.
 type Item struct {
@@ -57,10 +57,10 @@
 
 // Log is the set together with its recent changes.
 type Log struct {
-	at      Position
-	items   map[string]entry
-	removed []removal // oldest first
-	oldest  uint64    // sequence number up to which removed may be incomplete
+	position   Position
+	items      map[string]entry
+	removed    []removal // oldest first
+	trimmedSeq uint64    // sequence number up to which removed may be incomplete
 }
 
 type entry struct {
@@ -77,30 +77,30 @@
 // NewLog returns an empty log. Its epoch must not be 0 and must differ from those of all
 // other logs.
 func NewLog(epoch uint64) *Log {
-	return &Log{at: Position{Epoch: epoch}, items: map[string]entry{}}
+	return &Log{position: Position{Epoch: epoch}, items: map[string]entry{}}
 }
 
 // Set replaces the set by items, which are complete up to a revision of the source. An
 // item with the same value as before doesn't count as a change.
 func (l *Log) Set(revision uint64, items []Item) {
-	l.at.Revision = revision
+	l.position.Revision = revision
 	there := make(map[string]bool, len(items))
 	for _, it := range items {
 		there[it.Name] = true
 		if old, ok := l.items[it.Name]; !ok || !bytes.Equal(old.spec, it.Spec) {
-			l.at.Seq++
-			l.items[it.Name] = entry{seq: l.at.Seq, revision: it.Revision, spec: it.Spec}
+			l.position.Seq++
+			l.items[it.Name] = entry{seq: l.position.Seq, revision: it.Revision, spec: it.Spec}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
 		if !there[name] {
-			l.at.Seq++
+			l.position.Seq++
 			delete(l.items, name)
-			l.removed = append(l.removed, removal{l.at.Seq, name})
+			l.removed = append(l.removed, removal{l.position.Seq, name})
 		}
 	}
-	if n := len(l.removed) - kept; n > 0 {
-		l.oldest = l.removed[n-1].seq
+	if n := len(l.removed) - maxRemovals; n > 0 {
+		l.trimmedSeq = l.removed[n-1].seq
 		l.removed = slices.Delete(l.removed, 0, n)
 	}
 }
@@ -113,22 +113,22 @@
 // time out and be requested again.
 func (l *Log) Since(p Position) Update {
 	switch {
-	case p == Unwanted:
+	case p == NoUpdate:
 		return Update{}
-	case p.Epoch == l.at.Epoch && p.Seq >= l.oldest && p.Seq <= l.at.Seq:
-		return l.changes(p.Seq)
+	case p.Epoch == l.position.Epoch && p.Seq >= l.trimmedSeq && p.Seq <= l.position.Seq:
+		return l.afterSeq(p.Seq)
 	case p.Revision > 0 && len(l.items) > 0:
-		return l.newer(p.Revision)
+		return l.afterRevision(p.Revision)
 	default:
-		u := l.newer(0)
+		u := l.afterRevision(0)
 		u.Full, u.Keys = true, nil
 		return u
 	}
 }
 
-// changes returns the changes of this log after a sequence number.
-func (l *Log) changes(seq uint64) Update {
-	u := Update{To: l.at}
+// afterSeq returns the afterSeq of this log after a sequence number.
+func (l *Log) afterSeq(seq uint64) Update {
+	u := Update{To: l.position}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
 		if e := l.items[name]; e.seq > seq {
 			u.Items = append(u.Items, Item{Name: name, Spec: e.spec, Revision: e.revision})
@@ -142,9 +142,9 @@
 	return u
 }
 
-// newer returns the items set after a revision of the source, and the keys of all names.
-func (l *Log) newer(revision uint64) Update {
-	u := Update{To: l.at, Keys: make([]rendezvous.Short, 0, len(l.items))}
+// afterRevision returns the items set after a revision of the source, and the keys of all names.
+func (l *Log) afterRevision(revision uint64) Update {
+	u := Update{To: l.position, Keys: make([]rendezvous.Short, 0, len(l.items))}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
 		e := l.items[name]
 		u.Keys = append(u.Keys, rendezvous.ShortOf(name))
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -16,7 +16,7 @@
 // Several readers get updates now and then, some after thousands of changes, some from a
 // new log, as when they switch to another daemon. After each update, a reader must have
 // the same items as the log.
-func TestReadersEndWithTheLogsState(t *testing.T) {
+func TestReadersReachTheLogsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type reader struct {
 			at   Position
@@ -31,7 +31,7 @@
 			case 0:
 				log = NewLog(uint64(step + 2))
 			case 1:
-				for i := range kept + 10 {
+				for i := range maxRemovals + 10 {
 					revision++
 					log.Set(revision, []Item{{Name: fmt.Sprint("x", i), Revision: revision}})
 				}
@@ -79,7 +79,7 @@
 
 // Guards against sending a daemon the items again that it has already listed from the
 // source itself, when it starts to follow a log.
-func TestKnownRevisionIsNotToldAgain(t *testing.T) {
+func TestUpdateOmitsItemsUpToAKnownRevision(t *testing.T) {
 	log := NewLog(1)
 	var items []Item
 	for i := range 1000 {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -15,17 +15,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// Pace controls how often a Follower calls the store.
-type Pace interface {
-	// Wait returns how long the store may hold a watch open until there is a change.
+// Timing controls how often a Follower calls the store.
+type Timing interface {
+	// WatchTimeout returns how long the store may hold a watch open until there is a change.
 	// Each watch is a billed call. A connection that becomes unresponsive meanwhile is
 	// detected by the keep-alive of the store's client.
-	Wait() time.Duration
-	// Together returns the delay between a change and the next watch. Changes in this
+	WatchTimeout() time.Duration
+	// BatchDelay returns the delay between a change and the next watch. Changes in this
 	// time come in one answer, which is billed once.
-	Together() time.Duration
-	// Pauses returns the bounds of the backoff after failed calls.
-	Pauses() Pauses
+	BatchDelay() time.Duration
+	// Backoff returns the bounds of the backoff after failed calls.
+	Backoff() Backoff
 }
 
 // Handler receives the objects and their changes. Its methods are called in order, from
@@ -38,37 +38,37 @@
 	Changed(changes []objects.Change, revision uint64)
 	// Lost is called when the store stops answering.
 	Lost(error)
-	// Returned is called when the store answers again, before the call with its answer.
+	// Recovered is called when the store answers again, before the call with its answer.
 	// failed is the time at which the last failed call began.
-	Returned(failed time.Time)
+	Recovered(failed time.Time)
 }
 
 // Follower tracks the objects of one kind.
 type Follower struct {
-	store   objects.Store
-	kind    string
-	handler Handler
-	pace    Pace
-	lost    atomic.Bool
-	failed  time.Time // at which the last failed call began
-	pause   time.Duration
-	contact *clock.Moment // time of the store's last answer
+	store      objects.Store
+	kind       string
+	handler    Handler
+	timing     Timing
+	lost       atomic.Bool
+	failedAt   time.Time // at which the last failed call began
+	backoff    time.Duration
+	lastAnswer *clock.Moment // time of the store's last answer
 	// revision is the store's revision up to which the handler has received everything.
 	revision atomic.Uint64
 }
 
 // New returns a Follower of the objects of a kind.
-func New(store objects.Store, kind string, h Handler, pace Pace) *Follower {
-	return &Follower{store: store, kind: kind, handler: h, pace: pace, contact: clock.NewMoment()}
+func New(store objects.Store, kind string, h Handler, pace Timing) *Follower {
+	return &Follower{store: store, kind: kind, handler: h, timing: pace, lastAnswer: clock.NewMoment()}
 }
 
 func (f *Follower) Kind() string { return f.kind }
 
-// never is the greatest age that Age returns, also before the first answer.
-const never = 24 * time.Hour
+// maxAge is the greatest age that Age returns, also before the first answer.
+const maxAge = 24 * time.Hour
 
 // Age returns how long ago the store last answered.
-func (f *Follower) Age() time.Duration { return min(time.Since(f.contact.Time()), never) }
+func (f *Follower) Age() time.Duration { return min(time.Since(f.lastAnswer.Time()), maxAge) }
 
 // Lost reports whether the last call failed.
 func (f *Follower) Lost() bool { return f.lost.Load() }
@@ -96,7 +96,7 @@
 		if err == nil {
 			f.revision.Store(after)
 		}
-		f.after(ctx, began, err)
+		f.backOff(ctx, began, err)
 	}
 }
 
@@ -107,51 +107,51 @@
 		return 0, err
 	}
 	if last := f.Revision(); last != 0 && objects.EraOf(revision) > objects.EraOf(last) && !f.lost.Swap(true) {
-		f.failed = began // the store came back from an older copy, so entries may have expired
+		f.failedAt = began // the store came back from an older copy, so entries may have expired
 	}
-	f.returned()
+	f.answered()
 	f.handler.Listed(all, revision)
 	return revision, nil
 }
 
 func (f *Follower) watch(ctx context.Context, after uint64) (uint64, error) {
-	changes, next, err := f.store.Watch(ctx, f.kind, after, f.pace.Wait())
+	changes, next, err := f.store.Watch(ctx, f.kind, after, f.timing.WatchTimeout())
 	if err != nil {
 		return after, err
 	}
 	back := f.lost.Load()
-	f.returned()
+	f.answered()
 	if len(changes) > 0 || back {
 		f.handler.Changed(changes, max(next, after))
-		pause.For(ctx, f.pace.Together())
+		pause.For(ctx, f.timing.BatchDelay())
 	}
 	return max(next, after), nil
 }
 
-// after waits after a failed call with exponential backoff and jitter. The wait counts from
+// backOff waits backOff a failed call with exponential backoff and jitter. The wait counts from
 // the start of the failed call, so that a call that took long before it failed is
 // followed by the next one at once.
-func (f *Follower) after(ctx context.Context, began time.Time, err error) {
+func (f *Follower) backOff(ctx context.Context, began time.Time, err error) {
 	if err == nil || ctx.Err() != nil {
-		f.pause = 0
+		f.backoff = 0
 		return
 	}
 	if errors.Is(err, objects.ErrGone) {
 		return
 	}
-	f.failed = began
+	f.failedAt = began
 	if !f.lost.Swap(true) {
 		f.handler.Lost(err)
 	}
-	p := f.pace.Pauses()
-	f.pause = min(max(2*f.pause, p.First), p.Last)
-	pause.For(ctx, f.pause/2+rand.N(f.pause)-time.Since(began))
+	p := f.timing.Backoff()
+	f.backoff = min(max(2*f.backoff, p.Min), p.Max)
+	pause.For(ctx, f.backoff/2+rand.N(f.backoff)-time.Since(began))
 }
 
-// returned records that the store has answered.
-func (f *Follower) returned() {
-	f.contact.Set(time.Now())
+// answered records that the store has answered.
+func (f *Follower) answered() {
+	f.lastAnswer.Set(time.Now())
 	if f.lost.Swap(false) {
-		f.handler.Returned(f.failed)
+		f.handler.Recovered(f.failedAt)
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -62,10 +62,10 @@
 	return all, a.revision, a.err
 }
 
-// heard is a Handler that records its calls.
-type heard struct{ lines []string }
+// recorder is a Handler that records its calls.
+type recorder struct{ lines []string }
 
-func (h *heard) Listed(all []objects.Object, _ uint64) {
+func (h *recorder) Listed(all []objects.Object, _ uint64) {
 	names := make([]string, len(all))
 	for i := range all {
 		names[i] = all[i].Name
@@ -73,7 +73,7 @@
 	h.lines = append(h.lines, "listed "+strings.Join(names, " "))
 }
 
-func (h *heard) Changed(all []objects.Change, _ uint64) {
+func (h *recorder) Changed(all []objects.Change, _ uint64) {
 	names := make([]string, len(all))
 	for i := range all {
 		names[i] = all[i].Object.Name
@@ -81,39 +81,39 @@
 	h.lines = append(h.lines, "changed "+strings.Join(names, " "))
 }
 
-func (h *heard) Lost(err error) { h.lines = append(h.lines, "lost: "+err.Error()) }
+func (h *recorder) Lost(err error) { h.lines = append(h.lines, "lost: "+err.Error()) }
 
-func (h *heard) Returned(time.Time) { h.lines = append(h.lines, "returned") }
+func (h *recorder) Recovered(time.Time) { h.lines = append(h.lines, "returned") }
 
-type pace struct{ pauses Pauses }
+type testTiming struct{ pauses Backoff }
 
-func (pace) Wait() time.Duration { return 3 * time.Second }
+func (testTiming) WatchTimeout() time.Duration { return 3 * time.Second }
 
-func (pace) Together() time.Duration { return 100 * time.Millisecond }
+func (testTiming) BatchDelay() time.Duration { return 100 * time.Millisecond }
 
-func (p pace) Pauses() Pauses { return p.pauses }
+func (p testTiming) Backoff() Backoff { return p.pauses }
 
 func always() bool { return true }
 
-// play runs a Follower against the script for a minute.
-func play(t *testing.T, s *script, h *heard) *Follower {
+// run runs a Follower against the script for a minute.
+func run(t *testing.T, s *script, h *recorder) *Follower {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	f := New(s, "things", h, pace{Often()})
+	f := New(s, "things", h, testTiming{FastBackoff()})
 	f.Run(ctx, s.from, always)
 	return f
 }
 
-func TestWatchGoesOnFromTheList(t *testing.T) {
+func TestWatchContinuesFromTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{
 			{changes: []string{"a", "b"}, revision: 7},
 			{changes: []string{"c"}, revision: 9},
 			{revision: 9},
 		}}
-		h := &heard{}
-		play(t, s, h)
+		h := &recorder{}
+		run(t, s, h)
 		assert.DeepEqual(t, h.lines, []string{"listed a b", "changed c"})
 		assert.DeepEqual(t, s.calls, []string{"list", "watch 7 for 3s", "watch 9 for 3s", "watch 9 for 3s"})
 	})
@@ -122,15 +122,15 @@
 // Guards against keeping endpoints that are gone, where the store discards its history
 // while a watch waits. The missed changes can't be fetched, so the follower must list
 // again.
-func TestLostHistoryIsListedAnew(t *testing.T) {
+func TestLostHistoryIsFollowedByANewList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{
 			{changes: []string{"a"}, revision: 7},
 			{err: objects.ErrGone},
 			{changes: []string{"b"}, revision: 20},
 		}}
-		h := &heard{}
-		play(t, s, h)
+		h := &recorder{}
+		run(t, s, h)
 		assert.DeepEqual(t, h.lines, []string{"listed a", "listed b"})
 		assert.DeepEqual(t, s.calls, []string{"list", "watch 7 for 3s", "list", "watch 20 for 3s"})
 	})
@@ -139,11 +139,11 @@
 // Guards against saturating the store and its network links for seconds, where a hundred
 // daemons start to watch the store at the same moment. Each has a list from another daemon
 // and must continue from that list's revision.
-func TestKnownRevisionIsGoneOnFrom(t *testing.T) {
+func TestFollowerContinuesFromAKnownRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{from: 7, answers: []answer{{changes: []string{"c"}, revision: 9}}}
-		h := &heard{}
-		play(t, s, h)
+		h := &recorder{}
+		run(t, s, h)
 		assert.DeepEqual(t, h.lines, []string{"changed c"})
 		assert.DeepEqual(t, s.calls, []string{"watch 7 for 3s", "watch 9 for 3s"})
 	})
@@ -152,7 +152,7 @@
 // The store doesn't answer some calls and recovers without a change. The handler must be
 // notified of both, once each: until it learns of the recovery, it treats its state as
 // stale.
-func TestOutageIsToldOnceAndItsEndToo(t *testing.T) {
+func TestOutageAndItsEndAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := errors.New("no answer")
 		s := &script{answers: []answer{
@@ -162,48 +162,48 @@
 			{after: time.Second, revision: 7},
 			{after: time.Second, revision: 7},
 		}}
-		h := &heard{}
-		play(t, s, h)
+		h := &recorder{}
+		run(t, s, h)
 		assert.DeepEqual(t, h.lines, []string{"listed a", "lost: no answer", "returned", "changed "})
 	})
 }
 
 // Guards against receiving old changes as new ones, where an answer repeats or lowers the
 // revision. The next watch must not start from an earlier revision.
-func TestRevisionNeverFalls(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{
 			{revision: 7}, {changes: []string{"a"}, revision: 9}, {changes: []string{"b"}, revision: 3},
 		}}
-		play(t, s, &heard{})
+		run(t, s, &recorder{})
 		assert.DeepEqual(t, s.calls, []string{"list", "watch 7 for 3s", "watch 9 for 3s", "watch 9 for 3s"})
 	})
 }
 
 // Guards against calling a store that fails at once in a busy loop: all daemons share its
 // rate limit, and each call is billed.
-func TestFailedCallsAreSpaced(t *testing.T) {
+func TestFailedCallsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{}
 		for range 1000 {
 			s.answers = append(s.answers, answer{err: errors.New("status 503")})
 		}
-		play(t, s, &heard{})
+		run(t, s, &recorder{})
 		assert.Assert(t, len(s.calls) > 60 && len(s.calls) < 400, "%d calls in a minute", len(s.calls))
 	})
 }
 
-// stamped records the time of the last change.
-type stamped struct {
-	heard
+// timeRecorder records the time of the last change.
+type timeRecorder struct {
+	recorder
 	at time.Time
 }
 
-func (s *stamped) Changed([]objects.Change, uint64) { s.at = time.Now() }
+func (s *timeRecorder) Changed([]objects.Change, uint64) { s.at = time.Now() }
 
 // Guards against a late recovery, where the backoff is added to the time that a call took
 // before it failed.
-func TestCallThatWasLongInVainIsFollowedByTheNextAtOnce(t *testing.T) {
+func TestLongFailedCallIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silent, calls = 2 * time.Second, 5
 		s := &script{answers: []answer{{revision: 7}}}
@@ -211,23 +211,23 @@
 			s.answers = append(s.answers, answer{after: silent, err: errors.New("no answer")})
 		}
 		s.answers = append(s.answers, answer{changes: []string{"a"}, revision: 9})
-		h := &stamped{}
+		h := &timeRecorder{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		began := time.Now()
-		New(s, "things", h, pace{Often()}).Run(ctx, 0, always)
+		New(s, "things", h, testTiming{FastBackoff()}).Run(ctx, 0, always)
 		assert.Equal(t, h.at.Sub(began), calls*silent)
 	})
 }
 
-// refusing is a store whose lists fail until a time.
-type refusing struct {
+// failingStore is a store whose lists fail until a time.
+type failingStore struct {
 	objects.Store
 	back  time.Time
 	calls *atomic.Int64
 }
 
-func (r refusing) List(ctx context.Context, _ string) ([]objects.Object, uint64, error) {
+func (r failingStore) List(ctx context.Context, _ string) ([]objects.Object, uint64, error) {
 	r.calls.Add(1)
 	if time.Now().Before(r.back) {
 		return nil, 0, errors.New("status 503")
@@ -235,7 +235,7 @@
 	return nil, 7, nil
 }
 
-func (r refusing) Watch(ctx context.Context, _ string, _ uint64, wait time.Duration) ([]objects.Change, uint64, error) {
+func (r failingStore) Watch(ctx context.Context, _ string, _ uint64, wait time.Duration) ([]objects.Change, uint64, error) {
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -246,7 +246,7 @@
 // The store rejects all calls for ten seconds, and all daemons of a fleet call it. The
 // rate of failed calls must not grow with the fleet, and each daemon must have its list
 // soon after the store recovers.
-func TestFleetThatLostTheStoreCallsItSeldom(t *testing.T) {
+func TestFleetBackoffBoundsCallsDuringAnOutage(t *testing.T) {
 	for _, daemons := range []int{30, 195, 340} {
 		synctest.Test(t, func(t *testing.T) {
 			const outage = 10 * time.Second
@@ -255,7 +255,7 @@
 			defer cancel()
 			var followers []*Follower
 			for range daemons {
-				f := New(refusing{back: time.Now().Add(outage), calls: calls}, "things", &heard{}, pace{Seldom(daemons)})
+				f := New(failingStore{back: time.Now().Add(outage), calls: calls}, "things", &recorder{}, testTiming{FleetBackoff(daemons)})
 				followers = append(followers, f)
 				go f.Run(ctx, 0, always)
 			}
@@ -275,10 +275,10 @@
 
 // Guards against a watch that is billed but not used, where a daemon lists the objects and
 // then relies on another daemon for changes.
-func TestNoWatchIsBegunThatIsNotDue(t *testing.T) {
+func TestNoWatchStartsThatIsNotDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []answer{{changes: []string{"a"}, revision: 7}, {revision: 7}}}
-		f := New(s, "things", &heard{}, pace{Often()})
+		f := New(s, "things", &recorder{}, testTiming{FastBackoff()})
 		f.Run(t.Context(), 0, func() bool { return f.Revision() == 0 })
 		assert.DeepEqual(t, s.calls, []string{"list"})
 	})
--- a/internal/gossip/check.go
+++ b/internal/gossip/check.go
@@ -9,7 +9,7 @@
 // Bounds on the values in a datagram. A larger value can only come from a fault, and
 // would spread to the member tables of all daemons and stay there.
 const (
-	maxName        = 64      // bytes of an ID, a name or an address; a UUID has 36, and two records still fit into a packet
+	maxNameBytes   = 64      // bytes of an ID, a name or an address; a UUID has 36, and two records still fit into a packet
 	maxIncarnation = 1 << 60 // incarnations are start times in Unix ms, which need 41 bits
 )
 
@@ -21,7 +21,7 @@
 	if len(p.Digest.Payload) > membership.MaxDigestPayload {
 		return Error.New("digest payload has %d bytes", len(p.Digest.Payload))
 	}
-	if len(p.Subject) > maxName {
+	if len(p.Subject) > maxNameBytes {
 		return Error.New("subject has %d bytes", len(p.Subject))
 	}
 	if p.Kind == membership.PingRequest && !isAddress(p.Address) {
@@ -41,7 +41,7 @@
 			return err
 		}
 	}
-	return checkPlaces(p)
+	return checkRegional(p)
 }
 
 func checkUpdate(u *membership.Update) error {
@@ -61,13 +61,13 @@
 	if !isName(string(r.Daemon)) || !isName(string(r.DataCentre)) || !isName(string(r.Region)) {
 		return Error.New("record of %q lacks a name", u.Instance)
 	}
-	if !isAddress(r.Peer) || len(r.Caller) > maxName {
+	if !isAddress(r.Peer) || len(r.Caller) > maxNameBytes {
 		return Error.New("record of %q has a bad address", u.Instance)
 	}
 	return nil
 }
 
-func checkPlaces(p *membership.Packet) error {
+func checkRegional(p *membership.Packet) error {
 	for _, d := range p.DataCentres {
 		if !isName(string(d.DataCentre)) || !isName(string(d.Region)) || d.Version > maxIncarnation {
 			return Error.New("data centre %q is malformed", d.DataCentre)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func isName(s string) bool { return s != "" && len(s) <= maxName }
+func isName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
 func isAddress(s string) bool {
 	a, err := netip.ParseAddrPort(s)
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -48,7 +48,7 @@
 		}
 		return u
 	})
-	genPlace = rapid.Custom(func(t *rapid.T) membership.DataCentreUpdate {
+	genDataCentre = rapid.Custom(func(t *rapid.T) membership.DataCentreUpdate {
 		return membership.DataCentreUpdate{
 			DataCentre: fleet.DataCentre(genName.Draw(t, "data centre")),
 			Region:     fleet.Region(genName.Draw(t, "region")),
@@ -80,7 +80,7 @@
 		},
 		Heartbeats:  rapid.SliceOfN(genBeat, 0, 3).Draw(t, "beats"),
 		Updates:     rapid.SliceOfN(genUpdate, 0, 5).Draw(t, "updates"),
-		DataCentres: rapid.SliceOfN(genPlace, 0, 3).Draw(t, "data centres"),
+		DataCentres: rapid.SliceOfN(genDataCentre, 0, 3).Draw(t, "data centres"),
 	}
 	if p.Kind == membership.SyncRequest {
 		p.Buckets = rapid.SliceOfN(rapid.Byte(), membership.BucketCount, membership.BucketCount).Draw(t, "buckets")
@@ -88,7 +88,7 @@
 	return p
 }
 
-func TestPacketsSurviveTheWireWithinTheirSize(t *testing.T) {
+func TestPacketsRoundTripWithinTheirSizeBound(t *testing.T) {
 	// Guards against IP fragmentation, where the loss of any fragment loses the packet.
 	// Membership keeps packets below 1200 bytes by Packet.Size, its own bound on their
 	// encoded size, so the codec must not exceed that bound.
@@ -120,7 +120,7 @@
 	assert.DeepEqual(t, a, b)
 }
 
-func TestMalformedPacketsAreRefused(t *testing.T) {
+func TestMalformedPacketsAreRejected(t *testing.T) {
 	good := func() *membership.Packet {
 		return &membership.Packet{Kind: membership.Ping, From: membership.Sender{Instance: "i", Incarnation: 1}}
 	}
@@ -155,7 +155,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestOnlyDatagramsOfOurKeysAreOpened(t *testing.T) {
+func TestOnlyDatagramsSealedWithAConfiguredKeyAreOpened(t *testing.T) {
 	plain, sealed := mustSealer(t, Keys{}), mustSealer(t, Keys{Primary: key})
 	other := mustSealer(t, Keys{Primary: otherKey})
 	rotating := mustSealer(t, Keys{Primary: otherKey, Secondary: key})
--- a/internal/gossip/node_bench_test.go
+++ b/internal/gossip/node_bench_test.go
@@ -20,10 +20,10 @@
 	const count, seconds = 34, 5
 	nodes := startNodes(b, count)
 	for b.Loop() {
-		before, cpu := total(nodes), processTime(b)
+		before, cpu := totalStats(nodes), cpuTime(b)
 		time.Sleep(seconds * time.Second)
-		after := total(nodes)
-		b.ReportMetric(float64(processTime(b)-cpu)/count/seconds, "cpu-ns/s")
+		after := totalStats(nodes)
+		b.ReportMetric(float64(cpuTime(b)-cpu)/count/seconds, "cpu-ns/s")
 		b.ReportMetric(float64(after.Busy-before.Busy)/count/seconds, "busy-ns/s")
 		b.ReportMetric(float64(after.BytesOut-before.BytesOut)/count/seconds, "B/s")
 		b.ReportMetric(float64(after.PacketsOut-before.PacketsOut)/count/seconds, "msgs/s")
@@ -60,7 +60,7 @@
 	return nodes
 }
 
-func total(nodes []*Node) Stats {
+func totalStats(nodes []*Node) Stats {
 	var sum Stats
 	for _, n := range nodes {
 		s := n.Stats()
@@ -71,8 +71,8 @@
 	return sum
 }
 
-// processTime returns the user and system CPU time of the process.
-func processTime(b *testing.B) time.Duration {
+// cpuTime returns the user and system CPU time of the process.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -65,7 +65,7 @@
 	return m.State
 }
 
-func TestNodesJoinLeaveAndDepartOverSealedUDP(t *testing.T) {
+func TestNodesJoinLeaveAndCloseOverEncryptedUDP(t *testing.T) {
 	keys := func() Keys { return Keys{Primary: key} }
 	first := startNode(t, 0, listen(t), keys)
 	nodes := []*Node{first, startNode(t, 1, listen(t), keys, first.address()), startNode(t, 2, listen(t), keys, first.address())}
@@ -91,7 +91,7 @@
 	assert.Equal(t, s.Foreign+s.Malformed+s.SendErrors+s.KeyErrors, uint64(0))
 }
 
-func TestNodeWithAnAddressThatOthersWouldRefuseDoesNotStart(t *testing.T) {
+func TestNodeWithAnInvalidAddressDoesNotStart(t *testing.T) {
 	self := membership.Member{Instance: "i", Daemon: "d", Peer: "0.0.0.0:7946", DataCentre: "dc", Region: "r"}
 	m := membership.New(membership.Config{}, self, rand.New(rand.NewPCG(1, 1)))
 	_, err := Start(Options{Membership: m})
--- a/internal/gossip/owner.go
+++ b/internal/gossip/owner.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// own runs the goroutine that owns the Membership.
-func (n *Node) own() {
+// runOwner runs the goroutine that owns the Membership.
+func (n *Node) runOwner() {
 	defer n.done.Done()
 	ticker := time.NewTimer(pause.ToNext(tickInterval))
 	defer ticker.Stop()
@@ -26,26 +26,26 @@
 				keysAt = now
 				n.reloadKeys()
 			}
-			n.step(n.members.Tick)
+			n.handle(n.members.Tick)
 		case p := <-n.inbound.C():
-			n.step(func(now time.Time) []membership.Action { return n.members.Receive(now, p) })
+			n.handle(func(now time.Time) []membership.Action { return n.members.Receive(now, p) })
 		case c := <-n.commands:
-			n.step(c.run)
+			n.handle(c.run)
 			close(c.done)
 		}
 	}
 }
 
-// step passes one event to the Membership and carries out the resulting actions.
-func (n *Node) step(event func(time.Time) []membership.Action) {
+// handle passes one event to the Membership and carries out the resulting actions.
+func (n *Node) handle(event func(time.Time) []membership.Action) {
 	start := n.opts.Now()
 	for _, a := range event(start) {
-		n.carryOut(a)
+		n.perform(a)
 	}
 	n.counters.busy.Add(int64(n.opts.Now().Sub(start)))
 }
 
-func (n *Node) carryOut(a membership.Action) {
+func (n *Node) perform(a membership.Action) {
 	if s, ok := a.(membership.Send); ok {
 		n.send(s)
 		return
--- a/internal/gossip/reader.go
+++ b/internal/gossip/reader.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// readPause is the time between reads of a socket that returns errors, which would
+// readRetryDelay is the time between reads of a socket that returns errors, which would
 // otherwise be a busy loop.
-const readPause = 100 * time.Millisecond
+const readRetryDelay = 100 * time.Millisecond
 
-// read runs the goroutine that receives datagrams.
-func (n *Node) read() {
+// runReader runs the goroutine that receives datagrams.
+func (n *Node) runReader() {
 	defer n.done.Done()
 	buffer := make([]byte, readBuffer)
 	for {
@@ -20,7 +20,7 @@
 			return
 		}
 		if err != nil {
-			if n.pause() {
+			if n.waitToRetry() {
 				return
 			}
 			continue
@@ -31,12 +31,12 @@
 	}
 }
 
-// pause waits for readPause and reports whether the Node is closing.
-func (n *Node) pause() bool {
+// waitToRetry waits for readPause and reports whether the Node is closing.
+func (n *Node) waitToRetry() bool {
 	select {
 	case <-n.closing:
 		return true
-	case <-time.After(readPause):
+	case <-time.After(readRetryDelay):
 		return false
 	}
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -69,8 +69,8 @@
 	c.node.say("configuration").WithError(err).Warn("store lost")
 }
 
-// Returned implements follow.Handler.
-func (c *configuration) Returned(time.Time) { c.node.say("configuration").Info("store is back") }
+// Recovered implements follow.Handler.
+func (c *configuration) Recovered(time.Time) { c.node.say("configuration").Info("store is back") }
 
 func (c *configuration) take(o objects.Object) {
 	if o.Name == c.node.platform.ConfigName {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -152,8 +152,8 @@
 // Lost implements follow.Handler.
 func (d *endpointDuty) Lost(err error) { d.node.say("endpoints").WithError(err).Warn("store lost") }
 
-// Returned implements follow.Handler.
-func (d *endpointDuty) Returned(failed time.Time) {
+// Recovered implements follow.Handler.
+func (d *endpointDuty) Recovered(failed time.Time) {
 	d.node.say("endpoints").Info("store is back")
 	d.update(func(time.Time) { d.roster.Returned(failed) })
 }
@@ -265,7 +265,7 @@
 
 // since returns what leads another daemon to this one's list.
 func (d *endpointDuty) since(p feed.Position) feed.Update {
-	if p == feed.Unwanted {
+	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
 	d.mu.Lock()
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -126,7 +126,7 @@
 	assert.Equal(t, len(addresses(d)), 1, "a hub's older list")
 	assert.Equal(t, d.upTo(), uint64(9))
 
-	d.Returned(time.Now())
+	d.Recovered(time.Now())
 	d.Changed([]objects.Change{{Object: entry("a", "a", 3)}, {Object: entry("a", "a", 3), Deleted: true}}, 9)
 	assert.Equal(t, len(addresses(d)), 1, "the same told again")
 	d.Changed([]objects.Change{{Object: entry("a", "a", 12)}}, 12)
--- a/internal/node/introducing.go
+++ b/internal/node/introducing.go
@@ -31,7 +31,7 @@
 
 // since returns what leads another daemon to this hub's list of members.
 func (i *introducing) since(now time.Time, p feed.Position) feed.Update {
-	if p == feed.Unwanted {
+	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
 	if view := i.node.members.gossip.View(); view != i.view && now.Sub(i.at) >= membersInterval {
@@ -70,7 +70,7 @@
 // tells it or it was told a short while ago.
 func (i *introducing) position(address string, wanted bool) feed.Position {
 	if !wanted || time.Since(i.asks[address]) < listInterval {
-		return feed.Unwanted
+		return feed.NoUpdate
 	}
 	return i.told[address]
 }
--- a/internal/node/lister.go
+++ b/internal/node/lister.go
@@ -48,17 +48,17 @@
 	late := t.node.endpoints.late()
 	switch {
 	case t.node.endpoints.due() && !late:
-		return feed.Unwanted
+		return feed.NoUpdate
 	case !t.node.endpoints.known() && !late && !t.mayList(address):
-		return feed.Unwanted
+		return feed.NoUpdate
 	case t.lister == "" && !t.follows(l, address):
-		return feed.Unwanted // all there is comes from one hub
+		return feed.NoUpdate // all there is comes from one hub
 	case t.lister == "":
 		return feed.Position{Revision: t.node.endpoints.upTo()}
 	case t.lister == address && t.listsOften(l):
 		return t.listed
 	default:
-		return feed.Unwanted
+		return feed.NoUpdate
 	}
 }
 
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -282,9 +282,9 @@
 // restingPace makes a follower of a test wait for long.
 type restingPace struct{}
 
-func (restingPace) Wait() time.Duration     { return time.Hour }
-func (restingPace) Together() time.Duration { return 0 }
-func (restingPace) Pauses() follow.Pauses   { return follow.Often() }
+func (restingPace) WatchTimeout() time.Duration { return time.Hour }
+func (restingPace) BatchDelay() time.Duration   { return 0 }
+func (restingPace) Backoff() follow.Backoff     { return follow.FastBackoff() }
 
 // Guards against a holder that holds its lease again after a lapse and whose words are taken for older ones.
 func TestWordsOfALeaseThatIsHeldAgainCount(t *testing.T) {
--- a/internal/node/rolloutorders.go
+++ b/internal/node/rolloutorders.go
@@ -16,8 +16,8 @@
 // store is a part of its word.
 type orderPace struct{ *watching }
 
-// Wait implements follow.Pace.
-func (p orderPace) Wait() time.Duration { return min(hubWait, p.watching.Wait()) }
+// WatchTimeout implements follow.Pace.
+func (p orderPace) WatchTimeout() time.Duration { return min(hubWait, p.watching.WatchTimeout()) }
 
 // rolloutOrders is what a decider is told: orders by the store's follower, reports
 // by the peers' goroutines.
@@ -90,8 +90,8 @@
 // Lost implements follow.Handler.
 func (r *rolloutOrders) Lost(err error) { r.log.WithError(err).Warn("store lost") }
 
-// Returned implements follow.Handler.
-func (r *rolloutOrders) Returned(time.Time) { r.log.Info("store is back") }
+// Recovered implements follow.Handler.
+func (r *rolloutOrders) Recovered(time.Time) { r.log.Info("store is back") }
 
 // hear takes a daemon's reports.
 func (r *rolloutOrders) hear(daemon fleet.DaemonID, all []rollout.Report) {
--- a/internal/node/watching.go
+++ b/internal/node/watching.go
@@ -150,13 +150,13 @@
 	return !w.follows() && !w.gathers() && time.Since(w.node.started) > firstWatch
 }
 
-// Wait implements follow.Pace.
-func (w *watching) Wait() time.Duration {
+// WatchTimeout implements follow.Pace.
+func (w *watching) WatchTimeout() time.Duration {
 	most := hubWait
 	if w.small() {
 		most = longWait
 	}
-	return watchWait(most, w.Together(), w.node.contact())
+	return watchWait(most, w.BatchDelay(), w.node.contact())
 }
 
 // watchWait returns how long a watch waits that may begin a pause after its
@@ -169,21 +169,21 @@
 	return max(leastWait, min(most, found-pause-objects.WatchSlack))
 }
 
-// Together implements follow.Pace.
-func (w *watching) Together() time.Duration {
+// BatchDelay implements follow.Pace.
+func (w *watching) BatchDelay() time.Duration {
 	if time.Since(w.node.started) < startTime {
 		return togetherAtStart
 	}
 	return together
 }
 
-// Pauses implements follow.Pace: the whole fleet waits for a hub's word that the
+// Backoff implements follow.Pace: the whole fleet waits for a hub's word that the
 // store is back, and nobody for another daemon's.
-func (w *watching) Pauses() follow.Pauses {
+func (w *watching) Backoff() follow.Backoff {
 	if w.follows() {
-		return follow.Seldom(w.node.members.number())
+		return follow.FleetBackoff(w.node.members.number())
 	}
-	return follow.Often()
+	return follow.FastBackoff()
 }
 
 // run follows a kind for as long as that is due, again and again. from is asked
--- a/internal/node/watching_test.go
+++ b/internal/node/watching_test.go
@@ -31,7 +31,7 @@
 			for _, pause := range []time.Duration{together, togetherAtStart} {
 				wait := watchWait(most, pause, contact)
 				assert.Check(t, wait <= most && wait >= leastWait, "%v", wait)
-				again := pause + wait + objects.WatchSlack + 3*follow.Often().First/2
+				again := pause + wait + objects.WatchSlack + 3*follow.FastBackoff().Min/2
 				assert.Check(t, again < contact, "the store is asked again after %v of %v", again, contact)
 			}
 		}
