--- a/internal/exchange/checkpoint.go
+++ b/internal/exchange/checkpoint.go
@@ -15,8 +15,8 @@
 // Checkpoint returns the requests started in a window and those after it.
 func (h *Hub) Checkpoint(from uint64) Checkpoint {
 	out := Checkpoint{}
-	for id, p := range h.daemons {
-		windows := maps.Clone(p.report.Windows)
+	for id, d := range h.daemons {
+		windows := maps.Clone(d.report.Windows)
 		maps.DeleteFunc(windows, func(w uint64, _ RequestCounts) bool { return w < from })
 		if len(windows) > 0 {
 			out[id] = windows
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -67,16 +67,16 @@
 // Report sends a report to a hub and returns the hub's reply. It closes the connection if
 // the call fails, so that an unresponsive one isn't reused.
 func (c *Client) Report(ctx context.Context, address string, p *Report) (Reply, error) {
-	var sum Reply
+	var reply Reply
 	err := c.call(ctx, connKey{address: address}, func(ctx context.Context, hub exchangepb.DRPCExchangeClient) error {
 		totals, err := hub.Tell(ctx, encodeReport(p))
 		if err != nil {
 			return err
 		}
-		sum = decodeReply(totals)
+		reply = decodeReply(totals)
 		return nil
 	})
-	return sum, err
+	return reply, err
 }
 
 // Fetch requests a piece of a configuration from a daemon.
@@ -94,78 +94,78 @@
 }
 
 // call calls f with a client on the connection of a key, within the bounds of progress.
-func (c *Client) call(ctx context.Context, r connKey, f func(context.Context, exchangepb.DRPCExchangeClient) error) error {
-	conn, err := c.conn(ctx, r)
+func (c *Client) call(ctx context.Context, key connKey, f func(context.Context, exchangepb.DRPCExchangeClient) error) error {
+	conn, err := c.conn(ctx, key)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	b := c.boundsFor(r)
+	b := c.boundsFor(key)
 	ctx, cancel := progress.Within(ctx, conn.received, b)
 	defer cancel()
-	before := conn.received.Bytes()
+	receivedBefore := conn.received.Bytes()
 	err = f(ctx, exchangepb.NewDRPCExchangeClient(conn))
-	came := conn.received.Bytes() - before
-	c.adjustFirstWait(r, b, came)
+	received := conn.received.Bytes() - receivedBefore
+	c.adjustFirstWait(key, b, received)
 	if err != nil {
-		c.drop(r, conn)
-		return Error.New("after %d bytes of the answer: %w", came, progress.Ended(ctx, err))
+		c.drop(key, conn)
+		return Error.New("after %d bytes of the answer: %w", received, progress.Ended(ctx, err))
 	}
 	return nil
 }
 
 // boundsFor returns the bounds of the next call on a connection.
-func (c *Client) boundsFor(r connKey) progress.Bounds {
+func (c *Client) boundsFor(key connKey) progress.Bounds {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := defaultBounds
-	b.First = max(b.First, c.firstWaits[r])
+	b.First = max(b.First, c.firstWaits[key])
 	return b
 }
 
 // adjustFirstWait sets how long the next call waits for the first byte, from the bytes
 // that the last call received. If there were none, the next call waits twice as long:
 // otherwise a hub that needs longer to make a long list would start over with each call.
-func (c *Client) adjustFirstWait(r connKey, b progress.Bounds, came int64) {
+func (c *Client) adjustFirstWait(key connKey, b progress.Bounds, received int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if came > 0 {
-		delete(c.firstWaits, r)
+	if received > 0 {
+		delete(c.firstWaits, key)
 		return
 	}
-	c.firstWaits[r] = min(2*b.First, b.Total)
+	c.firstWaits[key] = min(2*b.First, b.Total)
 }
 
 // KeepOnly closes the connections for reports to all but the given addresses.
 func (c *Client) KeepOnly(addresses []string) {
-	c.closeWhere(func(r connKey) bool { return !r.fetch && !slices.Contains(addresses, r.address) })
+	c.closeWhere(func(key connKey) bool { return !key.fetch && !slices.Contains(addresses, key.address) })
 }
 
 // CloseFetches closes the connections for fetches. They aren't kept, since configurations
 // change seldom.
-func (c *Client) CloseFetches() { c.closeWhere(func(r connKey) bool { return r.fetch }) }
+func (c *Client) CloseFetches() { c.closeWhere(func(key connKey) bool { return key.fetch }) }
 
-func (c *Client) closeWhere(which func(connKey) bool) {
+func (c *Client) closeWhere(match func(connKey) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.firstWaits, func(r connKey, _ time.Duration) bool { return which(r) })
-	for r, conn := range c.conns {
-		if which(r) {
-			delete(c.conns, r)
+	maps.DeleteFunc(c.firstWaits, func(key connKey, _ time.Duration) bool { return match(key) })
+	for key, conn := range c.conns {
+		if match(key) {
+			delete(c.conns, key)
 			_ = conn.Close()
 		}
 	}
 }
 
-func (c *Client) conn(ctx context.Context, r connKey) (*connection, error) {
+func (c *Client) conn(ctx context.Context, key connKey) (*connection, error) {
 	c.mu.Lock()
-	conn := c.conns[r]
+	conn := c.conns[key]
 	c.mu.Unlock()
 	if conn != nil {
 		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, ReplyTimeout)
 	defer cancel()
-	raw, err := c.Dial(ctx, r.address)
+	raw, err := c.Dial(ctx, key.address)
 	if err != nil {
 		return nil, err
 	}
@@ -173,14 +173,14 @@
 	conn = &connection{drpcconn.New(counted), &counted.Meter}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.conns[r] = conn
+	c.conns[key] = conn
 	return conn, nil
 }
 
-func (c *Client) drop(r connKey, conn *connection) {
+func (c *Client) drop(key connKey, conn *connection) {
 	c.mu.Lock()
-	if c.conns[r] == conn {
-		delete(c.conns, r)
+	if c.conns[key] == conn {
+		delete(c.conns, key)
 	}
 	c.mu.Unlock()
 	_ = conn.Close()
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -12,43 +12,43 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-func encodeReport(p *Report) *exchangepb.Report {
+func encodeReport(r *Report) *exchangepb.Report {
 	out := &exchangepb.Report{
-		Daemon:        string(p.Daemon),
-		ConfigVersion: p.ConfigVersion,
-		Spent:         encodeAmounts(p.Soft.Spent),
-		Loads:         encodeLoads(p.Soft.Load),
-		WantLevels:    p.WantLevels,
-		Fetches:       p.Fetches,
-		Recent:        p.Soft.JustStarted,
-		WallMs:        p.WallTime.UnixMilli(),
-		Holder:        encodeHolder(p.Holder),
-		Endpoints:     encodePosition(p.EndpointsPosition),
-		Brief:         p.OmitLoads,
-		Crashes:       quarantinepb.Encode(p.Crashes),
-		CrashesHave:   quarantinepb.EncodePosition(p.CrashesPosition),
-		Rollouts:      encodeRolloutReports(p.Rollouts),
-		RolloutNews:   encodeRolloutUpdate(&p.RolloutUpdate),
-		Seq:           p.Seq,
-		Spare:         p.Backup,
-		Hub:           p.IsHub,
-		Members:       encodePosition(p.MembersPosition),
-		Unpacks:       p.AcceptsCompressed,
-	}
-	if p.Self != nil {
-		out.Self = encodeMember(p.Self)
-	}
-	for i := range p.Relayed {
-		out.Relayed = append(out.Relayed, encodeRelayed(&p.Relayed[i]))
-	}
-	for service, w := range p.Soft.Work {
+		Daemon:        string(r.Daemon),
+		ConfigVersion: r.ConfigVersion,
+		Spent:         encodeAmounts(r.Soft.Spent),
+		Loads:         encodeLoads(r.Soft.Load),
+		WantLevels:    r.WantLevels,
+		Fetches:       r.Fetches,
+		Recent:        r.Soft.JustStarted,
+		WallMs:        r.WallTime.UnixMilli(),
+		Holder:        encodeHolder(r.Holder),
+		Endpoints:     encodePosition(r.EndpointsPosition),
+		Brief:         r.OmitLoads,
+		Crashes:       quarantinepb.Encode(r.Crashes),
+		CrashesHave:   quarantinepb.EncodePosition(r.CrashesPosition),
+		Rollouts:      encodeRolloutReports(r.Rollouts),
+		RolloutNews:   encodeRolloutUpdate(&r.RolloutUpdate),
+		Seq:           r.Seq,
+		Spare:         r.Backup,
+		Hub:           r.IsHub,
+		Members:       encodePosition(r.MembersPosition),
+		Unpacks:       r.AcceptsCompressed,
+	}
+	if r.Self != nil {
+		out.Self = encodeMember(r.Self)
+	}
+	for i := range r.Relayed {
+		out.Relayed = append(out.Relayed, encodeRelayed(&r.Relayed[i]))
+	}
+	for service, w := range r.Soft.Work {
 		out.Works = append(out.Works, &exchangepb.Work{
 			Service: service, Requests: uint64(w.Requests), Refused: uint64(w.Refused), Hold: w.SlotSeconds, Read: w.Prefill, Prompt: w.Prompt,
 		})
 	}
-	for id, begun := range p.Windows {
+	for id, counts := range r.Windows {
 		w := &exchangepb.Window{Id: id}
-		for name, n := range begun {
+		for name, n := range counts {
 			w.Begun = append(w.Begun, &exchangepb.Amount{Name: string(name), Amount: float64(n)})
 		}
 		out.Windows = append(out.Windows, w)
@@ -56,58 +56,58 @@
 	return out
 }
 
-func decodeReport(r *exchangepb.Report) Report {
-	p := Report{
-		Daemon:        fleet.DaemonID(r.Daemon),
-		ConfigVersion: r.ConfigVersion,
+func decodeReport(in *exchangepb.Report) Report {
+	out := Report{
+		Daemon:        fleet.DaemonID(in.Daemon),
+		ConfigVersion: in.ConfigVersion,
 		Soft: relay.SoftState{
-			Spent:       decodeAmounts(r.Spent),
-			JustStarted: r.Recent,
-			Load:        decodeLoads(r.Loads),
-			Work:        make(map[string]relay.Work, len(r.Works)),
+			Spent:       decodeAmounts(in.Spent),
+			JustStarted: in.Recent,
+			Load:        decodeLoads(in.Loads),
+			Work:        make(map[string]relay.Work, len(in.Works)),
 		},
-		Windows:  make(map[uint64]RequestCounts, len(r.Windows)),
-		WallTime: time.UnixMilli(r.WallMs),
-		Holder:   decodeHolder(r.Holder),
+		Windows:  make(map[uint64]RequestCounts, len(in.Windows)),
+		WallTime: time.UnixMilli(in.WallMs),
+		Holder:   decodeHolder(in.Holder),
 
-		EndpointsPosition: decodePosition(r.Endpoints),
-		OmitLoads:         r.Brief,
-		WantLevels:        r.WantLevels,
-		Fetches:           r.Fetches,
+		EndpointsPosition: decodePosition(in.Endpoints),
+		OmitLoads:         in.Brief,
+		WantLevels:        in.WantLevels,
+		Fetches:           in.Fetches,
 
-		Crashes:         quarantinepb.Decode(r.Crashes),
-		CrashesPosition: quarantinepb.DecodePosition(r.CrashesHave),
+		Crashes:         quarantinepb.Decode(in.Crashes),
+		CrashesPosition: quarantinepb.DecodePosition(in.CrashesHave),
 
-		Rollouts:      decodeRolloutReports(r.Rollouts),
-		RolloutUpdate: decodeRolloutUpdate(r.RolloutNews),
+		Rollouts:      decodeRolloutReports(in.Rollouts),
+		RolloutUpdate: decodeRolloutUpdate(in.RolloutNews),
 
-		Seq:    r.Seq,
-		Backup: r.Spare,
-		IsHub:  r.Hub,
+		Seq:    in.Seq,
+		Backup: in.Spare,
+		IsHub:  in.Hub,
 
-		MembersPosition:   decodePosition(r.Members),
-		AcceptsCompressed: r.Unpacks,
+		MembersPosition:   decodePosition(in.Members),
+		AcceptsCompressed: in.Unpacks,
 	}
-	if r.Self != nil {
-		self := decodeMember(r.Self)
-		p.Self = &self
+	if in.Self != nil {
+		self := decodeMember(in.Self)
+		out.Self = &self
 	}
-	for _, relayed := range r.Relayed {
-		p.Relayed = append(p.Relayed, decodeRelayed(relayed))
+	for _, relayed := range in.Relayed {
+		out.Relayed = append(out.Relayed, decodeRelayed(relayed))
 	}
-	for _, w := range r.Works {
-		p.Soft.Work[w.Service] = relay.Work{
+	for _, w := range in.Works {
+		out.Soft.Work[w.Service] = relay.Work{
 			Requests: int(w.Requests), Refused: int(w.Refused), SlotSeconds: w.Hold, Prefill: w.Read, Prompt: w.Prompt,
 		}
 	}
-	for _, w := range r.Windows {
-		begun := make(RequestCounts, len(w.Begun))
+	for _, w := range in.Windows {
+		counts := make(RequestCounts, len(w.Begun))
 		for _, a := range w.Begun {
-			begun[fleet.WorkspaceID(a.Name)] = uint64(a.Amount)
+			counts[fleet.WorkspaceID(a.Name)] = uint64(a.Amount)
 		}
-		p.Windows[w.Id] = begun
+		out.Windows[w.Id] = counts
 	}
-	return p
+	return out
 }
 
 // encodeRelayed omits the fields that only the reporting daemon's own hub needs.
@@ -123,35 +123,35 @@
 	return RelayedReport{Report: decodeReport(r), Age: time.Duration(r.AgeMs) * time.Millisecond, ChangedOnly: r.Changes}
 }
 
-func encodeReply(s *Reply) *exchangepb.Totals {
+func encodeReply(r *Reply) *exchangepb.Totals {
 	out := &exchangepb.Totals{
-		Spent:         encodeAmounts(s.Soft.Spent),
-		Recent:        s.Soft.JustStarted,
-		ConfigVersion: s.ConfigVersion,
-		Config:        s.Config,
-		Holder:        encodeHolder(s.Holder),
-		Endpoints:     encodeList(&s.Endpoints, s.Compress),
-		FreshMs:       s.StoreAge.Milliseconds(),
-		Levels:        encodeAmounts(s.Soft.Levels),
+		Spent:         encodeAmounts(r.Soft.Spent),
+		Recent:        r.Soft.JustStarted,
+		ConfigVersion: r.ConfigVersion,
+		Config:        r.Config,
+		Holder:        encodeHolder(r.Holder),
+		Endpoints:     encodeList(&r.Endpoints, r.Compress),
+		FreshMs:       r.StoreAge.Milliseconds(),
+		Levels:        encodeAmounts(r.Soft.Levels),
 
-		ConfigRevision: s.ConfigRevision,
+		ConfigRevision: r.ConfigRevision,
 
-		Crashes:   quarantinepb.Encode(s.Crashes),
-		CrashesTo: quarantinepb.EncodePosition(s.CrashesPosition),
-		Rollouts:  encodeRolloutUpdate(&s.RolloutUpdate),
-		Members:   encodeList(&s.Members, s.Compress),
+		Crashes:   quarantinepb.Encode(r.Crashes),
+		CrashesTo: quarantinepb.EncodePosition(r.CrashesPosition),
+		Rollouts:  encodeRolloutUpdate(&r.RolloutUpdate),
+		Members:   encodeList(&r.Members, r.Compress),
 	}
-	if s.Loads != nil {
-		out.Loads, out.OwnLoads = s.Loads.encoded, encodeLoads(s.Loads.Own)
+	if r.Loads != nil {
+		out.Loads, out.OwnLoads = r.Loads.encoded, encodeLoads(r.Loads.Own)
 	}
-	if !s.FleetTime.IsZero() {
-		out.TrueMs = s.FleetTime.UnixMilli()
+	if !r.FleetTime.IsZero() {
+		out.TrueMs = r.FleetTime.UnixMilli()
 	}
 	return out
 }
 
 func decodeReply(t *exchangepb.Totals) Reply {
-	s := Reply{
+	r := Reply{
 		ConfigVersion:   t.ConfigVersion,
 		Config:          t.Config,
 		ConfigRevision:  t.ConfigRevision,
@@ -165,12 +165,12 @@
 		Members:         decodeList(t.Members),
 	}
 	if t.Loads != nil {
-		s.Loads = &Loads{All: decodeLoads(t.Loads), Own: decodeLoads(t.OwnLoads)}
+		r.Loads = &Loads{All: decodeLoads(t.Loads), Own: decodeLoads(t.OwnLoads)}
 	}
 	if t.TrueMs != 0 {
-		s.FleetTime = time.UnixMilli(t.TrueMs)
+		r.FleetTime = time.UnixMilli(t.TrueMs)
 	}
-	return s
+	return r
 }
 
 func encodeWant(w spread.Want) *exchangepb.Want {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -49,8 +49,8 @@
 // echoHandler gives answers that contain values of the call.
 type echoHandler struct{}
 
-func (echoHandler) Report(p Report) Reply {
-	return Reply{ConfigVersion: p.ConfigVersion + 1, Holder: Holder{Daemon: p.Daemon, Token: 3}}
+func (echoHandler) Report(r Report) Reply {
+	return Reply{ConfigVersion: r.ConfigVersion + 1, Holder: Holder{Daemon: r.Daemon, Token: 3}}
 }
 
 func (echoHandler) Fetch(w spread.Want) (spread.Piece, error) {
@@ -67,10 +67,10 @@
 	}()
 	c := NewClient()
 	for range 3 {
-		sum, err := c.Report(t.Context(), l.Addr().String(), &Report{Daemon: "a", ConfigVersion: 4})
+		reply, err := c.Report(t.Context(), l.Addr().String(), &Report{Daemon: "a", ConfigVersion: 4})
 		assert.NilError(t, err)
-		assert.Equal(t, sum.ConfigVersion, uint64(5))
-		assert.Equal(t, sum.Holder.Daemon, fleet.DaemonID("a"))
+		assert.Equal(t, reply.ConfigVersion, uint64(5))
+		assert.Equal(t, reply.Holder.Daemon, fleet.DaemonID("a"))
 	}
 	assert.Equal(t, len(c.conns), 1)
 	piece, err := c.Fetch(t.Context(), l.Addr().String(), spread.Want{Have: 3, Version: 4, Offset: 70})
@@ -140,9 +140,9 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		c := newSlowClient(t, 4<<10, 80*time.Millisecond)
-		sum, err := c.Report(t.Context(), "a", &Report{Daemon: "a"})
+		reply, err := c.Report(t.Context(), "a", &Report{Daemon: "a"})
 		assert.NilError(t, err)
-		assert.Equal(t, len(sum.Endpoints.Items[0].Spec), pieceBytes)
+		assert.Equal(t, len(reply.Endpoints.Items[0].Spec), pieceBytes)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		c := newSlowClient(t, 1<<10, 300*time.Millisecond) // too slow for the limit on the whole call
@@ -194,7 +194,7 @@
 
 // fleetReport returns the report of a daemon in a large fleet.
 func fleetReport(i int) Report {
-	p := Report{
+	r := Report{
 		Daemon: fleet.DaemonID(fmt.Sprintf("5-%036d", i)), WallTime: start,
 		Soft: relay.SoftState{
 			Spent: map[fleet.WorkspaceID]float64{}, Load: balance.Loads{},
@@ -203,15 +203,15 @@
 		Windows: map[uint64]RequestCounts{},
 	}
 	for w := range 16 {
-		p.Soft.Spent[fleet.WorkspaceID(fmt.Sprint("workspace", w))] = 1e6
+		r.Soft.Spent[fleet.WorkspaceID(fmt.Sprint("workspace", w))] = 1e6
 	}
 	for e := range 24 {
-		p.Soft.Load[rendezvous.ShortOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, PendingPrefill: 800}
+		r.Soft.Load[rendezvous.ShortOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, PendingPrefill: 800}
 	}
 	for w := range uint64(benchWindows) {
-		p.Windows[w] = RequestCounts{"workspace1": 3, "workspace2": 5}
+		r.Windows[w] = RequestCounts{"workspace1": 3, "workspace2": 5}
 	}
-	return p
+	return r
 }
 
 // benchWindows is the number of usage windows in a report.
@@ -226,15 +226,15 @@
 			for i := range n {
 				h.Add(start, 0, fleetReport(i))
 			}
-			p := fleetReport(0)
-			report := encodeReport(&p)
+			r := fleetReport(0)
+			report := encodeReport(&r)
 			b.ReportAllocs()
 			bytes := 0
 			for b.Loop() {
-				part := decodeReport(report)
-				h.Add(start, time.Second, part)
-				sum := Reply{Soft: relay.SoftState{Spent: h.Spent(start, part.Daemon)}, Loads: h.Loads(start, part.Daemon)}
-				bytes = sizeOf(encodeReply(&sum))
+				decoded := decodeReport(report)
+				h.Add(start, time.Second, decoded)
+				reply := Reply{Soft: relay.SoftState{Spent: h.Spent(start, decoded.Daemon)}, Loads: h.Loads(start, decoded.Daemon)}
+				bytes = sizeOf(encodeReply(&reply))
 			}
 			b.ReportMetric(float64(sizeOf(report)), "B/report")
 			b.ReportMetric(float64(bytes), "B/sum")
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -19,13 +19,13 @@
 // intervals.
 func (h *Hub) staleAfter() time.Duration { return max(minStaleAfter, 5*h.interval/2) }
 
-// maxCacheAge is how long a computed sum is reused. A hub of a large fleet gets some hundred
-// reports a second, whose content is a quarter of a second old.
+// maxCacheAge is how long a computed sum is reused. A hub of a large fleet gets some
+// hundred reports a second, whose content is a quarter of a second old.
 const maxCacheAge = 50 * time.Millisecond
 
 // maxCountedGap is the longest gap between two reports of a daemon in which its spending
-// counts. After a longer one, the hub's state is outdated, since it was not the daemon's hub
-// for a while, and limits apply over about eight seconds.
+// counts. After a longer one, the hub's state is outdated, since it was not the daemon's
+// hub for a while, and limits apply over about eight seconds.
 const maxCountedGap = 10 * time.Second
 
 // Hub sums the reports of all daemons, received directly or relayed by other hubs. What
@@ -68,8 +68,8 @@
 // sequence.
 type Cursor uint64
 
-// spent returns the spending that counts, in units of the limit.
-func (h *daemonState) spent(w fleet.WorkspaceID) float64 { return h.report.Soft.Spent[w] - h.base[w] }
+// spent returns what counts of a workspace's spending, in the unit of its limit.
+func (d *daemonState) spent(w fleet.WorkspaceID) float64 { return d.report.Soft.Spent[w] - d.base[w] }
 
 // expireAfter is how long the state of a daemon is kept after its last report. Its usage
 // windows are still needed for a while after it has died.
@@ -89,48 +89,48 @@
 
 // Add adds a report that was received directly, at a monotonic time of the hub. It replaces
 // the daemon's last report, except for the usage windows if it has none.
-func (h *Hub) Add(now time.Time, steady time.Duration, p Report) { h.add(now, steady, p, true) }
+func (h *Hub) Add(now time.Time, monotonic time.Duration, r Report) { h.add(now, monotonic, r, true) }
 
 // AddRelayed adds a report that another hub has relayed. It ignores a report that is no
 // newer than the last one from that daemon.
-func (h *Hub) AddRelayed(now time.Time, steady time.Duration, r *RelayedReport) {
+func (h *Hub) AddRelayed(now time.Time, monotonic time.Duration, r *RelayedReport) {
 	old := h.daemons[r.Daemon]
 	if old != nil && (r.Seq == 0 && old.direct || r.Seq != 0 && r.Seq <= old.report.Seq) {
 		return
 	}
-	p := r.Report
+	report := r.Report
 	if old != nil && r.ChangedOnly {
-		p.Soft.Spent = maps.Clone(old.report.Soft.Spent)
-		maps.Copy(p.Soft.Spent, r.Soft.Spent)
+		report.Soft.Spent = maps.Clone(old.report.Soft.Spent)
+		maps.Copy(report.Soft.Spent, r.Soft.Spent)
 	}
-	h.add(now.Add(-r.Age), steady-r.Age, p, false)
+	h.add(now.Add(-r.Age), monotonic-r.Age, report, false)
 }
 
-func (h *Hub) add(at time.Time, steady time.Duration, p Report, direct bool) {
-	p.Relayed = nil
+func (h *Hub) add(at time.Time, monotonic time.Duration, r Report, direct bool) {
+	r.Relayed = nil
 	h.cursor++
 	next := &daemonState{
-		report: p, receivedAt: at, skew: time.Duration(p.WallTime.UnixNano()) - steady, base: p.Soft.Spent,
+		report: r, receivedAt: at, skew: time.Duration(r.WallTime.UnixNano()) - monotonic, base: r.Soft.Spent,
 		direct: direct, cursor: h.cursor, windowsCursor: h.cursor,
 	}
-	if p.Soft.JustStarted {
+	if r.Soft.JustStarted {
 		next.base = nil
 	}
-	old, moved := h.daemons[p.Daemon], false
+	old, rebased := h.daemons[r.Daemon], false
 	if old != nil {
-		if len(p.Windows) == 0 {
+		if len(r.Windows) == 0 {
 			next.report.Windows, next.windowsCursor = old.report.Windows, old.windowsCursor
 		}
-		next.base, moved = old.rebase(at.Sub(old.receivedAt), h.interval, p.Soft.Spent)
+		next.base, rebased = old.rebase(at.Sub(old.receivedAt), h.interval, r.Soft.Spent)
 		if direct {
-			next.changeCursors = old.updateChanged(h.cursor, &p)
+			next.changeCursors = old.updateChanged(h.cursor, &r)
 		}
 	}
-	h.updateSpent(old, next, moved)
-	h.daemons[p.Daemon] = next
-	delete(h.relayed, p.Daemon)
-	if direct && !p.Backup && !p.IsHub {
-		h.relayed[p.Daemon] = next
+	h.updateSpent(old, next, rebased)
+	h.daemons[r.Daemon] = next
+	delete(h.relayed, r.Daemon)
+	if direct && !r.Backup && !r.IsHub {
+		h.relayed[r.Daemon] = next
 	}
 }
 
@@ -138,20 +138,20 @@
 // a newer report. The result is nil, so that all spending counts as changed, if this hub
 // starts to relay the daemon's reports: another hub may have failed before it relayed a
 // change.
-func (h *daemonState) updateChanged(turn Cursor, p *Report) map[fleet.WorkspaceID]Cursor {
-	if !h.direct || h.report.Backup && !p.Backup {
+func (d *daemonState) updateChanged(cursor Cursor, r *Report) map[fleet.WorkspaceID]Cursor {
+	if !d.direct || d.report.Backup && !r.Backup {
 		return nil
 	}
-	out := h.changeCursors
+	out := d.changeCursors
 	if out == nil {
-		out = make(map[fleet.WorkspaceID]Cursor, len(p.Soft.Spent))
-		for w := range h.report.Soft.Spent {
-			out[w] = h.cursor
+		out = make(map[fleet.WorkspaceID]Cursor, len(r.Soft.Spent))
+		for w := range d.report.Soft.Spent {
+			out[w] = d.cursor
 		}
 	}
-	for w, v := range p.Soft.Spent {
-		if old, ok := h.report.Soft.Spent[w]; !ok || old != v {
-			out[w] = turn
+	for w, v := range r.Soft.Spent {
+		if old, ok := d.report.Soft.Spent[w]; !ok || old != v {
+			out[w] = cursor
 		}
 	}
 	return out
@@ -163,18 +163,19 @@
 
 // ReportsToRelay returns the reports received after the cursor since, of the daemons whose
 // reports this hub relays. They have only the spending that has changed after that cursor,
-// or all of it if since is 0, and the usage windows if these were received after counted.
-func (h *Hub) ReportsToRelay(now time.Time, since, counted Cursor) []RelayedReport {
+// or all of it if since is 0, and the usage windows if these were received after
+// windowsSince.
+func (h *Hub) ReportsToRelay(now time.Time, since, windowsSince Cursor) []RelayedReport {
 	var out []RelayedReport
-	for _, p := range h.relayed {
-		if p.cursor <= since {
+	for _, d := range h.relayed {
+		if d.cursor <= since {
 			continue
 		}
-		r := RelayedReport{Report: p.report, Age: now.Sub(p.receivedAt), ChangedOnly: since > 0 && p.changeCursors != nil}
+		r := RelayedReport{Report: d.report, Age: now.Sub(d.receivedAt), ChangedOnly: since > 0 && d.changeCursors != nil}
 		if r.ChangedOnly {
-			r.Soft.Spent = p.spentSince(since)
+			r.Soft.Spent = d.spentSince(since)
 		}
-		if p.windowsCursor <= counted {
+		if d.windowsCursor <= windowsSince {
 			r.Windows = nil
 		}
 		out = append(out, r)
@@ -184,8 +185,8 @@
 
 // IsRelaying reports whether this hub has a recent report that it relays.
 func (h *Hub) IsRelaying(now time.Time) bool {
-	for _, p := range h.relayed {
-		if now.Sub(p.receivedAt) <= h.staleAfter() {
+	for _, d := range h.relayed {
+		if now.Sub(d.receivedAt) <= h.staleAfter() {
 			return true
 		}
 	}
@@ -193,20 +194,20 @@
 }
 
 // spentSince returns the spending that has changed after a cursor.
-func (h *daemonState) spentSince(since Cursor) map[fleet.WorkspaceID]float64 {
+func (d *daemonState) spentSince(since Cursor) map[fleet.WorkspaceID]float64 {
 	out := map[fleet.WorkspaceID]float64{}
-	for w, v := range h.report.Soft.Spent {
-		if turn, ok := h.changeCursors[w]; !ok || turn > since {
+	for w, v := range d.report.Soft.Spent {
+		if cursor, ok := d.changeCursors[w]; !ok || cursor > since {
 			out[w] = v
 		}
 	}
 	return out
 }
 
-// updateSpent updates the total spending with a daemon's next report. moved means that the
-// base of this report differs from that of the old one.
-func (h *Hub) updateSpent(old, next *daemonState, moved bool) {
-	if old != nil && (moved || len(next.report.Soft.Spent) < len(old.report.Soft.Spent)) {
+// updateSpent updates the total spending with a daemon's next report. rebased means that
+// the base of this report differs from that of the old one.
+func (h *Hub) updateSpent(old, next *daemonState, rebased bool) {
+	if old != nil && (rebased || len(next.report.Soft.Spent) < len(old.report.Soft.Spent)) {
 		for w := range old.report.Soft.Spent {
 			h.spent[w] -= old.spent(w)
 		}
@@ -230,8 +231,8 @@
 // removeExpired removes daemons without a report for expireAfter. Their spending stays in
 // the total.
 func (h *Hub) removeExpired(now time.Time) {
-	for id, old := range h.daemons {
-		if now.Sub(old.receivedAt) > expireAfter {
+	for id, d := range h.daemons {
+		if now.Sub(d.receivedAt) > expireAfter {
 			delete(h.daemons, id)
 			delete(h.relayed, id)
 		}
@@ -241,26 +242,27 @@
 // rebase returns the base of the next report after a gap, and whether it differs from the
 // last one. During a gap a daemon admits only its own share of a limit, which the others
 // leave unused, so only the spending at the beginning of the gap counts.
-func (h *daemonState) rebase(silence, interval time.Duration, spent map[fleet.WorkspaceID]float64) (map[fleet.WorkspaceID]float64, bool) {
-	counts := quota.CountedShare(silence, interval)
-	if h.restored || silence > maxCountedGap {
-		counts = 0
+func (d *daemonState) rebase(gap, interval time.Duration, spent map[fleet.WorkspaceID]float64) (map[fleet.WorkspaceID]float64, bool) {
+	countedShare := quota.CountedShare(gap, interval)
+	if d.restored || gap > maxCountedGap {
+		countedShare = 0
 	}
-	if counts == 1 {
-		return h.base, false
+	if countedShare == 1 {
+		return d.base, false
 	}
 	base := make(map[fleet.WorkspaceID]float64, len(spent))
 	for w, v := range spent {
-		base[w] = v - h.spent(w) - counts*(v-h.report.Soft.Spent[w])
+		base[w] = v - d.spent(w) - countedShare*(v-d.report.Soft.Spent[w])
 	}
 	return base, true
 }
 
-// Spent returns what all daemons but one have spent, by workspace.
-func (h *Hub) Spent(now time.Time, but fleet.DaemonID) map[fleet.WorkspaceID]float64 {
+// Spent returns what all daemons but one have spent, by workspace, in the unit of its
+// limit.
+func (h *Hub) Spent(now time.Time, except fleet.DaemonID) map[fleet.WorkspaceID]float64 {
 	h.maybeRemoveExpired(now)
 	out := maps.Clone(h.spent)
-	if own := h.daemons[but]; own != nil {
+	if own := h.daemons[except]; own != nil {
 		for w := range own.report.Soft.Spent {
 			out[w] -= own.spent(w)
 		}
@@ -288,12 +290,12 @@
 // sumLoads sums the loads of all daemons whose last report isn't stale.
 func (h *Hub) sumLoads(now time.Time) *loadTotal {
 	t := &loadTotal{at: now, all: balance.Loads{}, byDaemon: make(map[fleet.DaemonID]balance.Loads, len(h.daemons))}
-	for id, p := range h.daemons {
-		if now.Sub(p.receivedAt) > h.staleAfter() {
+	for id, d := range h.daemons {
+		if now.Sub(d.receivedAt) > h.staleAfter() {
 			continue
 		}
-		t.byDaemon[id] = p.report.Soft.Load
-		for e, l := range p.report.Soft.Load {
+		t.byDaemon[id] = d.report.Soft.Load
+		for e, l := range d.report.Soft.Load {
 			sum := t.all[e]
 			t.all[e] = balance.Load{Requests: sum.Requests + l.Requests, PendingPrefill: sum.PendingPrefill + l.PendingPrefill}
 		}
@@ -305,8 +307,8 @@
 // removed.
 func (h *Hub) Work() map[string]relay.Work {
 	out := map[string]relay.Work{}
-	for _, p := range h.daemons {
-		for s, w := range p.report.Soft.Work {
+	for _, d := range h.daemons {
+		for s, w := range d.report.Soft.Work {
 			sum := out[s]
 			sum.Requests += w.Requests
 			sum.Refused += w.Refused
@@ -322,8 +324,8 @@
 // RequestCounts returns the number of requests started in a usage window at all daemons.
 func (h *Hub) RequestCounts(window uint64) RequestCounts {
 	out := RequestCounts{}
-	for _, p := range h.daemons {
-		for w, n := range p.report.Windows[window] {
+	for _, d := range h.daemons {
+		for w, n := range d.report.Windows[window] {
 			out[w] += n
 		}
 	}
@@ -334,7 +336,7 @@
 // after a time.
 func (h *Hub) ReceivedFromAll(since time.Time, daemons []fleet.DaemonID) bool {
 	for _, id := range daemons {
-		if p := h.daemons[id]; p == nil || !p.receivedAt.After(since) {
+		if d := h.daemons[id]; d == nil || !d.receivedAt.After(since) {
 			return false
 		}
 	}
@@ -362,9 +364,9 @@
 
 func (h *Hub) medianSkew(now time.Time) *skew {
 	var all []time.Duration
-	for _, p := range h.daemons {
-		if now.Sub(p.receivedAt) <= h.staleAfter() {
-			all = append(all, p.skew)
+	for _, d := range h.daemons {
+		if now.Sub(d.receivedAt) <= h.staleAfter() {
+			all = append(all, d.skew)
 		}
 	}
 	if len(all) == 0 {
--- a/internal/exchange/hub_test.go
+++ b/internal/exchange/hub_test.go
@@ -23,14 +23,14 @@
 // testEndpoint is the endpoint at which all daemons have requests.
 var testEndpoint = rendezvous.ShortOf("e")
 
-func newReport(id fleet.DaemonID, spent float64, requests int, begun uint64) Report {
+func newReport(id fleet.DaemonID, spent float64, requests int, started uint64) Report {
 	return Report{
 		Daemon: id,
 		Soft: relay.SoftState{
 			Spent: map[fleet.WorkspaceID]float64{"w": spent},
 			Load:  balance.Loads{testEndpoint: {Requests: requests}},
 		},
-		Windows:  map[uint64]RequestCounts{7: {"w": begun}},
+		Windows:  map[uint64]RequestCounts{7: {"w": started}},
 		WallTime: start,
 	}
 }
@@ -57,9 +57,9 @@
 func TestStepsOfAFewClocksDoNotMoveFleetTime(t *testing.T) {
 	h := NewHub(reportInterval)
 	for i, step := range []time.Duration{0, 0, 0, 0, 2400 * time.Millisecond, -2400 * time.Millisecond} {
-		p := newReport(fleet.DaemonID(rune('a'+i)), 0, 0, 0)
-		p.WallTime = start.Add(step)
-		h.Add(start, 100, p)
+		r := newReport(fleet.DaemonID(rune('a'+i)), 0, 0, 0)
+		r.WallTime = start.Add(step)
+		h.Add(start, 100, r)
 	}
 	skew, ok := h.Skew(start)
 	assert.Assert(t, ok)
@@ -67,30 +67,30 @@
 }
 
 func TestReportsAndRepliesRoundTrip(t *testing.T) {
-	p := newReport("a", 1.5, 2, 3)
-	p.Holder = Holder{Daemon: "b", Token: 6}
-	p.ConfigVersion = 4
-	p.Soft.Work = map[string]relay.Work{"s": {Requests: 1, Refused: 2, SlotSeconds: 2.5, Prefill: 7}}
-	p.EndpointsPosition, p.OmitLoads, p.WantLevels, p.Fetches = feed.Position{Epoch: 8, Seq: 9, Revision: 4}, true, true, true
-	p.Rollouts = []rollout.Report{{
+	r := newReport("a", 1.5, 2, 3)
+	r.Holder = Holder{Daemon: "b", Token: 6}
+	r.ConfigVersion = 4
+	r.Soft.Work = map[string]relay.Work{"s": {Requests: 1, Refused: 2, SlotSeconds: 2.5, Prefill: 7}}
+	r.EndpointsPosition, r.OmitLoads, r.WantLevels, r.Fetches = feed.Position{Epoch: 8, Seq: 9, Revision: 4}, true, true, true
+	r.Rollouts = []rollout.Report{{
 		Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Asked: 3, Exposed: 1, Running: 2, Moved: true,
 		Rows: []rollout.Row{{Route: "r", Endpoint: "e", Counts: rollout.Counts{Failed: 1}}},
 	}}
-	p.RolloutUpdate = rollout.Update{
+	r.RolloutUpdate = rollout.Update{
 		Rank: rollout.Rank{Token: 4, Seq: 2}, Age: 30 * time.Millisecond, OrdersAge: 40 * time.Millisecond,
 		Splits: []rollout.Split{{
 			Service: "s", Key: rollout.Key{Target: "v2", Started: 5}, Phase: rollout.Moving, Share: 0.25,
 			Routes: map[string]float64{"r": 1}, Spread: 4, Rotation: 9,
 		}},
 	}
-	assert.DeepEqual(t, decodeReport(encodeReport(&p)), p)
-	s := Reply{ConfigVersion: 4, Config: []byte("text"), ConfigRevision: 77, Soft: relay.SoftState{Spent: p.Soft.Spent, Levels: p.Soft.Spent}, FleetTime: start, Holder: Holder{Daemon: "a", Token: 7}}
-	s.StoreAge, s.RolloutUpdate = 300*time.Millisecond, p.RolloutUpdate
-	s.Endpoints = feed.Update{
+	assert.DeepEqual(t, decodeReport(encodeReport(&r)), r)
+	reply := Reply{ConfigVersion: 4, Config: []byte("text"), ConfigRevision: 77, Soft: relay.SoftState{Spent: r.Soft.Spent, Levels: r.Soft.Spent}, FleetTime: start, Holder: Holder{Daemon: "a", Token: 7}}
+	reply.StoreAge, reply.RolloutUpdate = 300*time.Millisecond, r.RolloutUpdate
+	reply.Endpoints = feed.Update{
 		To: feed.Position{Epoch: 1, Seq: 2, Revision: 6}, Full: true, Keys: []rendezvous.Short{7, 8},
 		Items: []feed.Item{{Name: "e", Spec: []byte("{}"), Revision: 5}}, Removed: []string{"f"},
 	}
-	assert.DeepEqual(t, decodeReply(encodeReply(&s)), s)
+	assert.DeepEqual(t, decodeReply(encodeReply(&reply)), reply)
 }
 
 // A new hub receives the first report of each daemon, which has all that the daemon has
@@ -108,8 +108,8 @@
 }
 
 // A daemon receives reports in the fleet's first second, before all daemons agree on the
-// hubs, and becomes a hub half a minute later. The spending in between must not count as one
-// jump.
+// hubs, and becomes a hub half a minute later. The spending in between must not count as
+// one jump.
 func TestSpendingInALongGapIsNotCounted(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 0, 0, 0))
@@ -183,9 +183,9 @@
 func TestReportWithoutWindowsKeepsThePreviousOnes(t *testing.T) {
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 10, 1, 3))
-	brief := newReport("a", 20, 1, 0)
-	brief.Windows = nil
-	h.Add(start.Add(reportInterval), 0, brief)
+	withoutWindows := newReport("a", 20, 1, 0)
+	withoutWindows.Windows = nil
+	h.Add(start.Add(reportInterval), 0, withoutWindows)
 	assert.Equal(t, h.RequestCounts(7)["w"], uint64(3))
 	h.Add(start.Add(2*reportInterval), 0, newReport("a", 30, 1, 5))
 	assert.Equal(t, h.RequestCounts(7)["w"], uint64(5))
--- a/internal/exchange/loads_test.go
+++ b/internal/exchange/loads_test.go
@@ -30,10 +30,10 @@
 	h := NewHub(reportInterval)
 	h.Add(start, 0, newReport("a", 0, 2, 0))
 	h.Add(start, 0, newReport("b", 0, 5, 0))
-	sum := decodeReply(encodeReply(&Reply{Loads: h.Loads(start, "a")}))
-	assert.DeepEqual(t, sum.Loads.Others(), balance.Loads{testEndpoint: {Requests: 5}})
-	brief := decodeReply(encodeReply(&Reply{}))
-	assert.Assert(t, brief.Loads == nil)
+	reply := decodeReply(encodeReply(&Reply{Loads: h.Loads(start, "a")}))
+	assert.DeepEqual(t, reply.Loads.Others(), balance.Loads{testEndpoint: {Requests: 5}})
+	withoutLoads := decodeReply(encodeReply(&Reply{}))
+	assert.Assert(t, withoutLoads.Loads == nil)
 }
 
 // Lists of different lengths must not crash a daemon.
--- a/internal/exchange/packing.go
+++ b/internal/exchange/packing.go
@@ -14,9 +14,9 @@
 
 // encodeList encodes a list, compressed if the receiver accepts that and there are enough
 // items.
-func encodeList(u *feed.Update, packed bool) *exchangepb.Feed {
+func encodeList(u *feed.Update, compress bool) *exchangepb.Feed {
 	out := encodeUpdate(u)
-	if !packed || len(out.Items) < minCompressedItems {
+	if !compress || len(out.Items) < minCompressedItems {
 		return out
 	}
 	text, err := proto.Marshal(&exchangepb.Feed{Items: out.Items})
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -10,10 +10,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-func sequencedReport(id fleet.DaemonID, seq uint64, spare bool, spent map[fleet.WorkspaceID]float64) Report {
-	p := newReport(id, 0, 1, 3)
-	p.Soft.Spent, p.Seq, p.Backup = spent, seq, spare
-	return p
+func sequencedReport(id fleet.DaemonID, seq uint64, backup bool, spent map[fleet.WorkspaceID]float64) Report {
+	r := newReport(id, 0, 1, 3)
+	r.Soft.Spent, r.Seq, r.Backup = spent, seq, backup
+	return r
 }
 
 // relayAll relays one hub's reports after a cursor to another hub.
@@ -30,17 +30,17 @@
 func TestRelayedPartsCountOnce(t *testing.T) {
 	first, second, far := NewHub(reportInterval), NewHub(reportInterval), NewHub(reportInterval)
 	spent := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
-	tell := func(at time.Time, seq uint64, v float64) {
+	report := func(at time.Time, seq uint64, v float64) {
 		first.Add(at, 0, sequencedReport("a", seq, false, spent(v)))
 		second.Add(at, 0, sequencedReport("a", seq, true, spent(v)))
 	}
-	tell(start, 1, 10)
+	report(start, 1, 10)
 	relayAll(first, far, start, 0)
 	relayAll(first, second, start, 0)
 	assert.Equal(t, len(second.ReportsToRelay(start, 0, 0)), 0)
 	before := first.Cursor()
 	later := start.Add(reportInterval)
-	tell(later, 2, 25)
+	report(later, 2, 25)
 	relayAll(first, far, later, before)
 	relayAll(first, second, later, before)
 	assert.Equal(t, far.Spent(later, "x")["w"], 15.0)
@@ -57,9 +57,9 @@
 	second.Add(at, 0, sequencedReport("b", 1, false, map[fleet.WorkspaceID]float64{"w": 0}))
 	relayAll(second, far, at, 0)
 	before := second.Cursor()
-	take := at.Add(reportInterval)
-	second.Add(take, 0, sequencedReport("a", 2, false, both))
-	all := relayAll(second, far, take, before)
+	takeover := at.Add(reportInterval)
+	second.Add(takeover, 0, sequencedReport("a", 2, false, both))
+	all := relayAll(second, far, takeover, before)
 	assert.Equal(t, len(all), 1)
 	assert.Equal(t, len(all[0].Soft.Spent), 2)
 }
@@ -80,22 +80,22 @@
 }
 
 func TestRelayedReportsAndMembersRoundTrip(t *testing.T) {
-	p := sequencedReport("hub", 3, true, nil)
-	p.IsHub = true
-	p.Self = &membership.Member{Instance: "i", Daemon: "hub", Caller: "c", Peer: "p", DataCentre: "d", Region: "r", Incarnation: 9}
-	p.Relayed = []RelayedReport{{Report: sequencedReport("a", 4, false, map[fleet.WorkspaceID]float64{"w": 2}), Age: 30 * time.Millisecond, ChangedOnly: true}}
-	got := decodeReport(encodeReport(&p))
-	assert.DeepEqual(t, *got.Self, *p.Self)
+	report := sequencedReport("hub", 3, true, nil)
+	report.IsHub = true
+	report.Self = &membership.Member{Instance: "i", Daemon: "hub", Caller: "c", Peer: "p", DataCentre: "d", Region: "r", Incarnation: 9}
+	report.Relayed = []RelayedReport{{Report: sequencedReport("a", 4, false, map[fleet.WorkspaceID]float64{"w": 2}), Age: 30 * time.Millisecond, ChangedOnly: true}}
+	got := decodeReport(encodeReport(&report))
+	assert.DeepEqual(t, *got.Self, *report.Self)
 	assert.Assert(t, got.IsHub && got.Backup && got.Seq == 3)
 	assert.Equal(t, len(got.Relayed), 1)
 	r := got.Relayed[0]
 	assert.Assert(t, r.ChangedOnly && r.Age == 30*time.Millisecond && r.Seq == 4 && r.Daemon == "a")
 	assert.Equal(t, r.Soft.Spent["w"], 2.0)
-	text, err := EncodeMember(p.Self)
+	text, err := EncodeMember(report.Self)
 	assert.NilError(t, err)
 	m, err := DecodeMember(text)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, m, *p.Self)
+	assert.DeepEqual(t, m, *report.Self)
 }
 
 // Guards against losing the spending in a report that arrives while the hub relays. Its
--- a/internal/exchange/rollouts.go
+++ b/internal/exchange/rollouts.go
@@ -44,21 +44,21 @@
 	return out
 }
 
-func encodeRolloutUpdate(n *rollout.Update) *exchangepb.RolloutNews {
-	if n.Rank.Token == 0 {
+func encodeRolloutUpdate(u *rollout.Update) *exchangepb.RolloutNews {
+	if u.Rank.Token == 0 {
 		return nil
 	}
-	out := &exchangepb.RolloutNews{Token: n.Rank.Token, Seq: n.Rank.Seq, AgeMs: n.Age.Milliseconds(), OrdersAgeMs: n.OrdersAge.Milliseconds()}
-	for i := range n.Splits {
-		w := &n.Splits[i]
-		word := &exchangepb.RolloutWord{
-			Service: w.Service, Target: w.Key.Target, StartedMs: w.Key.Started, Phase: uint32(w.Phase),
-			Share: w.Share, Spread: uint32(w.Spread), Turn: w.Rotation,
+	out := &exchangepb.RolloutNews{Token: u.Rank.Token, Seq: u.Rank.Seq, AgeMs: u.Age.Milliseconds(), OrdersAgeMs: u.OrdersAge.Milliseconds()}
+	for i := range u.Splits {
+		split := &u.Splits[i]
+		encoded := &exchangepb.RolloutWord{
+			Service: split.Service, Target: split.Key.Target, StartedMs: split.Key.Started, Phase: uint32(split.Phase),
+			Share: split.Share, Spread: uint32(split.Spread), Turn: split.Rotation,
 		}
-		for route, share := range w.Routes {
-			word.Routes = append(word.Routes, &exchangepb.Amount{Name: route, Amount: share})
+		for route, share := range split.Routes {
+			encoded.Routes = append(encoded.Routes, &exchangepb.Amount{Name: route, Amount: share})
 		}
-		out.Words = append(out.Words, word)
+		out.Words = append(out.Words, encoded)
 	}
 	return out
 }
@@ -72,17 +72,17 @@
 		OrdersAge: time.Duration(n.OrdersAgeMs) * time.Millisecond,
 	}
 	for _, w := range n.Words {
-		word := rollout.Split{
+		split := rollout.Split{
 			Service: w.Service, Key: rollout.Key{Target: w.Target, Started: w.StartedMs}, Phase: rollout.PhaseOf(w.Phase),
 			Share: w.Share, Spread: int(w.Spread), Rotation: w.Turn,
 		}
 		for _, a := range w.Routes {
-			if word.Routes == nil {
-				word.Routes = map[string]float64{}
+			if split.Routes == nil {
+				split.Routes = map[string]float64{}
 			}
-			word.Routes[a.Name] = a.Amount
+			split.Routes[a.Name] = a.Amount
 		}
-		out.Splits = append(out.Splits, word)
+		out.Splits = append(out.Splits, split)
 	}
 	return out
 }
--- a/internal/exchange/server.go
+++ b/internal/exchange/server.go
@@ -20,9 +20,9 @@
 }
 
 // Serve serves calls on a listener until the context ends.
-func Serve(ctx context.Context, l net.Listener, a Handler) error {
+func Serve(ctx context.Context, l net.Listener, h Handler) error {
 	mux := drpcmux.New()
-	if err := exchangepb.DRPCRegisterExchange(mux, &server{handler: a}); err != nil {
+	if err := exchangepb.DRPCRegisterExchange(mux, &server{handler: h}); err != nil {
 		return Error.Wrap(err)
 	}
 	return Error.Wrap(drpcserver.New(mux).Serve(ctx, l))
@@ -35,8 +35,8 @@
 
 // Tell implements the generated interface.
 func (s *server) Tell(_ context.Context, r *exchangepb.Report) (*exchangepb.Totals, error) {
-	sum := s.handler.Report(decodeReport(r))
-	return encodeReply(&sum), nil
+	reply := s.handler.Report(decodeReport(r))
+	return encodeReply(&reply), nil
 }
 
 // Fetch implements the generated interface.
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -12,8 +12,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// maxRemovals is the most removals that a Log stores. A reader that is further behind gets the
-// whole set, or the keys of all names. One that asks four times a second is that far
+// maxRemovals is the most removals that a Log stores. A reader that is further behind gets
+// the whole set, or the keys of all names. One that asks four times a second is that far
 // behind only after many seconds without an answer.
 const maxRemovals = 1024
 
@@ -84,16 +84,16 @@
 // item with the same value as before doesn't count as a change.
 func (l *Log) Set(revision uint64, items []Item) {
 	l.position.Revision = revision
-	there := make(map[string]bool, len(items))
+	present := make(map[string]bool, len(items))
 	for _, it := range items {
-		there[it.Name] = true
+		present[it.Name] = true
 		if old, ok := l.items[it.Name]; !ok || !bytes.Equal(old.spec, it.Spec) {
 			l.position.Seq++
 			l.items[it.Name] = entry{seq: l.position.Seq, revision: it.Revision, spec: it.Spec}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
-		if !there[name] {
+		if !present[name] {
 			l.position.Seq++
 			delete(l.items, name)
 			l.removed = append(l.removed, removal{l.position.Seq, name})
@@ -126,7 +126,7 @@
 	}
 }
 
-// afterSeq returns the afterSeq of this log after a sequence number.
+// afterSeq returns the changes of this log after a sequence number.
 func (l *Log) afterSeq(seq uint64) Update {
 	u := Update{To: l.position}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
@@ -135,14 +135,15 @@
 		}
 	}
 	for _, r := range l.removed {
-		if _, back := l.items[r.name]; r.seq > seq && !back {
+		if _, present := l.items[r.name]; r.seq > seq && !present {
 			u.Removed = append(u.Removed, r.name)
 		}
 	}
 	return u
 }
 
-// afterRevision returns the items set after a revision of the source, and the keys of all names.
+// afterRevision returns the items set after a revision of the source, and the keys of all
+// names.
 func (l *Log) afterRevision(revision uint64) Update {
 	u := Update{To: l.position, Keys: make([]rendezvous.Short, 0, len(l.items))}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -19,8 +19,8 @@
 func TestReadersReachTheLogsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type reader struct {
-			at   Position
-			have map[string]string
+			position Position
+			items    map[string]string
 		}
 		readers := [3]reader{}
 		log := NewLog(1)
@@ -52,27 +52,27 @@
 			}
 			log.Set(revision, items)
 			r := &readers[rapid.IntRange(0, 2).Draw(t, "reader")]
-			u := log.Since(r.at)
-			if u.Full || r.have == nil {
-				r.have = map[string]string{}
+			u := log.Since(r.position)
+			if u.Full || r.items == nil {
+				r.items = map[string]string{}
 			}
-			for name := range r.have {
+			for name := range r.items {
 				if len(u.Keys) > 0 && !slices.Contains(u.Keys, rendezvous.ShortOf(name)) {
-					delete(r.have, name)
+					delete(r.items, name)
 				}
 			}
 			for _, name := range u.Removed {
-				delete(r.have, name)
+				delete(r.items, name)
 			}
 			for _, it := range u.Items {
-				r.have[it.Name] = string(it.Spec)
+				r.items[it.Name] = string(it.Spec)
 			}
-			r.at = u.To
+			r.position = u.To
 			want := map[string]string{}
 			for name, it := range state {
 				want[name] = string(it.Spec)
 			}
-			assert.Assert(t, maps.Equal(r.have, want), "%v, want %v", r.have, want)
+			assert.Assert(t, maps.Equal(r.items, want), "%v, want %v", r.items, want)
 		}
 	})
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -17,9 +17,9 @@
 
 // Timing controls how often a Follower calls the store.
 type Timing interface {
-	// WatchTimeout returns how long the store may hold a watch open until there is a change.
-	// Each watch is a billed call. A connection that becomes unresponsive meanwhile is
-	// detected by the keep-alive of the store's client.
+	// WatchTimeout returns how long the store may hold a watch open until there is a
+	// change. Each watch is a billed call. A connection that becomes unresponsive
+	// meanwhile is detected by the keep-alive of the store's client.
 	WatchTimeout() time.Duration
 	// BatchDelay returns the delay between a change and the next watch. Changes in this
 	// time come in one answer, which is billed once.
@@ -40,7 +40,7 @@
 	Lost(error)
 	// Recovered is called when the store answers again, before the call with its answer.
 	// failed is the time at which the last failed call began.
-	Recovered(failed time.Time)
+	Recovered(failedAt time.Time)
 }
 
 // Follower tracks the objects of one kind.
@@ -58,8 +58,8 @@
 }
 
 // New returns a Follower of the objects of a kind.
-func New(store objects.Store, kind string, h Handler, pace Timing) *Follower {
-	return &Follower{store: store, kind: kind, handler: h, timing: pace, lastAnswer: clock.NewMoment()}
+func New(store objects.Store, kind string, h Handler, timing Timing) *Follower {
+	return &Follower{store: store, kind: kind, handler: h, timing: timing, lastAnswer: clock.NewMoment()}
 }
 
 func (f *Follower) Kind() string { return f.kind }
@@ -70,7 +70,7 @@
 // Age returns how long ago the store last answered.
 func (f *Follower) Age() time.Duration { return min(time.Since(f.lastAnswer.Time()), maxAge) }
 
-// Lost reports whether the last call failed.
+// Lost reports whether the store did not answer the last call.
 func (f *Follower) Lost() bool { return f.lost.Load() }
 
 // Revision returns the store's revision up to which the handler has received everything,
@@ -119,17 +119,17 @@
 	if err != nil {
 		return after, err
 	}
-	back := f.lost.Load()
+	recovered := f.lost.Load()
 	f.answered()
-	if len(changes) > 0 || back {
+	if len(changes) > 0 || recovered {
 		f.handler.Changed(changes, max(next, after))
 		pause.For(ctx, f.timing.BatchDelay())
 	}
 	return max(next, after), nil
 }
 
-// backOff waits backOff a failed call with exponential backoff and jitter. The wait counts from
-// the start of the failed call, so that a call that took long before it failed is
+// backOff waits after a failed call, with exponential backoff and jitter. The wait counts
+// from the start of the failed call, so that a call that took long before it failed is
 // followed by the next one at once.
 func (f *Follower) backOff(ctx context.Context, began time.Time, err error) {
 	if err == nil || ctx.Err() != nil {
@@ -143,8 +143,8 @@
 	if !f.lost.Swap(true) {
 		f.handler.Lost(err)
 	}
-	p := f.timing.Backoff()
-	f.backoff = min(max(2*f.backoff, p.Min), p.Max)
+	bounds := f.timing.Backoff()
+	f.backoff = min(max(2*f.backoff, bounds.Min), bounds.Max)
 	pause.For(ctx, f.backoff/2+rand.N(f.backoff)-time.Since(began))
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -85,13 +85,13 @@
 
 func (h *recorder) Recovered(time.Time) { h.lines = append(h.lines, "returned") }
 
-type testTiming struct{ pauses Backoff }
+type testTiming struct{ backoff Backoff }
 
 func (testTiming) WatchTimeout() time.Duration { return 3 * time.Second }
 
 func (testTiming) BatchDelay() time.Duration { return 100 * time.Millisecond }
 
-func (p testTiming) Backoff() Backoff { return p.pauses }
+func (p testTiming) Backoff() Backoff { return p.backoff }
 
 func always() bool { return true }
 
@@ -154,11 +154,11 @@
 // stale.
 func TestOutageAndItsEndAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		silent := errors.New("no answer")
+		noAnswer := errors.New("no answer")
 		s := &script{answers: []answer{
 			{changes: []string{"a"}, revision: 7},
-			{after: time.Second, err: silent},
-			{after: time.Second, err: silent},
+			{after: time.Second, err: noAnswer},
+			{after: time.Second, err: noAnswer},
 			{after: time.Second, revision: 7},
 			{after: time.Second, revision: 7},
 		}}
@@ -205,10 +205,10 @@
 // before it failed.
 func TestLongFailedCallIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const silent, calls = 2 * time.Second, 5
+		const callTime, calls = 2 * time.Second, 5
 		s := &script{answers: []answer{{revision: 7}}}
 		for range calls {
-			s.answers = append(s.answers, answer{after: silent, err: errors.New("no answer")})
+			s.answers = append(s.answers, answer{after: callTime, err: errors.New("no answer")})
 		}
 		s.answers = append(s.answers, answer{changes: []string{"a"}, revision: 9})
 		h := &timeRecorder{}
@@ -216,20 +216,20 @@
 		defer cancel()
 		began := time.Now()
 		New(s, "things", h, testTiming{FastBackoff()}).Run(ctx, 0, always)
-		assert.Equal(t, h.at.Sub(began), calls*silent)
+		assert.Equal(t, h.at.Sub(began), calls*callTime)
 	})
 }
 
 // failingStore is a store whose lists fail until a time.
 type failingStore struct {
 	objects.Store
-	back  time.Time
-	calls *atomic.Int64
+	recoversAt time.Time
+	calls      *atomic.Int64
 }
 
 func (r failingStore) List(ctx context.Context, _ string) ([]objects.Object, uint64, error) {
 	r.calls.Add(1)
-	if time.Now().Before(r.back) {
+	if time.Now().Before(r.recoversAt) {
 		return nil, 0, errors.New("status 503")
 	}
 	return nil, 7, nil
@@ -255,7 +255,7 @@
 			defer cancel()
 			var followers []*Follower
 			for range daemons {
-				f := New(failingStore{back: time.Now().Add(outage), calls: calls}, "things", &recorder{}, testTiming{FleetBackoff(daemons)})
+				f := New(failingStore{recoversAt: time.Now().Add(outage), calls: calls}, "things", &recorder{}, testTiming{FleetBackoff(daemons)})
 				followers = append(followers, f)
 				go f.Run(ctx, 0, always)
 			}
--- a/internal/follow/pauses.go
+++ b/internal/follow/pauses.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Backoff are the bounds of the exponential backoff after failed calls, before jitter.
+// Backoff is the bounds of the exponential backoff after failed calls, before jitter.
 type Backoff struct{ Min, Max time.Duration }
 
 const (
@@ -13,7 +13,8 @@
 	backoffPerDaemon = 15 * time.Millisecond
 )
 
-// FastBackoff returns the backoff of a daemon that others rely on for the state of the store.
+// FastBackoff returns the backoff of a daemon that others rely on for the state of the
+// store.
 func FastBackoff() Backoff { return Backoff{Min: minBackoff, Max: maxBackoff} }
 
 // FleetBackoff returns the backoff of a daemon that learns from others when the store is
@@ -22,6 +23,6 @@
 // thousand calls a second that are billed and fail, and as many at the moment of the
 // store's recovery.
 func FleetBackoff(daemons int) Backoff {
-	last := max(maxBackoff, time.Duration(daemons)*backoffPerDaemon)
-	return Backoff{Min: last / 4, Max: last}
+	most := max(maxBackoff, time.Duration(daemons)*backoffPerDaemon)
+	return Backoff{Min: most / 4, Max: most}
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -50,7 +50,7 @@
 	if err := checkSelf(opts.Membership.View().Self()); err != nil {
 		return nil, err
 	}
-	seal, err := newSealer(opts.Keys())
+	s, err := newSealer(opts.Keys())
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 		commands: make(chan command),
 		closing:  make(chan struct{}),
 	}
-	n.sealer.Store(seal)
+	n.sealer.Store(s)
 	n.view.Store(opts.Membership.View())
 	n.done.Add(2)
 	go n.runReader()
@@ -104,13 +104,13 @@
 // Introduced adds members that are known to exist from another daemon or from the
 // platform's store. It skips members whose names or addresses other daemons would reject.
 func (n *Node) Introduced(members []membership.Member) {
-	sound := make([]membership.Member, 0, len(members))
+	valid := make([]membership.Member, 0, len(members))
 	for _, m := range members {
 		if checkSelf(m) == nil {
-			sound = append(sound, m)
+			valid = append(valid, m)
 		}
 	}
-	n.runInOwner(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduce(now, sound) })
+	n.runInOwner(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduce(now, valid) })
 }
 
 // Leave announces that this daemon accepts no new work. It returns once the
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -116,12 +116,12 @@
 	// misses one drops the others' datagrams, and members are suspected and declared
 	// dead. An invalid key must not replace a valid one.
 	synctest.Test(t, func(t *testing.T) {
-		wire := &memoryNet{conns: map[string]*memoryConn{}}
+		network := &memoryNet{conns: map[string]*memoryConn{}}
 		var keys [2]atomic.Pointer[Keys]
 		var nodes [2]*Node
 		for i := range nodes {
 			keys[i].Store(&Keys{Primary: key})
-			nodes[i] = startNode(t, i, wire.listen(1000+i), func() Keys { return *keys[i].Load() }, "127.0.0.1:1000")
+			nodes[i] = startNode(t, i, network.listen(1000+i), func() Keys { return *keys[i].Load() }, "127.0.0.1:1000")
 		}
 		for _, step := range []Keys{{key, otherKey}, {otherKey, key}, {otherKey, nil}} {
 			for i := range nodes {
--- a/internal/gossip/owner.go
+++ b/internal/gossip/owner.go
@@ -88,10 +88,10 @@
 	if keys.equal(n.sealer.Load().keys) {
 		return
 	}
-	seal, err := newSealer(keys)
-	if err != nil || len(seal.aeads) == 0 {
+	s, err := newSealer(keys)
+	if err != nil || len(s.aeads) == 0 {
 		n.counters.keyErrors.Add(1)
 		return
 	}
-	n.sealer.Store(seal)
+	n.sealer.Store(s)
 }
--- a/internal/gossip/reader.go
+++ b/internal/gossip/reader.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// waitToRetry waits for readPause and reports whether the Node is closing.
+// waitToRetry waits for readRetryDelay and reports whether the Node is closing.
 func (n *Node) waitToRetry() bool {
 	select {
 	case <-n.closing:
--- a/internal/node/rolloutorders.go
+++ b/internal/node/rolloutorders.go
@@ -16,7 +16,7 @@
 // store is a part of its word.
 type orderPace struct{ *watching }
 
-// WatchTimeout implements follow.Pace.
+// WatchTimeout implements follow.Timing.
 func (p orderPace) WatchTimeout() time.Duration { return min(hubWait, p.watching.WatchTimeout()) }
 
 // rolloutOrders is what a decider is told: orders by the store's follower, reports
--- a/internal/node/telling.go
+++ b/internal/node/telling.go
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// Fetch implements exchange.Answerer.
+// Fetch implements exchange.Handler.
 func (t *telling) Fetch(w spread.Want) (spread.Piece, error) { return t.node.config.piece(w) }
 
-// Report implements exchange.Answerer.
+// Report implements exchange.Handler.
 func (t *telling) Report(p exchange.Report) exchange.Reply {
 	t.node.fetching.heardFrom(p.Daemon, p.ConfigVersion)
 	t.node.crashes.add(p.Crashes)
--- a/internal/node/watching.go
+++ b/internal/node/watching.go
@@ -150,7 +150,7 @@
 	return !w.follows() && !w.gathers() && time.Since(w.node.started) > firstWatch
 }
 
-// WatchTimeout implements follow.Pace.
+// WatchTimeout implements follow.Timing.
 func (w *watching) WatchTimeout() time.Duration {
 	most := hubWait
 	if w.small() {
@@ -169,7 +169,7 @@
 	return max(leastWait, min(most, found-pause-objects.WatchSlack))
 }
 
-// BatchDelay implements follow.Pace.
+// BatchDelay implements follow.Timing.
 func (w *watching) BatchDelay() time.Duration {
 	if time.Since(w.node.started) < startTime {
 		return togetherAtStart
@@ -177,7 +177,7 @@
 	return together
 }
 
-// Backoff implements follow.Pace: the whole fleet waits for a hub's word that the
+// Backoff implements follow.Timing: the whole fleet waits for a hub's word that the
 // store is back, and nobody for another daemon's.
 func (w *watching) Backoff() follow.Backoff {
 	if w.follows() {
