--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -66,10 +66,10 @@
 
 // Report sends a report to a hub and returns the hub's reply. It closes the connection if
 // the call fails, so that an unresponsive one isn't reused.
-func (c *Client) Report(ctx context.Context, address string, p *Report) (Reply, error) {
+func (c *Client) Report(ctx context.Context, address string, r *Report) (Reply, error) {
 	var reply Reply
 	err := c.call(ctx, connKey{address: address}, func(ctx context.Context, hub exchangepb.DRPCExchangeClient) error {
-		totals, err := hub.Tell(ctx, encodeReport(p))
+		totals, err := hub.Tell(ctx, encodeReport(r))
 		if err != nil {
 			return err
 		}
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -33,13 +33,13 @@
 // for concurrent use.
 type Hub struct {
 	daemons map[fleet.DaemonID]*daemonState
-	// relayed are the daemons whose reports this hub relays.
-	relayed   map[fleet.DaemonID]*daemonState
-	cursor    Cursor
-	spent     map[fleet.WorkspaceID]float64 // by all daemons, including removed ones
-	loadTotal *loadTotal                    // cached; nil before the first use
-	expiredAt time.Time                     // when expired daemons were last removed
-	skew      *skew                         // cached; nil before the first use
+	// relaying are the daemons whose reports this hub relays.
+	relaying    map[fleet.DaemonID]*daemonState
+	cursor      Cursor
+	spent       map[fleet.WorkspaceID]float64 // by all daemons, including removed ones
+	loadTotal   *loadTotal                    // cached; nil before the first use
+	lastRemoval time.Time                     // when expired daemons were last removed
+	skew        *skew                         // cached; nil before the first use
 	// interval is the time between two reports of a daemon without urgent changes.
 	interval time.Duration
 }
@@ -79,7 +79,7 @@
 // daemon without urgent changes.
 func NewHub(interval time.Duration) *Hub {
 	return &Hub{
-		daemons: map[fleet.DaemonID]*daemonState{}, relayed: map[fleet.DaemonID]*daemonState{},
+		daemons: map[fleet.DaemonID]*daemonState{}, relaying: map[fleet.DaemonID]*daemonState{},
 		spent: map[fleet.WorkspaceID]float64{}, interval: interval,
 	}
 }
@@ -123,22 +123,22 @@
 		}
 		next.base, rebased = old.rebase(at.Sub(old.receivedAt), h.interval, r.Soft.Spent)
 		if direct {
-			next.changeCursors = old.updateChanged(h.cursor, &r)
+			next.changeCursors = old.nextChangeCursors(h.cursor, &r)
 		}
 	}
 	h.updateSpent(old, next, rebased)
 	h.daemons[r.Daemon] = next
-	delete(h.relayed, r.Daemon)
+	delete(h.relaying, r.Daemon)
 	if direct && !r.Backup && !r.IsHub {
-		h.relayed[r.Daemon] = next
+		h.relaying[r.Daemon] = next
 	}
 }
 
-// updateChanged returns the cursors of the last changes of each workspace's spending, given
+// nextChangeCursors returns the cursors of the last changes of each workspace's spending, given
 // a newer report. The result is nil, so that all spending counts as changed, if this hub
 // starts to relay the daemon's reports: another hub may have failed before it relayed a
 // change.
-func (d *daemonState) updateChanged(cursor Cursor, r *Report) map[fleet.WorkspaceID]Cursor {
+func (d *daemonState) nextChangeCursors(cursor Cursor, r *Report) map[fleet.WorkspaceID]Cursor {
 	if !d.direct || d.report.Backup && !r.Backup {
 		return nil
 	}
@@ -167,7 +167,7 @@
 // windowsSince.
 func (h *Hub) ReportsToRelay(now time.Time, since, windowsSince Cursor) []RelayedReport {
 	var out []RelayedReport
-	for _, d := range h.relayed {
+	for _, d := range h.relaying {
 		if d.cursor <= since {
 			continue
 		}
@@ -185,7 +185,7 @@
 
 // IsRelaying reports whether this hub has a recent report that it relays.
 func (h *Hub) IsRelaying(now time.Time) bool {
-	for _, d := range h.relayed {
+	for _, d := range h.relaying {
 		if now.Sub(d.receivedAt) <= h.staleAfter() {
 			return true
 		}
@@ -234,7 +234,7 @@
 	for id, d := range h.daemons {
 		if now.Sub(d.receivedAt) > expireAfter {
 			delete(h.daemons, id)
-			delete(h.relayed, id)
+			delete(h.relaying, id)
 		}
 	}
 }
@@ -281,8 +281,8 @@
 
 // maybeRemoveExpired removes expired daemons at most once a second.
 func (h *Hub) maybeRemoveExpired(now time.Time) {
-	if now.Sub(h.expiredAt) >= time.Second || now.Before(h.expiredAt) {
-		h.expiredAt = now
+	if now.Sub(h.lastRemoval) >= time.Second || now.Before(h.lastRemoval) {
+		h.lastRemoval = now
 		h.removeExpired(now)
 	}
 }
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -27,7 +27,7 @@
 
 // Guards against spending that counts twice or not at all, where two hubs of a data centre
 // receive a report and one of them relays it.
-func TestRelayedPartsCountOnce(t *testing.T) {
+func TestRelayedReportsCountOnce(t *testing.T) {
 	first, second, far := NewHub(reportInterval), NewHub(reportInterval), NewHub(reportInterval)
 	spent := func(v float64) map[fleet.WorkspaceID]float64 { return map[fleet.WorkspaceID]float64{"w": v} }
 	report := func(at time.Time, seq uint64, v float64) {
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -86,7 +86,7 @@
 
 // SetDigest sets the digest of this daemon's configuration that is sent to peers.
 func (n *Node) SetDigest(d membership.Digest) {
-	n.runInOwner(context.Background(), func(time.Time) []membership.Action {
+	n.runOnOwner(context.Background(), func(time.Time) []membership.Action {
 		n.members.SetDigest(d)
 		return nil
 	})
@@ -95,7 +95,7 @@
 // Seeds adds addresses from the settings or the instance list at which there may be
 // daemons.
 func (n *Node) Seeds(members []membership.Member) {
-	n.runInOwner(context.Background(), func(now time.Time) []membership.Action {
+	n.runOnOwner(context.Background(), func(now time.Time) []membership.Action {
 		n.members.AddSeeds(now, members)
 		return nil
 	})
@@ -110,20 +110,20 @@
 			valid = append(valid, m)
 		}
 	}
-	n.runInOwner(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduce(now, valid) })
+	n.runOnOwner(context.Background(), func(now time.Time) []membership.Action { return n.members.Introduce(now, valid) })
 }
 
 // Leave announces that this daemon accepts no new work. It returns once the
 // announcement is sent to the first peers, which spread it further. The Node keeps
 // running.
 func (n *Node) Leave(ctx context.Context) error {
-	return n.runInOwner(ctx, n.members.Leave)
+	return n.runOnOwner(ctx, n.members.Leave)
 }
 
 // Close announces that this daemon is gone, stops the Node and closes its connection.
 func (n *Node) Close() error {
 	n.closeOnce.Do(func() {
-		n.runInOwner(context.Background(), n.members.Depart)
+		n.runOnOwner(context.Background(), n.members.Depart)
 		close(n.closing)
 		n.closeErr = Error.Wrap(n.opts.Conn.Close())
 		n.done.Wait()
@@ -131,8 +131,8 @@
 	return n.closeErr
 }
 
-// runInOwner runs f on the owner goroutine and waits until its actions are carried out.
-func (n *Node) runInOwner(ctx context.Context, f func(time.Time) []membership.Action) error {
+// runOnOwner runs f on the owner goroutine and waits until its actions are carried out.
+func (n *Node) runOnOwner(ctx context.Context, f func(time.Time) []membership.Action) error {
 	c := command{run: f, done: make(chan struct{})}
 	select {
 	case n.commands <- c:
