--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -55,6 +55,7 @@
 	received *progress.Meter
 }
 
+// NewClient returns a Client without open connections.
 func NewClient() *Client {
 	return &Client{Dial: dialPeer, conns: map[connKey]*connection{}, firstWaits: map[connKey]time.Duration{}}
 }
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// nextChangeCursors returns the cursors of the last changes of each workspace's spending, given
-// a newer report. The result is nil, so that all spending counts as changed, if this hub
+// nextChangeCursors returns the cursors of the last changes of each workspace's spending,
+// given a newer report. The result is nil, so that all spending counts as changed, if this hub
 // starts to relay the daemon's reports: another hub may have failed before it relayed a
 // change.
 func (d *daemonState) nextChangeCursors(cursor Cursor, r *Report) map[fleet.WorkspaceID]Cursor {
--- a/internal/exchange/relay_test.go
+++ b/internal/exchange/relay_test.go
@@ -10,6 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
+// sequencedReport returns a report to the backup hub or to the hub that relays it.
 func sequencedReport(id fleet.DaemonID, seq uint64, backup bool, spent map[fleet.WorkspaceID]float64) Report {
 	r := newReport(id, 0, 1, 3)
 	r.Soft.Spent, r.Seq, r.Backup = spent, seq, backup
--- a/internal/exchange/report.go
+++ b/internal/exchange/report.go
@@ -17,11 +17,11 @@
 // Report is one daemon's state, as sent to a hub.
 type Report struct {
 	Daemon        fleet.DaemonID
-	ConfigVersion uint64 // of the daemon's configuration
-	Soft          relay.SoftState
+	ConfigVersion uint64                   // of the daemon's configuration
+	Soft          relay.SoftState          // all but Levels
 	Windows       map[uint64]RequestCounts // by number of the window; empty: as in the last report
 	WallTime      time.Time                // by the daemon's clock
-	Holder        Holder
+	Holder        Holder                   // the newest that the daemon has received
 	// EndpointsPosition is the position in the hub's list of endpoints that the daemon has
 	// reached.
 	EndpointsPosition feed.Position
@@ -78,7 +78,7 @@
 	Soft           relay.SoftState // Spent, Levels and Recent only
 	Loads          *Loads          // nil if the report had OmitLoads
 	FleetTime      time.Time       // median of the daemons' clocks; zero if unknown
-	Holder         Holder
+	Holder         Holder          // the newest that the hub has received
 	// Endpoints updates the daemon's list of endpoints to the hub's.
 	Endpoints feed.Update
 	// Crashes updates the daemon's table of endpoint crashes to the hub's, up to
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -62,6 +62,7 @@
 	return &Follower{store: store, kind: kind, handler: h, timing: timing, lastAnswer: clock.NewMoment()}
 }
 
+// Kind returns the kind of the objects.
 func (f *Follower) Kind() string { return f.kind }
 
 // maxAge is the greatest age that Age returns, also before the first answer.
--- a/internal/gossip/check.go
+++ b/internal/gossip/check.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	if !isName(string(r.Daemon)) || !isName(string(r.DataCentre)) || !isName(string(r.Region)) {
-		return Error.New("record of %q lacks a name", u.Instance)
+		return Error.New("record of %q has a missing or overlong name", u.Instance)
 	}
 	if !isAddress(r.Peer) || len(r.Caller) > maxNameBytes {
 		return Error.New("record of %q has a bad address", u.Instance)
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// checkRegional checks the updates about data centres and the heartbeats of regions.
 func checkRegional(p *membership.Packet) error {
 	for _, d := range p.DataCentres {
 		if !isName(string(d.DataCentre)) || !isName(string(d.Region)) || d.Version > maxIncarnation {
