--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -64,7 +64,7 @@
 	for _, address := range s.Seeds {
 		seeds = append(seeds, membership.Member{Peer: address})
 	}
-	node.Seeds(seeds)
+	node.AddSeeds(seeds)
 	return d, nil
 }
 
@@ -176,7 +176,7 @@
 	for _, e := range entries {
 		hints = append(hints, membership.Member{Instance: e.Instance, Peer: e.Peer})
 	}
-	d.node.Seeds(hints)
+	d.node.AddSeeds(hints)
 }
 
 func (d *membershipDuty) setDigest(t template.Digest) {
--- a/internal/exchange/interval_test.go
+++ b/internal/exchange/interval_test.go
@@ -11,9 +11,9 @@
 // must not be less frequent than normal ones.
 func TestReportRateAtAHubIsBounded(t *testing.T) {
 	for daemons := 1; daemons <= 2000; daemons++ {
-		calm, urgent := NormalInterval(daemons), UrgentInterval(daemons)
-		assert.Assert(t, urgent <= calm, "%d daemons", daemons)
-		assert.Assert(t, daemons*int(time.Second) <= 700*int(calm), "%d daemons each %v", daemons, calm)
+		normal, urgent := NormalInterval(daemons), UrgentInterval(daemons)
+		assert.Assert(t, urgent <= normal, "%d daemons", daemons)
+		assert.Assert(t, daemons*int(time.Second) <= 700*int(normal), "%d daemons each %v", daemons, normal)
 		assert.Assert(t, daemons*int(time.Second) <= 1000*int(urgent), "%d daemons each %v", daemons, urgent)
 	}
 }
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -55,7 +55,7 @@
 			Version:    rapid.Uint64Range(0, maxIncarnation).Draw(t, "version"),
 		}
 	})
-	genBeat = rapid.Custom(func(t *rapid.T) membership.Heartbeat {
+	genHeartbeat = rapid.Custom(func(t *rapid.T) membership.Heartbeat {
 		return membership.Heartbeat{
 			Region: fleet.Region(genName.Draw(t, "region")),
 			Count:  rapid.Uint64Range(0, maxIncarnation).Draw(t, "count"),
@@ -78,7 +78,7 @@
 			Hash:    rapid.Uint64().Draw(t, "digest"),
 			Payload: string(rapid.SliceOfN(rapid.Byte(), 0, membership.MaxDigestPayload).Draw(t, "payload")),
 		},
-		Heartbeats:  rapid.SliceOfN(genBeat, 0, 3).Draw(t, "beats"),
+		Heartbeats:  rapid.SliceOfN(genHeartbeat, 0, 3).Draw(t, "beats"),
 		Updates:     rapid.SliceOfN(genUpdate, 0, 5).Draw(t, "updates"),
 		DataCentres: rapid.SliceOfN(genDataCentre, 0, 3).Draw(t, "data centres"),
 	}
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -92,18 +92,18 @@
 	})
 }
 
-// Seeds adds addresses from the settings or the instance list at which there may be
+// AddSeeds adds addresses from the settings or the instance list at which there may be
 // daemons.
-func (n *Node) Seeds(members []membership.Member) {
+func (n *Node) AddSeeds(members []membership.Member) {
 	n.runOnOwner(context.Background(), func(now time.Time) []membership.Action {
 		n.members.AddSeeds(now, members)
 		return nil
 	})
 }
 
-// Introduced adds members that are known to exist from another daemon or from the
+// Introduce adds members that are known to exist from another daemon or from the
 // platform's store. It skips members whose names or addresses other daemons would reject.
-func (n *Node) Introduced(members []membership.Member) {
+func (n *Node) Introduce(members []membership.Member) {
 	valid := make([]membership.Member, 0, len(members))
 	for _, m := range members {
 		if checkSelf(m) == nil {
--- a/internal/gossip/node_bench_test.go
+++ b/internal/gossip/node_bench_test.go
@@ -49,7 +49,7 @@
 		assert.NilError(b, err)
 		b.Cleanup(func() { n.Close() })
 		if i > 0 {
-			n.Seeds([]membership.Member{{Peer: nodes[0].address()}})
+			n.AddSeeds([]membership.Member{{Peer: nodes[0].address()}})
 		}
 		nodes = append(nodes, n)
 	}
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -44,7 +44,7 @@
 	for _, peer := range seeds {
 		hints = append(hints, membership.Member{Peer: peer})
 	}
-	n.Seeds(hints)
+	n.AddSeeds(hints)
 	return n
 }
 
--- a/internal/node/introducing.go
+++ b/internal/node/introducing.go
@@ -78,6 +78,6 @@
 // introduce passes members on to the membership protocol.
 func (n *Node) introduce(all []membership.Member) {
 	if len(all) > 0 {
-		n.members.gossip.Introduced(all)
+		n.members.gossip.Introduce(all)
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -73,7 +73,7 @@
 		seeds = append(seeds, membership.Member{Peer: address})
 	}
 	m.seeds.Store(&seeds)
-	m.gossip.Seeds(seeds)
+	m.gossip.AddSeeds(seeds)
 }
 
 // seedMembers turns the seeds' machines into peers: all daemons have the same
