--- a/internal/exchange/report.go
+++ b/internal/exchange/report.go
@@ -75,7 +75,7 @@
 	// ConfigRevision is the store's revision up to which the hub has all versions of the
 	// configuration, 0 if it has not listed them.
 	ConfigRevision uint64
-	Soft           relay.SoftState // Spent, Levels and Recent only
+	Soft           relay.SoftState // Spent, Levels and JustStarted only
 	Loads          *Loads          // nil if the report had OmitLoads
 	FleetTime      time.Time       // median of the daemons' clocks; zero if unknown
 	Holder         Holder          // the newest that the hub has received
--- a/internal/gossip/check.go
+++ b/internal/gossip/check.go
@@ -76,7 +76,7 @@
 	}
 	for _, b := range p.Heartbeats {
 		if !isName(string(b.Region)) || b.Count > maxIncarnation {
-			return Error.New("beat of %q is malformed", b.Region)
+			return Error.New("heartbeat of %q is malformed", b.Region)
 		}
 	}
 	return nil
--- a/internal/node/telling.go
+++ b/internal/node/telling.go
@@ -18,7 +18,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
 )
 
-// interval is the calm one of the fleet as this daemon knows it.
+// interval is the normal one of the fleet as this daemon knows it.
 func (n *Node) interval() time.Duration {
 	l := n.members.layout()
 	if l.meshed {
