--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -183,12 +183,12 @@
 // lateConn is a connection whose first read is delayed.
 type lateConn struct {
 	net.Conn
-	after time.Duration
+	delay time.Duration
 }
 
 func (l *lateConn) Read(p []byte) (int, error) {
-	time.Sleep(l.after)
-	l.after = 0
+	time.Sleep(l.delay)
+	l.delay = 0
 	return l.Conn.Read(p)
 }
 
--- a/internal/exchange/groups.go
+++ b/internal/exchange/groups.go
@@ -20,8 +20,8 @@
 	// meshPerDaemon bounds the reports to a hub that relays at 200 a second. In a fleet of
 	// a thousand, a daemon then serves about one request between two reports.
 	meshPerDaemon = 5 * time.Millisecond
-	// startPerDaemon bounds the reports to a hub at 340 a second while daemons start.
-	startPerDaemon = 3 * time.Millisecond
+	// meshStartPerDaemon bounds the reports to a hub at 340 a second while daemons start.
+	meshStartPerDaemon = 3 * time.Millisecond
 )
 
 // MeshInterval returns the time between two reports of a daemon without urgent changes,
@@ -33,7 +33,7 @@
 // MeshStartInterval returns the time between two reports of a daemon that has just
 // started, where its hub relays reports and receives them from so many daemons.
 func MeshStartInterval(daemons int) time.Duration {
-	return max(startInterval, time.Duration(daemons)*startPerDaemon)
+	return max(startInterval, time.Duration(daemons)*meshStartPerDaemon)
 }
 
 // Meshed reports whether a fleet of so many daemons has hubs in each data centre, which
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -17,7 +17,7 @@
 
 // answer is the store's answer to one call, after a delay.
 type answer struct {
-	after    time.Duration
+	delay    time.Duration
 	changes  []string
 	revision uint64
 	err      error
@@ -40,7 +40,7 @@
 	}
 	a := s.answers[0]
 	s.answers = s.answers[1:]
-	time.Sleep(a.after)
+	time.Sleep(a.delay)
 	return a
 }
 
@@ -157,10 +157,10 @@
 		noAnswer := errors.New("no answer")
 		s := &script{answers: []answer{
 			{changes: []string{"a"}, revision: 7},
-			{after: time.Second, err: noAnswer},
-			{after: time.Second, err: noAnswer},
-			{after: time.Second, revision: 7},
-			{after: time.Second, revision: 7},
+			{delay: time.Second, err: noAnswer},
+			{delay: time.Second, err: noAnswer},
+			{delay: time.Second, revision: 7},
+			{delay: time.Second, revision: 7},
 		}}
 		h := &recorder{}
 		run(t, s, h)
@@ -208,7 +208,7 @@
 		const callTime, calls = 2 * time.Second, 5
 		s := &script{answers: []answer{{revision: 7}}}
 		for range calls {
-			s.answers = append(s.answers, answer{after: callTime, err: errors.New("no answer")})
+			s.answers = append(s.answers, answer{delay: callTime, err: errors.New("no answer")})
 		}
 		s.answers = append(s.answers, answer{changes: []string{"a"}, revision: 9})
 		h := &timeRecorder{}
--- a/internal/gossip/owner.go
+++ b/internal/gossip/owner.go
@@ -12,15 +12,15 @@
 // runOwner runs the goroutine that owns the Membership.
 func (n *Node) runOwner() {
 	defer n.done.Done()
-	ticker := time.NewTimer(pause.ToNext(tickInterval))
-	defer ticker.Stop()
+	timer := time.NewTimer(pause.ToNext(tickInterval))
+	defer timer.Stop()
 	keysAt := n.opts.Now()
 	for {
 		select {
 		case <-n.closing:
 			return
-		case <-ticker.C:
-			ticker.Reset(pause.ToNext(tickInterval))
+		case <-timer.C:
+			timer.Reset(pause.ToNext(tickInterval))
 			now := n.opts.Now()
 			if now.Sub(keysAt) >= keyInterval {
 				keysAt = now
