--- a/internal/exchange/groups.go
+++ b/internal/exchange/groups.go
@@ -20,7 +20,7 @@
 	// meshPerDaemon bounds the reports to a hub that relays at 200 a second. In a fleet of
 	// a thousand, a daemon then serves about one request between two reports.
 	meshPerDaemon = 5 * time.Millisecond
-	// meshStartPerDaemon bounds the reports to a hub at 340 a second while daemons start.
+	// meshStartPerDaemon bounds them at 340 a second while daemons start.
 	meshStartPerDaemon = 3 * time.Millisecond
 )
 
