--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -20,43 +20,44 @@
 // Error is the class of errors made by this package.
 var Error = errs.Class("exchange")
 
-// Prompt is the time within which a call is answered in a sound fleet: data
-// centres are a few milliseconds apart, and the next report is due by then.
-const Prompt = 400 * time.Millisecond
-
-// bounds bound a call by its silence, not by its length: a long list over a busy link
-// would be cut and begun anew for ever. What a late answer brings is 4 s old at the most.
-var bounds = progress.Bounds{First: Prompt, Silence: Prompt, Total: 10 * Prompt}
-
-// Client tells hubs this daemon's part and fetches configurations, over one kept
-// connection for each of the two: a connection carries one call at a time, and a
-// report doesn't wait for a piece. It is safe for concurrent use.
+// ReplyTimeout is the time within which a call is answered in a healthy fleet: data
+// centres are a few milliseconds apart, and the next report is due after this time.
+const ReplyTimeout = 400 * time.Millisecond
+
+// defaultBounds limit mainly the time in which no bytes arrive, not the length of a call:
+// otherwise a long list over a busy link would time out and start over without end. The
+// total keeps the content of a late answer from being older than 4 s.
+var defaultBounds = progress.Bounds{First: ReplyTimeout, Silence: ReplyTimeout, Total: 10 * ReplyTimeout}
+
+// Client sends reports to hubs and fetches configurations. It keeps one connection to an
+// address for each of the two, since a connection carries one call at a time and a report
+// must not wait for a fetch. It is safe for concurrent use.
 type Client struct {
 	// Dial opens connections; it may be replaced before the first call.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu    sync.Mutex
-	conns map[route]*kept
-	// firsts is how long the next call waits for its answer to begin, where the last
-	// one was given up before it had.
-	firsts map[route]time.Duration
+	conns map[connKey]*connection
+	// firstWaits is how long the next call waits for the first byte of its answer, if the
+	// last call timed out without one.
+	firstWaits map[connKey]time.Duration
 }
 
-// route is where a kept connection leads to, and what for.
-type route struct {
+// connKey is the address and the purpose of a connection, reports or fetches.
+type connKey struct {
 	address string
 	fetch   bool
 }
 
-// kept is a connection that is used again.
-type kept struct {
+// connection is a connection that is reused by calls.
+type connection struct {
 	*drpcconn.Conn
 	received *progress.Meter
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a Client without open connections.
 func NewClient() *Client {
-	return &Client{Dial: dialPeer, conns: map[route]*kept{}, firsts: map[route]time.Duration{}}
+	return &Client{Dial: dialPeer, conns: map[connKey]*connection{}, firstWaits: map[connKey]time.Duration{}}
 }
 
 func dialPeer(ctx context.Context, address string) (net.Conn, error) {
@@ -64,25 +65,25 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Tell gives a hub a part and returns its sum. A connection on which a call
-// failed is closed, so that one that went silent is not kept.
-func (c *Client) Tell(ctx context.Context, address string, p *Part) (Sum, error) {
-	var sum Sum
-	err := c.call(ctx, route{address: address}, func(ctx context.Context, hub exchangepb.DRPCExchangeClient) error {
-		totals, err := hub.Tell(ctx, encodePart(p))
+// Report sends a report to a hub and returns the hub's reply. It closes the connection if
+// the call fails, so that an unresponsive one isn't reused.
+func (c *Client) Report(ctx context.Context, address string, r *Report) (Reply, error) {
+	var reply Reply
+	err := c.call(ctx, connKey{address: address}, func(ctx context.Context, hub exchangepb.DRPCExchangeClient) error {
+		totals, err := hub.Tell(ctx, encodeReport(r))
 		if err != nil {
 			return err
 		}
-		sum = decodeSum(totals)
+		reply = decodeReply(totals)
 		return nil
 	})
-	return sum, err
+	return reply, err
 }
 
-// Fetch asks a daemon for a piece of a configuration.
+// Fetch requests a piece of a configuration from a daemon.
 func (c *Client) Fetch(ctx context.Context, address string, w spread.Want) (spread.Piece, error) {
 	var piece spread.Piece
-	err := c.call(ctx, route{address, true}, func(ctx context.Context, source exchangepb.DRPCExchangeClient) error {
+	err := c.call(ctx, connKey{address, true}, func(ctx context.Context, source exchangepb.DRPCExchangeClient) error {
 		out, err := source.Fetch(ctx, encodeWant(w))
 		if err != nil {
 			return err
@@ -93,93 +94,94 @@
 	return piece, err
 }
 
-// call makes a call on the connection of a route.
-func (c *Client) call(ctx context.Context, r route, f func(context.Context, exchangepb.DRPCExchangeClient) error) error {
-	conn, err := c.conn(ctx, r)
+// call calls f with a client on the connection of a key, within the bounds of progress.
+func (c *Client) call(ctx context.Context, key connKey, f func(context.Context, exchangepb.DRPCExchangeClient) error) error {
+	conn, err := c.conn(ctx, key)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	b := c.bounds(r)
+	b := c.boundsFor(key)
 	ctx, cancel := progress.Within(ctx, conn.received, b)
 	defer cancel()
-	before := conn.received.Bytes()
+	receivedBefore := conn.received.Bytes()
 	err = f(ctx, exchangepb.NewDRPCExchangeClient(conn))
-	came := conn.received.Bytes() - before
-	c.ended(r, b, came)
+	received := conn.received.Bytes() - receivedBefore
+	c.adjustFirstWait(key, b, received)
 	if err != nil {
-		c.drop(r, conn)
-		return Error.New("after %d bytes of the answer: %w", came, progress.Ended(ctx, err))
+		c.drop(key, conn)
+		return Error.New("after %d bytes of the answer: %w", received, progress.Ended(ctx, err))
 	}
 	return nil
 }
 
-// bounds returns those of the next call on a route.
-func (c *Client) bounds(r route) progress.Bounds {
+// boundsFor returns the bounds of the next call on a connection.
+func (c *Client) boundsFor(key connKey) progress.Bounds {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b := bounds
-	b.First = max(b.First, c.firsts[r])
+	b := defaultBounds
+	b.First = max(b.First, c.firstWaits[key])
 	return b
 }
 
-// ended notes how much of an answer came within a call's bounds. Where nothing did, the
-// next call waits twice as long: a hub that takes long to make a long list would begin
-// anew with each call.
-func (c *Client) ended(r route, b progress.Bounds, came int64) {
+// adjustFirstWait sets how long the next call waits for the first byte, from the bytes
+// that the last call received. If there were none, the next call waits twice as long:
+// otherwise a hub that needs longer to make a long list would start over with each call.
+func (c *Client) adjustFirstWait(key connKey, b progress.Bounds, received int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if came > 0 {
-		delete(c.firsts, r)
+	if received > 0 {
+		delete(c.firstWaits, key)
 		return
 	}
-	c.firsts[r] = min(2*b.First, b.Total)
+	c.firstWaits[key] = min(2*b.First, b.Total)
 }
 
-// Keep closes the connections for reports to all but the given addresses.
-func (c *Client) Keep(addresses []string) {
-	c.close(func(r route) bool { return !r.fetch && !slices.Contains(addresses, r.address) })
+// KeepOnly closes the connections for reports to all but the given addresses.
+func (c *Client) KeepOnly(addresses []string) {
+	c.closeWhere(func(key connKey) bool { return !key.fetch && !slices.Contains(addresses, key.address) })
 }
 
-// EndFetches closes the connections for fetches: configurations change seldom.
-func (c *Client) EndFetches() { c.close(func(r route) bool { return r.fetch }) }
+// CloseFetches closes the connections for fetches. They aren't kept, since configurations
+// change seldom.
+func (c *Client) CloseFetches() { c.closeWhere(func(key connKey) bool { return key.fetch }) }
 
-func (c *Client) close(which func(route) bool) {
+func (c *Client) closeWhere(match func(connKey) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.firsts, func(r route, _ time.Duration) bool { return which(r) })
-	for r, conn := range c.conns {
-		if which(r) {
-			delete(c.conns, r)
+	maps.DeleteFunc(c.firstWaits, func(key connKey, _ time.Duration) bool { return match(key) })
+	for key, conn := range c.conns {
+		if match(key) {
+			delete(c.conns, key)
 			_ = conn.Close()
 		}
 	}
 }
 
-func (c *Client) conn(ctx context.Context, r route) (*kept, error) {
+func (c *Client) conn(ctx context.Context, key connKey) (*connection, error) {
 	c.mu.Lock()
-	conn := c.conns[r]
+	conn := c.conns[key]
 	c.mu.Unlock()
 	if conn != nil {
 		return conn, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, Prompt)
+	ctx, cancel := context.WithTimeout(ctx, ReplyTimeout)
 	defer cancel()
-	raw, err := c.Dial(ctx, r.address)
+	raw, err := c.Dial(ctx, key.address)
 	if err != nil {
 		return nil, err
 	}
 	counted := &progress.Conn{Conn: raw}
-	conn = &kept{drpcconn.New(counted), &counted.Meter}
+	conn = &connection{drpcconn.New(counted), &counted.Meter}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.conns[r] = conn
+	c.conns[key] = conn
 	return conn, nil
 }
 
-func (c *Client) drop(r route, conn *kept) {
+func (c *Client) drop(key connKey, conn *connection) {
 	c.mu.Lock()
-	if c.conns[r] == conn {
-		delete(c.conns, r)
+	if c.conns[key] == conn {
+		delete(c.conns, key)
 	}
 	c.mu.Unlock()
 	_ = conn.Close()
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -12,43 +12,43 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-func encodePart(p *Part) *exchangepb.Report {
+func encodeReport(r *Report) *exchangepb.Report {
 	out := &exchangepb.Report{
-		Daemon:        string(p.Daemon),
-		ConfigVersion: p.Version,
-		Spent:         encodeSpent(p.Soft.Spent),
-		Loads:         packLoads(p.Soft.Load),
-		WantLevels:    p.WantLevels,
-		Fetches:       p.Fetches,
-		Recent:        p.Soft.JustStarted,
-		WallMs:        p.Wall.UnixMilli(),
-		Holder:        encodeHolder(p.Holder),
-		Endpoints:     encodePosition(p.Endpoints),
-		Brief:         p.Brief,
-		Crashes:       quarantinepb.Encode(p.Crashes),
-		CrashesHave:   quarantinepb.EncodePosition(p.CrashesHave),
-		Rollouts:      encodeReports(p.Rollouts),
-		RolloutNews:   encodeNews(&p.RolloutNews),
-		Seq:           p.Seq,
-		Spare:         p.Spare,
-		Hub:           p.Hub,
-		Members:       encodePosition(p.Members),
-		Unpacks:       p.Unpacks,
-	}
-	if p.Self != nil {
-		out.Self = encodeMember(p.Self)
-	}
-	for i := range p.Relayed {
-		out.Relayed = append(out.Relayed, encodeRelayed(&p.Relayed[i]))
-	}
-	for service, w := range p.Soft.Work {
+		Daemon:        string(r.Daemon),
+		ConfigVersion: r.ConfigVersion,
+		Spent:         encodeAmounts(r.Soft.Spent),
+		Loads:         encodeLoads(r.Soft.Load),
+		WantLevels:    r.WantLevels,
+		Fetches:       r.Fetches,
+		Recent:        r.Soft.JustStarted,
+		WallMs:        r.WallTime.UnixMilli(),
+		Holder:        encodeHolder(r.Holder),
+		Endpoints:     encodePosition(r.EndpointsPosition),
+		Brief:         r.OmitLoads,
+		Crashes:       quarantinepb.Encode(r.Crashes),
+		CrashesHave:   quarantinepb.EncodePosition(r.CrashesPosition),
+		Rollouts:      encodeRolloutReports(r.Rollouts),
+		RolloutNews:   encodeRolloutUpdate(&r.RolloutUpdate),
+		Seq:           r.Seq,
+		Spare:         r.Backup,
+		Hub:           r.IsHub,
+		Members:       encodePosition(r.MembersPosition),
+		Unpacks:       r.AcceptsCompressed,
+	}
+	if r.Self != nil {
+		out.Self = encodeMember(r.Self)
+	}
+	for i := range r.Relayed {
+		out.Relayed = append(out.Relayed, encodeRelayed(&r.Relayed[i]))
+	}
+	for service, w := range r.Soft.Work {
 		out.Works = append(out.Works, &exchangepb.Work{
 			Service: service, Requests: uint64(w.Requests), Refused: uint64(w.Refused), Hold: w.SlotSeconds, Read: w.Prefill, Prompt: w.Prompt,
 		})
 	}
-	for id, begun := range p.Windows {
+	for id, counts := range r.Windows {
 		w := &exchangepb.Window{Id: id}
-		for name, n := range begun {
+		for name, n := range counts {
 			w.Begun = append(w.Begun, &exchangepb.Amount{Name: string(name), Amount: float64(n)})
 		}
 		out.Windows = append(out.Windows, w)
@@ -56,121 +56,121 @@
 	return out
 }
 
-func decodePart(r *exchangepb.Report) Part {
-	p := Part{
-		Daemon:  fleet.DaemonID(r.Daemon),
-		Version: r.ConfigVersion,
+func decodeReport(in *exchangepb.Report) Report {
+	out := Report{
+		Daemon:        fleet.DaemonID(in.Daemon),
+		ConfigVersion: in.ConfigVersion,
 		Soft: relay.SoftState{
-			Spent:       decodeSpent(r.Spent),
-			JustStarted: r.Recent,
-			Load:        unpackLoads(r.Loads),
-			Work:        make(map[string]relay.Work, len(r.Works)),
+			Spent:       decodeAmounts(in.Spent),
+			JustStarted: in.Recent,
+			Load:        decodeLoads(in.Loads),
+			Work:        make(map[string]relay.Work, len(in.Works)),
 		},
-		Windows: make(map[uint64]Begun, len(r.Windows)),
-		Wall:    time.UnixMilli(r.WallMs),
-		Holder:  decodeHolder(r.Holder),
+		Windows:  make(map[uint64]RequestCounts, len(in.Windows)),
+		WallTime: time.UnixMilli(in.WallMs),
+		Holder:   decodeHolder(in.Holder),
 
-		Endpoints:  decodePosition(r.Endpoints),
-		Brief:      r.Brief,
-		WantLevels: r.WantLevels,
-		Fetches:    r.Fetches,
+		EndpointsPosition: decodePosition(in.Endpoints),
+		OmitLoads:         in.Brief,
+		WantLevels:        in.WantLevels,
+		Fetches:           in.Fetches,
 
-		Crashes:     quarantinepb.Decode(r.Crashes),
-		CrashesHave: quarantinepb.DecodePosition(r.CrashesHave),
+		Crashes:         quarantinepb.Decode(in.Crashes),
+		CrashesPosition: quarantinepb.DecodePosition(in.CrashesHave),
 
-		Rollouts:    decodeReports(r.Rollouts),
-		RolloutNews: decodeNews(r.RolloutNews),
+		Rollouts:      decodeRolloutReports(in.Rollouts),
+		RolloutUpdate: decodeRolloutUpdate(in.RolloutNews),
 
-		Seq:   r.Seq,
-		Spare: r.Spare,
-		Hub:   r.Hub,
+		Seq:    in.Seq,
+		Backup: in.Spare,
+		IsHub:  in.Hub,
 
-		Members: decodePosition(r.Members),
-		Unpacks: r.Unpacks,
+		MembersPosition:   decodePosition(in.Members),
+		AcceptsCompressed: in.Unpacks,
 	}
-	if r.Self != nil {
-		self := decodeMember(r.Self)
-		p.Self = &self
+	if in.Self != nil {
+		self := decodeMember(in.Self)
+		out.Self = &self
 	}
-	for _, relayed := range r.Relayed {
-		p.Relayed = append(p.Relayed, decodeRelayed(relayed))
+	for _, relayed := range in.Relayed {
+		out.Relayed = append(out.Relayed, decodeRelayed(relayed))
 	}
-	for _, w := range r.Works {
-		p.Soft.Work[w.Service] = relay.Work{
+	for _, w := range in.Works {
+		out.Soft.Work[w.Service] = relay.Work{
 			Requests: int(w.Requests), Refused: int(w.Refused), SlotSeconds: w.Hold, Prefill: w.Read, Prompt: w.Prompt,
 		}
 	}
-	for _, w := range r.Windows {
-		begun := make(Begun, len(w.Begun))
+	for _, w := range in.Windows {
+		counts := make(RequestCounts, len(w.Begun))
 		for _, a := range w.Begun {
-			begun[fleet.WorkspaceID(a.Name)] = uint64(a.Amount)
+			counts[fleet.WorkspaceID(a.Name)] = uint64(a.Amount)
 		}
-		p.Windows[w.Id] = begun
+		out.Windows[w.Id] = counts
 	}
-	return p
+	return out
 }
 
-// encodeRelayed leaves out what only the sender's own hub needs.
-func encodeRelayed(r *Relayed) *exchangepb.Report {
-	out := encodePart(&r.Part)
-	out.AgeMs, out.Changes = r.Age.Milliseconds(), r.Changes
+// encodeRelayed omits the fields that only the reporting daemon's own hub needs.
+func encodeRelayed(r *RelayedReport) *exchangepb.Report {
+	out := encodeReport(&r.Report)
+	out.AgeMs, out.Changes = r.Age.Milliseconds(), r.ChangedOnly
 	out.Endpoints, out.CrashesHave, out.RolloutNews, out.Holder = nil, nil, nil, nil
 	out.Self, out.Members = nil, nil
 	return out
 }
 
-func decodeRelayed(r *exchangepb.Report) Relayed {
-	return Relayed{Part: decodePart(r), Age: time.Duration(r.AgeMs) * time.Millisecond, Changes: r.Changes}
+func decodeRelayed(r *exchangepb.Report) RelayedReport {
+	return RelayedReport{Report: decodeReport(r), Age: time.Duration(r.AgeMs) * time.Millisecond, ChangedOnly: r.Changes}
 }
 
-func encodeSum(s *Sum) *exchangepb.Totals {
+func encodeReply(r *Reply) *exchangepb.Totals {
 	out := &exchangepb.Totals{
-		Spent:         encodeSpent(s.Soft.Spent),
-		Recent:        s.Soft.JustStarted,
-		ConfigVersion: s.Version,
-		Config:        s.Text,
-		Holder:        encodeHolder(s.Holder),
-		Endpoints:     encodeList(&s.Endpoints, s.Packed),
-		FreshMs:       s.Fresh.Milliseconds(),
-		Levels:        encodeSpent(s.Soft.Levels),
+		Spent:         encodeAmounts(r.Soft.Spent),
+		Recent:        r.Soft.JustStarted,
+		ConfigVersion: r.ConfigVersion,
+		Config:        r.Config,
+		Holder:        encodeHolder(r.Holder),
+		Endpoints:     encodeList(&r.Endpoints, r.Compress),
+		FreshMs:       r.StoreAge.Milliseconds(),
+		Levels:        encodeAmounts(r.Soft.Levels),
 
-		ConfigRevision: s.VersionAt,
+		ConfigRevision: r.ConfigRevision,
 
-		Crashes:   quarantinepb.Encode(s.Crashes),
-		CrashesTo: quarantinepb.EncodePosition(s.CrashesTo),
-		Rollouts:  encodeNews(&s.Rollouts),
-		Members:   encodeList(&s.Members, s.Packed),
+		Crashes:   quarantinepb.Encode(r.Crashes),
+		CrashesTo: quarantinepb.EncodePosition(r.CrashesPosition),
+		Rollouts:  encodeRolloutUpdate(&r.RolloutUpdate),
+		Members:   encodeList(&r.Members, r.Compress),
 	}
-	if s.Loads != nil {
-		out.Loads, out.OwnLoads = s.Loads.packed, packLoads(s.Loads.Own)
+	if r.Loads != nil {
+		out.Loads, out.OwnLoads = r.Loads.encoded, encodeLoads(r.Loads.Own)
 	}
-	if !s.True.IsZero() {
-		out.TrueMs = s.True.UnixMilli()
+	if !r.FleetTime.IsZero() {
+		out.TrueMs = r.FleetTime.UnixMilli()
 	}
 	return out
 }
 
-func decodeSum(t *exchangepb.Totals) Sum {
-	s := Sum{
-		Version:   t.ConfigVersion,
-		Text:      t.Config,
-		VersionAt: t.ConfigRevision,
-		Soft:      relay.SoftState{Spent: decodeSpent(t.Spent), JustStarted: t.Recent, Levels: decodeSpent(t.Levels)},
-		Holder:    decodeHolder(t.Holder),
-		Endpoints: decodeList(t.Endpoints),
-		Fresh:     time.Duration(t.FreshMs) * time.Millisecond,
-		Crashes:   quarantinepb.Decode(t.Crashes),
-		CrashesTo: quarantinepb.DecodePosition(t.CrashesTo),
-		Rollouts:  decodeNews(t.Rollouts),
-		Members:   decodeList(t.Members),
+func decodeReply(t *exchangepb.Totals) Reply {
+	r := Reply{
+		ConfigVersion:   t.ConfigVersion,
+		Config:          t.Config,
+		ConfigRevision:  t.ConfigRevision,
+		Soft:            relay.SoftState{Spent: decodeAmounts(t.Spent), JustStarted: t.Recent, Levels: decodeAmounts(t.Levels)},
+		Holder:          decodeHolder(t.Holder),
+		Endpoints:       decodeList(t.Endpoints),
+		StoreAge:        time.Duration(t.FreshMs) * time.Millisecond,
+		Crashes:         quarantinepb.Decode(t.Crashes),
+		CrashesPosition: quarantinepb.DecodePosition(t.CrashesTo),
+		RolloutUpdate:   decodeRolloutUpdate(t.Rollouts),
+		Members:         decodeList(t.Members),
 	}
 	if t.Loads != nil {
-		s.Loads = &Loads{All: unpackLoads(t.Loads), Own: unpackLoads(t.OwnLoads)}
+		r.Loads = &Loads{All: decodeLoads(t.Loads), Own: decodeLoads(t.OwnLoads)}
 	}
 	if t.TrueMs != 0 {
-		s.True = time.UnixMilli(t.TrueMs)
+		r.FleetTime = time.UnixMilli(t.TrueMs)
 	}
-	return s
+	return r
 }
 
 func encodeWant(w spread.Want) *exchangepb.Want {
@@ -229,7 +229,7 @@
 	return Holder{Daemon: fleet.DaemonID(h.GetDaemon()), Token: h.GetToken()}
 }
 
-func encodeSpent(m map[fleet.WorkspaceID]float64) []*exchangepb.Amount {
+func encodeAmounts(m map[fleet.WorkspaceID]float64) []*exchangepb.Amount {
 	out := make([]*exchangepb.Amount, 0, len(m))
 	for name, v := range m {
 		out = append(out, &exchangepb.Amount{Name: string(name), Amount: v})
@@ -237,7 +237,7 @@
 	return out
 }
 
-func decodeSpent(all []*exchangepb.Amount) map[fleet.WorkspaceID]float64 {
+func decodeAmounts(all []*exchangepb.Amount) map[fleet.WorkspaceID]float64 {
 	out := make(map[fleet.WorkspaceID]float64, len(all))
 	for _, a := range all {
 		out[fleet.WorkspaceID(a.Name)] = a.Amount
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -11,165 +11,171 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/relay"
 )
 
-// leastSilence is how long a daemon's loads count after its last report where
-// reports come often: its requests go on for longer than a report that is late.
-const leastSilence = time.Second
-
-// silence is how long a daemon's loads count after its last report: two reports
-// and a half are missing then.
-func (h *Hub) silence() time.Duration { return max(leastSilence, 5*h.interval/2) }
-
-// sumAge is how long a sum is used again: reports come some hundred times a
-// second in a large fleet, and what they tell is a quarter of a second old.
-const sumAge = 50 * time.Millisecond
-
-// gap is the silence after which nothing of what a daemon spent meanwhile is
-// counted: this daemon was no hub for a while, and limits are judged over about
-// eight seconds.
-const gap = 10 * time.Second
-
-// Hub sums the parts of all daemons, which tell it themselves or through other
-// hubs. It is a plain decision and not safe for
-// concurrent use. Parts of daemons that are gone stay in the totals.
+// minStaleAfter is the least of staleAfter, for short intervals: requests last longer than
+// a report is usually late, so their load must not be dropped for a late report.
+const minStaleAfter = time.Second
+
+// staleAfter returns how long a daemon's loads count after its last report: two and a half
+// intervals.
+func (h *Hub) staleAfter() time.Duration { return max(minStaleAfter, 5*h.interval/2) }
+
+// maxCacheAge is how long a computed sum is reused. A hub of a large fleet gets some
+// hundred reports a second, whose content is a quarter of a second old.
+const maxCacheAge = 50 * time.Millisecond
+
+// maxCountedGap is the longest gap between two reports of a daemon in which its spending
+// counts. After a longer one, the hub's state is outdated, since it was not the daemon's
+// hub for a while, and limits apply over about eight seconds.
+const maxCountedGap = 10 * time.Second
+
+// Hub sums the reports of all daemons, received directly or relayed by other hubs. What
+// daemons have spent stays in the total when they are gone. A Hub is plain state, not safe
+// for concurrent use.
 type Hub struct {
-	parts map[fleet.DaemonID]*heard
-	// relays are the parts of daemons that tell this hub and that it relays.
-	relays map[fleet.DaemonID]*heard
-	turn   Turn
-	spent  map[fleet.WorkspaceID]float64 // by all, those that were forgotten among them
-	sum    *total                        // of loads, the last one, nil before
-	forgot time.Time                     // when silent daemons were last looked for
-	skew   *skew                         // the last one, nil before
-	// interval is how often a daemon that has nothing urgent to tell reports.
+	daemons map[fleet.DaemonID]*daemonState
+	// relaying are the daemons whose reports this hub relays.
+	relaying    map[fleet.DaemonID]*daemonState
+	cursor      Cursor
+	spent       map[fleet.WorkspaceID]float64 // by all daemons, including removed ones
+	loadTotal   *loadTotal                    // cached; nil before the first use
+	lastRemoval time.Time                     // when expired daemons were last removed
+	skew        *skew                         // cached; nil before the first use
+	// interval is the time between two reports of a daemon without urgent changes.
 	interval time.Duration
 }
 
-// heard is a daemon's last part.
-type heard struct {
-	part Part
-	at   time.Time     // by the hub's clock
-	skew time.Duration // its time of day less the hub's steady count
-	// base is what it had spent when it was first heard of: a hub's sum counts
-	// from there, so that it doesn't jump when a hub that has just started
-	// hears of one daemon after the other.
+// daemonState is the last report of a daemon.
+type daemonState struct {
+	report     Report
+	receivedAt time.Time     // by the hub's clock
+	skew       time.Duration // the daemon's wall-clock time minus the hub's monotonic time
+	// base is the spending that doesn't count, which is that of the daemon's first report
+	// unless the daemon has just started. Otherwise, the sum of a hub that has just
+	// started would jump with the first report of each daemon.
 	base map[fleet.WorkspaceID]float64
-	// restored says that only the windows of usage are known.
+	// restored means that the report comes from a checkpoint, with usage windows only.
 	restored bool
-	// direct says that the daemon told this hub, not another one that relayed it.
+	// direct means that the daemon sent the report to this hub, not through another one.
 	direct bool
-	// turn is the hub's when the part came, counted when its windows of usage did, and
-	// changed when each workspace's spending was last another; nil: all of it is.
-	turn, counted Turn
-	changed       map[fleet.WorkspaceID]Turn
+	// The hub's cursor at the time of the report, at the time of its usage windows, and at
+	// the last change of each workspace's spending. If changeCursors is nil, all spending
+	// counts as changed.
+	cursor, windowsCursor Cursor
+	changeCursors         map[fleet.WorkspaceID]Cursor
 }
 
-// Turn counts the parts that a hub has taken.
-type Turn uint64
+// Cursor is the number of reports that a hub has added. It identifies a point in their
+// sequence.
+type Cursor uint64
 
-// spent returns what was spent since the daemon was first heard of.
-func (h *heard) spent(w fleet.WorkspaceID) float64 { return h.part.Soft.Spent[w] - h.base[w] }
+// spent returns what counts of a workspace's spending, in the unit of its limit.
+func (d *daemonState) spent(w fleet.WorkspaceID) float64 { return d.report.Soft.Spent[w] - d.base[w] }
 
-// forgetAfter is how long the part of a silent daemon is kept: its windows of
-// usage are due for a while after its death.
-const forgetAfter = 40 * time.Second
+// expireAfter is how long the state of a daemon is kept after its last report. Its usage
+// windows are still needed for a while after it has died.
+const expireAfter = 40 * time.Second
 
-// NewHub returns an empty hub that is told at an interval.
+// NewHub returns a hub without reports. interval is the time between two reports of a
+// daemon without urgent changes.
 func NewHub(interval time.Duration) *Hub {
 	return &Hub{
-		parts: map[fleet.DaemonID]*heard{}, relays: map[fleet.DaemonID]*heard{},
+		daemons: map[fleet.DaemonID]*daemonState{}, relaying: map[fleet.DaemonID]*daemonState{},
 		spent: map[fleet.WorkspaceID]float64{}, interval: interval,
 	}
 }
 
-// SetInterval takes a changed interval of reports.
+// SetInterval changes the interval of reports.
 func (h *Hub) SetInterval(d time.Duration) { h.interval = d }
 
-// Take takes a part that came when the hub's steady count was steady. One without
-// windows leaves those that are known as they are.
-func (h *Hub) Take(now time.Time, steady time.Duration, p Part) { h.take(now, steady, p, true) }
+// Add adds a report that was received directly, at a monotonic time of the hub. It replaces
+// the daemon's last report, except for the usage windows if it has none.
+func (h *Hub) Add(now time.Time, monotonic time.Duration, r Report) { h.add(now, monotonic, r, true) }
 
-// TakeRelayed takes a part that came through another hub. One that is no newer than
-// what is known is left.
-func (h *Hub) TakeRelayed(now time.Time, steady time.Duration, r *Relayed) {
-	old := h.parts[r.Daemon]
-	if old != nil && (r.Seq == 0 && old.direct || r.Seq != 0 && r.Seq <= old.part.Seq) {
+// AddRelayed adds a report that another hub has relayed. It ignores a report that is no
+// newer than the last one from that daemon.
+func (h *Hub) AddRelayed(now time.Time, monotonic time.Duration, r *RelayedReport) {
+	old := h.daemons[r.Daemon]
+	if old != nil && (r.Seq == 0 && old.direct || r.Seq != 0 && r.Seq <= old.report.Seq) {
 		return
 	}
-	p := r.Part
-	if old != nil && r.Changes {
-		p.Soft.Spent = maps.Clone(old.part.Soft.Spent)
-		maps.Copy(p.Soft.Spent, r.Soft.Spent)
+	report := r.Report
+	if old != nil && r.ChangedOnly {
+		report.Soft.Spent = maps.Clone(old.report.Soft.Spent)
+		maps.Copy(report.Soft.Spent, r.Soft.Spent)
 	}
-	h.take(now.Add(-r.Age), steady-r.Age, p, false)
+	h.add(now.Add(-r.Age), monotonic-r.Age, report, false)
 }
 
-func (h *Hub) take(at time.Time, steady time.Duration, p Part, direct bool) {
-	p.Relayed = nil
-	h.turn++
-	next := &heard{
-		part: p, at: at, skew: time.Duration(p.Wall.UnixNano()) - steady, base: p.Soft.Spent,
-		direct: direct, turn: h.turn, counted: h.turn,
+func (h *Hub) add(at time.Time, monotonic time.Duration, r Report, direct bool) {
+	r.Relayed = nil
+	h.cursor++
+	next := &daemonState{
+		report: r, receivedAt: at, skew: time.Duration(r.WallTime.UnixNano()) - monotonic, base: r.Soft.Spent,
+		direct: direct, cursor: h.cursor, windowsCursor: h.cursor,
 	}
-	if p.Soft.JustStarted {
+	if r.Soft.JustStarted {
 		next.base = nil
 	}
-	old, moved := h.parts[p.Daemon], false
+	old, rebased := h.daemons[r.Daemon], false
 	if old != nil {
-		if len(p.Windows) == 0 {
-			next.part.Windows, next.counted = old.part.Windows, old.counted
+		if len(r.Windows) == 0 {
+			next.report.Windows, next.windowsCursor = old.report.Windows, old.windowsCursor
 		}
-		next.base, moved = old.moved(at.Sub(old.at), h.interval, p.Soft.Spent)
+		next.base, rebased = old.rebase(at.Sub(old.receivedAt), h.interval, r.Soft.Spent)
 		if direct {
-			next.changed = old.changes(h.turn, &p)
+			next.changeCursors = old.nextChangeCursors(h.cursor, &r)
 		}
 	}
-	h.count(old, next, moved)
-	h.parts[p.Daemon] = next
-	delete(h.relays, p.Daemon)
-	if direct && !p.Spare && !p.Hub {
-		h.relays[p.Daemon] = next
+	h.updateSpent(old, next, rebased)
+	h.daemons[r.Daemon] = next
+	delete(h.relaying, r.Daemon)
+	if direct && !r.Backup && !r.IsHub {
+		h.relaying[r.Daemon] = next
 	}
 }
 
-// changes returns when each workspace's spending changed, once a newer part has come.
-// All of it counts as changed where this hub relays the daemon from now on: another
-// hub may have died with a change that it had not relayed.
-func (h *heard) changes(turn Turn, p *Part) map[fleet.WorkspaceID]Turn {
-	if !h.direct || h.part.Spare && !p.Spare {
+// nextChangeCursors returns the cursors of the last changes of each workspace's spending,
+// given a newer report. The result is nil, so that all spending counts as changed, if this hub
+// starts to relay the daemon's reports: another hub may have failed before it relayed a
+// change.
+func (d *daemonState) nextChangeCursors(cursor Cursor, r *Report) map[fleet.WorkspaceID]Cursor {
+	if !d.direct || d.report.Backup && !r.Backup {
 		return nil
 	}
-	out := h.changed
+	out := d.changeCursors
 	if out == nil {
-		out = make(map[fleet.WorkspaceID]Turn, len(p.Soft.Spent))
-		for w := range h.part.Soft.Spent {
-			out[w] = h.turn
+		out = make(map[fleet.WorkspaceID]Cursor, len(r.Soft.Spent))
+		for w := range d.report.Soft.Spent {
+			out[w] = d.cursor
 		}
 	}
-	for w, v := range p.Soft.Spent {
-		if old, ok := h.part.Soft.Spent[w]; !ok || old != v {
-			out[w] = turn
+	for w, v := range r.Soft.Spent {
+		if old, ok := d.report.Soft.Spent[w]; !ok || old != v {
+			out[w] = cursor
 		}
 	}
 	return out
 }
 
-// Turn returns the hub's turn, up to which a relay has all that was told.
-func (h *Hub) Turn() Turn { return h.turn }
-
-// Relay returns the parts that daemons have told this hub since a turn, of those that
-// no other hub relays; since 0 it is all. Of their spending it has what has changed
-// since. Windows are those of parts that have told theirs since counted.
-func (h *Hub) Relay(now time.Time, since, counted Turn) []Relayed {
-	var out []Relayed
-	for _, p := range h.relays {
-		if p.turn <= since {
+// Cursor returns the cursor after the last report that was added. A relay made now has all
+// reports up to it.
+func (h *Hub) Cursor() Cursor { return h.cursor }
+
+// ReportsToRelay returns the reports received after the cursor since, of the daemons whose
+// reports this hub relays. They have only the spending that has changed after that cursor,
+// or all of it if since is 0, and the usage windows if these were received after
+// windowsSince.
+func (h *Hub) ReportsToRelay(now time.Time, since, windowsSince Cursor) []RelayedReport {
+	var out []RelayedReport
+	for _, d := range h.relaying {
+		if d.cursor <= since {
 			continue
 		}
-		r := Relayed{Part: p.part, Age: now.Sub(p.at), Changes: since > 0 && p.changed != nil}
-		if r.Changes {
-			r.Soft.Spent = p.spentSince(since)
+		r := RelayedReport{Report: d.report, Age: now.Sub(d.receivedAt), ChangedOnly: since > 0 && d.changeCursors != nil}
+		if r.ChangedOnly {
+			r.Soft.Spent = d.spentSince(since)
 		}
-		if p.counted <= counted {
+		if d.windowsCursor <= windowsSince {
 			r.Windows = nil
 		}
 		out = append(out, r)
@@ -177,42 +183,42 @@
 	return out
 }
 
-// Relays reports whether this hub was told something lately that it relays.
-func (h *Hub) Relays(now time.Time) bool {
-	for _, p := range h.relays {
-		if now.Sub(p.at) <= h.silence() {
+// IsRelaying reports whether this hub has a recent report that it relays.
+func (h *Hub) IsRelaying(now time.Time) bool {
+	for _, d := range h.relaying {
+		if now.Sub(d.receivedAt) <= h.staleAfter() {
 			return true
 		}
 	}
 	return false
 }
 
-// spentSince returns the spending that has changed since a turn.
-func (h *heard) spentSince(since Turn) map[fleet.WorkspaceID]float64 {
+// spentSince returns the spending that has changed after a cursor.
+func (d *daemonState) spentSince(since Cursor) map[fleet.WorkspaceID]float64 {
 	out := map[fleet.WorkspaceID]float64{}
-	for w, v := range h.part.Soft.Spent {
-		if turn, ok := h.changed[w]; !ok || turn > since {
+	for w, v := range d.report.Soft.Spent {
+		if cursor, ok := d.changeCursors[w]; !ok || cursor > since {
 			out[w] = v
 		}
 	}
 	return out
 }
 
-// count brings the total of spending up to date with a daemon's next part. moved says
-// that the part counts from another base than the one before.
-func (h *Hub) count(old, next *heard, moved bool) {
-	if old != nil && (moved || len(next.part.Soft.Spent) < len(old.part.Soft.Spent)) {
-		for w := range old.part.Soft.Spent {
+// updateSpent updates the total spending with a daemon's next report. rebased means that
+// the base of this report differs from that of the old one.
+func (h *Hub) updateSpent(old, next *daemonState, rebased bool) {
+	if old != nil && (rebased || len(next.report.Soft.Spent) < len(old.report.Soft.Spent)) {
+		for w := range old.report.Soft.Spent {
 			h.spent[w] -= old.spent(w)
 		}
 		old = nil
 	}
-	for w, v := range next.part.Soft.Spent {
+	for w, v := range next.report.Soft.Spent {
 		if old == nil {
 			h.spent[w] += next.spent(w)
 			continue
 		}
-		before, known := old.part.Soft.Spent[w]
+		before, known := old.report.Soft.Spent[w]
 		switch {
 		case !known:
 			h.spent[w] += next.spent(w)
@@ -222,86 +228,87 @@
 	}
 }
 
-// forget lets the parts of daemons go that have been silent for long. What they
-// spent stays in the total.
-func (h *Hub) forget(now time.Time) {
-	for id, old := range h.parts {
-		if now.Sub(old.at) > forgetAfter {
-			delete(h.parts, id)
-			delete(h.relays, id)
+// removeExpired removes daemons without a report for expireAfter. Their spending stays in
+// the total.
+func (h *Hub) removeExpired(now time.Time) {
+	for id, d := range h.daemons {
+		if now.Sub(d.receivedAt) > expireAfter {
+			delete(h.daemons, id)
+			delete(h.relaying, id)
 		}
 	}
 }
 
-// moved returns the base of the next part, which comes after a silence. What a
-// daemon lets in while it isn't heard is its own share, for which the others
-// left room: only what it let in at the beginning is counted.
-func (h *heard) moved(silence, interval time.Duration, spent map[fleet.WorkspaceID]float64) (map[fleet.WorkspaceID]float64, bool) {
-	counts := quota.CountedShare(silence, interval)
-	if h.restored || silence > gap {
-		counts = 0
+// rebase returns the base of the next report after a gap, and whether it differs from the
+// last one. During a gap a daemon admits only its own share of a limit, which the others
+// leave unused, so only the spending at the beginning of the gap counts.
+func (d *daemonState) rebase(gap, interval time.Duration, spent map[fleet.WorkspaceID]float64) (map[fleet.WorkspaceID]float64, bool) {
+	countedShare := quota.CountedShare(gap, interval)
+	if d.restored || gap > maxCountedGap {
+		countedShare = 0
 	}
-	if counts == 1 {
-		return h.base, false
+	if countedShare == 1 {
+		return d.base, false
 	}
 	base := make(map[fleet.WorkspaceID]float64, len(spent))
 	for w, v := range spent {
-		base[w] = v - h.spent(w) - counts*(v-h.part.Soft.Spent[w])
+		base[w] = v - d.spent(w) - countedShare*(v-d.report.Soft.Spent[w])
 	}
 	return base, true
 }
 
-// Spent returns what all daemons but one have let in.
-func (h *Hub) Spent(now time.Time, but fleet.DaemonID) map[fleet.WorkspaceID]float64 {
-	h.forgetOften(now)
+// Spent returns what all daemons but one have spent, by workspace, in the unit of its
+// limit.
+func (h *Hub) Spent(now time.Time, except fleet.DaemonID) map[fleet.WorkspaceID]float64 {
+	h.maybeRemoveExpired(now)
 	out := maps.Clone(h.spent)
-	if own := h.parts[but]; own != nil {
-		for w := range own.part.Soft.Spent {
+	if own := h.daemons[except]; own != nil {
+		for w := range own.report.Soft.Spent {
 			out[w] -= own.spent(w)
 		}
 	}
 	return out
 }
 
-// Loads returns the endpoints' loads for one daemon, as of sumAge ago at the
-// most.
+// Loads returns the endpoints' loads for the reply to one daemon. They may be up to
+// maxCacheAge old.
 func (h *Hub) Loads(now time.Time, to fleet.DaemonID) *Loads {
-	if h.sum == nil || now.Sub(h.sum.at) > sumAge || now.Before(h.sum.at) {
-		h.sum = h.sumLoads(now)
+	if h.loadTotal == nil || now.Sub(h.loadTotal.at) > maxCacheAge || now.Before(h.loadTotal.at) {
+		h.loadTotal = h.sumLoads(now)
 	}
-	return h.sum.loads(to)
+	return h.loadTotal.loadsFor(to)
 }
 
-// forgetOften forgets silent daemons now and then: their parts are kept for much longer.
-func (h *Hub) forgetOften(now time.Time) {
-	if now.Sub(h.forgot) >= time.Second || now.Before(h.forgot) {
-		h.forgot = now
-		h.forget(now)
+// maybeRemoveExpired removes expired daemons at most once a second.
+func (h *Hub) maybeRemoveExpired(now time.Time) {
+	if now.Sub(h.lastRemoval) >= time.Second || now.Before(h.lastRemoval) {
+		h.lastRemoval = now
+		h.removeExpired(now)
 	}
 }
 
-// sumLoads adds up the loads of all daemons that were heard of lately.
-func (h *Hub) sumLoads(now time.Time) *total {
-	t := &total{at: now, load: balance.Loads{}, own: make(map[fleet.DaemonID]balance.Loads, len(h.parts))}
-	for id, p := range h.parts {
-		if now.Sub(p.at) > h.silence() {
+// sumLoads sums the loads of all daemons whose last report isn't stale.
+func (h *Hub) sumLoads(now time.Time) *loadTotal {
+	t := &loadTotal{at: now, all: balance.Loads{}, byDaemon: make(map[fleet.DaemonID]balance.Loads, len(h.daemons))}
+	for id, d := range h.daemons {
+		if now.Sub(d.receivedAt) > h.staleAfter() {
 			continue
 		}
-		t.own[id] = p.part.Soft.Load
-		for e, l := range p.part.Soft.Load {
-			sum := t.load[e]
-			t.load[e] = balance.Load{Requests: sum.Requests + l.Requests, PendingPrefill: sum.PendingPrefill + l.PendingPrefill}
+		t.byDaemon[id] = d.report.Soft.Load
+		for e, l := range d.report.Soft.Load {
+			sum := t.all[e]
+			t.all[e] = balance.Load{Requests: sum.Requests + l.Requests, PendingPrefill: sum.PendingPrefill + l.PendingPrefill}
 		}
 	}
 	return t
 }
 
-// Work returns the fleet's totals by service. They shrink when a daemon is
-// forgotten.
+// Work returns the fleet's totals by service. They decrease when an expired daemon is
+// removed.
 func (h *Hub) Work() map[string]relay.Work {
 	out := map[string]relay.Work{}
-	for _, p := range h.parts {
-		for s, w := range p.part.Soft.Work {
+	for _, d := range h.daemons {
+		for s, w := range d.report.Soft.Work {
 			sum := out[s]
 			sum.Requests += w.Requests
 			sum.Refused += w.Refused
@@ -314,38 +321,41 @@
 	return out
 }
 
-// Begun returns the requests that began in a window, at all daemons.
-func (h *Hub) Begun(window uint64) Begun {
-	out := Begun{}
-	for _, p := range h.parts {
-		for w, n := range p.part.Windows[window] {
+// RequestCounts returns the number of requests started in a usage window at all daemons.
+func (h *Hub) RequestCounts(window uint64) RequestCounts {
+	out := RequestCounts{}
+	for _, d := range h.daemons {
+		for w, n := range d.report.Windows[window] {
 			out[w] += n
 		}
 	}
 	return out
 }
 
-// HeardAll reports whether all of some daemons have reported since a time.
-func (h *Hub) HeardAll(since time.Time, daemons []fleet.DaemonID) bool {
+// ReceivedFromAll reports whether the hub has received a report from each of the daemons
+// after a time.
+func (h *Hub) ReceivedFromAll(since time.Time, daemons []fleet.DaemonID) bool {
 	for _, id := range daemons {
-		if p := h.parts[id]; p == nil || !p.at.After(since) {
+		if d := h.daemons[id]; d == nil || !d.receivedAt.After(since) {
 			return false
 		}
 	}
 	return true
 }
 
-// Skew returns what to add to the hub's steady count for the fleet's time, as of sumAge
-// ago at the most: the median of the daemons heard of lately, so that steps of fewer
-// than half of the clocks don't move it.
+// Skew returns the difference between the fleet's time and the hub's monotonic time, and
+// whether it is known. It is the median over all daemons whose last report isn't stale, so
+// that steps of fewer than half of the clocks don't change it. It may be up to maxCacheAge
+// old.
 func (h *Hub) Skew(now time.Time) (time.Duration, bool) {
-	if h.skew == nil || now.Sub(h.skew.at) > sumAge || now.Before(h.skew.at) {
+	if h.skew == nil || now.Sub(h.skew.at) > maxCacheAge || now.Before(h.skew.at) {
 		h.skew = h.medianSkew(now)
 	}
 	return h.skew.median, h.skew.known
 }
 
-// skew is the fleet's time less the hub's steady count, at a moment.
+// skew is the median difference between the daemons' wall-clock times and the hub's
+// monotonic time.
 type skew struct {
 	at     time.Time
 	median time.Duration
@@ -354,9 +364,9 @@
 
 func (h *Hub) medianSkew(now time.Time) *skew {
 	var all []time.Duration
-	for _, p := range h.parts {
-		if now.Sub(p.at) <= h.silence() {
-			all = append(all, p.skew)
+	for _, d := range h.daemons {
+		if now.Sub(d.receivedAt) <= h.staleAfter() {
+			all = append(all, d.skew)
 		}
 	}
 	if len(all) == 0 {
--- a/internal/exchange/loads.go
+++ b/internal/exchange/loads.go
@@ -8,17 +8,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Loads is the endpoints' loads as a hub tells them to one daemon: all, which
-// are the same for every daemon and encoded once, and what of them is the
-// daemon's own.
+// Loads is the endpoints' loads in a hub's reply to one daemon: the total of all daemons,
+// which is the same in every reply and encoded once, and the part that this daemon has
+// reported itself.
 type Loads struct {
-	All balance.Loads // shared, not to be changed
+	All balance.Loads // shared, must not be modified
 	Own balance.Loads // likewise
 
-	packed *exchangepb.Loads // All, encoded, where a hub made it
+	encoded *exchangepb.Loads // All in its encoded form; set by a hub only
 }
 
-// Others returns all loads but the daemon's own.
+// Others returns the loads without the daemon's own part.
 func (l *Loads) Others() balance.Loads {
 	out := maps.Clone(l.All)
 	for key, own := range l.Own {
@@ -34,28 +34,28 @@
 	return out
 }
 
-// unreadUnit is the prompt tokens that one unit of a told load stands for: a
-// millisecond or two of an engine's reading.
-const unreadUnit = 64
+// prefillUnit is the number of prompt tokens in one unit of an encoded load. An engine
+// takes a millisecond or two to prefill them.
+const prefillUnit = 64
 
-func packLoads(m balance.Loads) *exchangepb.Loads {
+func encodeLoads(m balance.Loads) *exchangepb.Loads {
 	out := &exchangepb.Loads{
 		Endpoints: make([]uint32, 0, len(m)), Requests: make([]uint32, 0, len(m)), Unread: make([]uint32, 0, len(m)),
 	}
 	for key, l := range m {
 		out.Endpoints = append(out.Endpoints, uint32(key))
 		out.Requests = append(out.Requests, uint32(l.Requests))
-		out.Unread = append(out.Unread, uint32((max(l.PendingPrefill, 0)+unreadUnit/2)/unreadUnit))
+		out.Unread = append(out.Unread, uint32((max(l.PendingPrefill, 0)+prefillUnit/2)/prefillUnit))
 	}
 	return out
 }
 
-// unpackLoads ignores what has no counterpart in each of the lists.
-func unpackLoads(p *exchangepb.Loads) balance.Loads {
+// decodeLoads ignores the elements of a list that have no counterpart in the others.
+func decodeLoads(p *exchangepb.Loads) balance.Loads {
 	n := min(len(p.GetEndpoints()), len(p.GetRequests()), len(p.GetUnread()))
 	out := make(balance.Loads, n)
 	for i := range n {
-		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * unreadUnit}
+		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * prefillUnit}
 	}
 	return out
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -13,14 +13,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Several readers ask now and then, some after thousands of changes, some of a
-// log that was begun anew, as when they follow another daemon. After each answer
-// a reader has what the log has.
-func TestReadersEndWithTheLogsState(t *testing.T) {
+// Several readers get updates now and then, some after thousands of changes, some from a
+// new log, as when they switch to another daemon. After each update, a reader must have
+// the same items as the log.
+func TestReadersReachTheLogsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type reader struct {
-			at   Position
-			have map[string]string
+			position Position
+			items    map[string]string
 		}
 		readers := [3]reader{}
 		log := NewLog(1)
@@ -31,7 +31,7 @@
 			case 0:
 				log = NewLog(uint64(step + 2))
 			case 1:
-				for i := range kept + 10 {
+				for i := range maxRemovals + 10 {
 					revision++
 					log.Set(revision, []Item{{Name: fmt.Sprint("x", i), Revision: revision}})
 				}
@@ -52,34 +52,34 @@
 			}
 			log.Set(revision, items)
 			r := &readers[rapid.IntRange(0, 2).Draw(t, "reader")]
-			u := log.Since(r.at)
-			if u.Full || r.have == nil {
-				r.have = map[string]string{}
+			u := log.Since(r.position)
+			if u.Full || r.items == nil {
+				r.items = map[string]string{}
 			}
-			for name := range r.have {
+			for name := range r.items {
 				if len(u.Keys) > 0 && !slices.Contains(u.Keys, rendezvous.ShortOf(name)) {
-					delete(r.have, name)
+					delete(r.items, name)
 				}
 			}
 			for _, name := range u.Removed {
-				delete(r.have, name)
+				delete(r.items, name)
 			}
 			for _, it := range u.Items {
-				r.have[it.Name] = string(it.Spec)
+				r.items[it.Name] = string(it.Spec)
 			}
-			r.at = u.To
+			r.position = u.To
 			want := map[string]string{}
 			for name, it := range state {
 				want[name] = string(it.Spec)
 			}
-			assert.Assert(t, maps.Equal(r.have, want), "%v, want %v", r.have, want)
+			assert.Assert(t, maps.Equal(r.items, want), "%v, want %v", r.items, want)
 		}
 	})
 }
 
-// A daemon that has listed the source itself follows a log: it must not be told
-// again what it has.
-func TestKnownRevisionIsNotToldAgain(t *testing.T) {
+// Guards against sending a daemon the items again that it has already listed from the
+// source itself, when it starts to follow a log.
+func TestUpdateOmitsItemsUpToAKnownRevision(t *testing.T) {
 	log := NewLog(1)
 	var items []Item
 	for i := range 1000 {
--- a/internal/gossip/check.go
+++ b/internal/gossip/check.go
@@ -6,14 +6,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// Bounds on what a datagram may say. A larger value can only come from a fault,
-// and would stay in all tables.
+// Bounds on the values in a datagram. A larger value can only come from a fault, and
+// would spread to the member tables of all daemons and stay there.
 const (
-	maxName        = 64      // bytes of an id or a name: a UUID has 36; two records fit into a packet
-	maxIncarnation = 1 << 60 // a start time in Unix ms needs 41 bits
+	maxNameBytes   = 64      // bytes of an ID, a name or an address; a UUID has 36, and two records still fit into a packet
+	maxIncarnation = 1 << 60 // incarnations are start times in Unix ms, which need 41 bits
 )
 
-// check refuses packets that the state machine must not see.
+// check returns an error for a packet that must not reach the Membership.
 func check(p *membership.Packet) error {
 	if p.Kind < membership.Ping || p.Kind > membership.SyncPage {
 		return Error.New("kind %d is unknown", p.Kind)
@@ -21,7 +21,7 @@
 	if len(p.Digest.Payload) > membership.MaxDigestPayload {
 		return Error.New("digest payload has %d bytes", len(p.Digest.Payload))
 	}
-	if len(p.Subject) > maxName {
+	if len(p.Subject) > maxNameBytes {
 		return Error.New("subject has %d bytes", len(p.Subject))
 	}
 	if p.Kind == membership.PingRequest && !isAddress(p.Address) {
@@ -41,7 +41,7 @@
 			return err
 		}
 	}
-	return checkPlaces(p)
+	return checkRegional(p)
 }
 
 func checkUpdate(u *membership.Update) error {
@@ -59,15 +59,16 @@
 		return nil
 	}
 	if !isName(string(r.Daemon)) || !isName(string(r.DataCentre)) || !isName(string(r.Region)) {
-		return Error.New("record of %q lacks a name", u.Instance)
+		return Error.New("record of %q has a missing or overlong name", u.Instance)
 	}
-	if !isAddress(r.Peer) || len(r.Caller) > maxName {
+	if !isAddress(r.Peer) || len(r.Caller) > maxNameBytes {
 		return Error.New("record of %q has a bad address", u.Instance)
 	}
 	return nil
 }
 
-func checkPlaces(p *membership.Packet) error {
+// checkRegional checks the updates about data centres and the heartbeats of regions.
+func checkRegional(p *membership.Packet) error {
 	for _, d := range p.DataCentres {
 		if !isName(string(d.DataCentre)) || !isName(string(d.Region)) || d.Version > maxIncarnation {
 			return Error.New("data centre %q is malformed", d.DataCentre)
@@ -75,20 +76,20 @@
 	}
 	for _, b := range p.Heartbeats {
 		if !isName(string(b.Region)) || b.Count > maxIncarnation {
-			return Error.New("beat of %q is malformed", b.Region)
+			return Error.New("heartbeat of %q is malformed", b.Region)
 		}
 	}
 	return nil
 }
 
-func isName(s string) bool { return s != "" && len(s) <= maxName }
+func isName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
 func isAddress(s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && !a.Addr().IsUnspecified()
 }
 
-// checkSelf refuses to start a daemon whose packets all others would refuse.
+// checkSelf returns an error for a member whose packets other daemons would reject.
 func checkSelf(m membership.Member) error {
 	return checkUpdate(&membership.Update{
 		Instance:    m.Instance,
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -48,14 +48,14 @@
 		}
 		return u
 	})
-	genPlace = rapid.Custom(func(t *rapid.T) membership.DataCentreUpdate {
+	genDataCentre = rapid.Custom(func(t *rapid.T) membership.DataCentreUpdate {
 		return membership.DataCentreUpdate{
 			DataCentre: fleet.DataCentre(genName.Draw(t, "data centre")),
 			Region:     fleet.Region(genName.Draw(t, "region")),
 			Version:    rapid.Uint64Range(0, maxIncarnation).Draw(t, "version"),
 		}
 	})
-	genBeat = rapid.Custom(func(t *rapid.T) membership.Heartbeat {
+	genHeartbeat = rapid.Custom(func(t *rapid.T) membership.Heartbeat {
 		return membership.Heartbeat{
 			Region: fleet.Region(genName.Draw(t, "region")),
 			Count:  rapid.Uint64Range(0, maxIncarnation).Draw(t, "count"),
@@ -78,9 +78,9 @@
 			Hash:    rapid.Uint64().Draw(t, "digest"),
 			Payload: string(rapid.SliceOfN(rapid.Byte(), 0, membership.MaxDigestPayload).Draw(t, "payload")),
 		},
-		Heartbeats:  rapid.SliceOfN(genBeat, 0, 3).Draw(t, "beats"),
+		Heartbeats:  rapid.SliceOfN(genHeartbeat, 0, 3).Draw(t, "beats"),
 		Updates:     rapid.SliceOfN(genUpdate, 0, 5).Draw(t, "updates"),
-		DataCentres: rapid.SliceOfN(genPlace, 0, 3).Draw(t, "data centres"),
+		DataCentres: rapid.SliceOfN(genDataCentre, 0, 3).Draw(t, "data centres"),
 	}
 	if p.Kind == membership.SyncRequest {
 		p.Buckets = rapid.SliceOfN(rapid.Byte(), membership.BucketCount, membership.BucketCount).Draw(t, "buckets")
@@ -88,10 +88,10 @@
 	return p
 }
 
-func TestPacketsSurviveTheWireWithinTheirSize(t *testing.T) {
-	// Packets are kept below 1200 bytes by membership's own bound of their
-	// encoded size. If the codec took more, large ones would be cut into
-	// fragments, of which the loss of any loses the packet.
+func TestPacketsRoundTripWithinTheirSizeBound(t *testing.T) {
+	// Guards against IP fragmentation, where the loss of any fragment loses the packet.
+	// Membership keeps packets below 1200 bytes by Packet.Size, its own bound on their
+	// encoded size, so the codec must not exceed that bound.
 	s := mustSealer(t, Keys{Primary: key})
 	rapid.Check(t, func(t *rapid.T) {
 		p := genPacket(t)
@@ -107,7 +107,7 @@
 	})
 }
 
-// assertSamePacket compares by content: an empty list comes back as nil.
+// assertSamePacket compares lists by content: an empty one is decoded as nil.
 func assertSamePacket(t *rapid.T, got, want *membership.Packet) {
 	assert.Equal(t, len(got.Updates), len(want.Updates))
 	for i := range want.Updates {
@@ -120,7 +120,7 @@
 	assert.DeepEqual(t, a, b)
 }
 
-func TestMalformedPacketsAreRefused(t *testing.T) {
+func TestMalformedPacketsAreRejected(t *testing.T) {
 	good := func() *membership.Packet {
 		return &membership.Packet{Kind: membership.Ping, From: membership.Sender{Instance: "i", Incarnation: 1}}
 	}
@@ -155,7 +155,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestOnlyDatagramsOfOurKeysAreOpened(t *testing.T) {
+func TestOnlyDatagramsSealedWithAConfiguredKeyAreOpened(t *testing.T) {
 	plain, sealed := mustSealer(t, Keys{}), mustSealer(t, Keys{Primary: key})
 	other := mustSealer(t, Keys{Primary: otherKey})
 	rotating := mustSealer(t, Keys{Primary: otherKey, Secondary: key})
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -44,7 +44,7 @@
 	for _, peer := range seeds {
 		hints = append(hints, membership.Member{Peer: peer})
 	}
-	n.Seeds(hints)
+	n.AddSeeds(hints)
 	return n
 }
 
@@ -65,7 +65,7 @@
 	return m.State
 }
 
-func TestNodesJoinLeaveAndDepartOverSealedUDP(t *testing.T) {
+func TestNodesJoinLeaveAndCloseOverEncryptedUDP(t *testing.T) {
 	keys := func() Keys { return Keys{Primary: key} }
 	first := startNode(t, 0, listen(t), keys)
 	nodes := []*Node{first, startNode(t, 1, listen(t), keys, first.address()), startNode(t, 2, listen(t), keys, first.address())}
@@ -91,7 +91,7 @@
 	assert.Equal(t, s.Foreign+s.Malformed+s.SendErrors+s.KeyErrors, uint64(0))
 }
 
-func TestNodeWithAnAddressThatOthersWouldRefuseDoesNotStart(t *testing.T) {
+func TestNodeWithAnInvalidAddressDoesNotStart(t *testing.T) {
 	self := membership.Member{Instance: "i", Daemon: "d", Peer: "0.0.0.0:7946", DataCentre: "dc", Region: "r"}
 	m := membership.New(membership.Config{}, self, rand.New(rand.NewPCG(1, 1)))
 	_, err := Start(Options{Membership: m})
@@ -112,21 +112,21 @@
 }
 
 func TestKeysAreReplacedWhileRunning(t *testing.T) {
-	// The key of a fleet is replaced in three steps without a restart. If one
-	// were missed, datagrams would be dropped and daemons held for dead. An
-	// unusable key must not take the place of a good one.
+	// The key of a fleet is replaced in three steps without a restart. A daemon that
+	// misses one drops the others' datagrams, and members are suspected and declared
+	// dead. An invalid key must not replace a valid one.
 	synctest.Test(t, func(t *testing.T) {
-		wire := &memoryNet{conns: map[string]*memoryConn{}}
+		network := &memoryNet{conns: map[string]*memoryConn{}}
 		var keys [2]atomic.Pointer[Keys]
 		var nodes [2]*Node
 		for i := range nodes {
 			keys[i].Store(&Keys{Primary: key})
-			nodes[i] = startNode(t, i, wire.listen(1000+i), func() Keys { return *keys[i].Load() }, "127.0.0.1:1000")
+			nodes[i] = startNode(t, i, network.listen(1000+i), func() Keys { return *keys[i].Load() }, "127.0.0.1:1000")
 		}
 		for _, step := range []Keys{{key, otherKey}, {otherKey, key}, {otherKey, nil}} {
 			for i := range nodes {
 				keys[i].Store(&step)
-				time.Sleep(20 * time.Second) // of the test's clock: long enough to be held for dead
+				time.Sleep(20 * time.Second) // of the fake clock; long enough to be declared dead
 			}
 			for _, n := range nodes {
 				assert.Equal(t, len(n.View().Alive()), 2)
--- a/internal/gossip/owner.go
+++ b/internal/gossip/owner.go
@@ -9,43 +9,43 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// own is the duty that owns the Membership.
-func (n *Node) own() {
+// runOwner runs the goroutine that owns the Membership.
+func (n *Node) runOwner() {
 	defer n.done.Done()
-	ticker := time.NewTimer(pause.ToNext(tickInterval))
-	defer ticker.Stop()
+	timer := time.NewTimer(pause.ToNext(tickInterval))
+	defer timer.Stop()
 	keysAt := n.opts.Now()
 	for {
 		select {
 		case <-n.closing:
 			return
-		case <-ticker.C:
-			ticker.Reset(pause.ToNext(tickInterval))
+		case <-timer.C:
+			timer.Reset(pause.ToNext(tickInterval))
 			now := n.opts.Now()
 			if now.Sub(keysAt) >= keyInterval {
 				keysAt = now
 				n.reloadKeys()
 			}
-			n.step(n.members.Tick)
+			n.handle(n.members.Tick)
 		case p := <-n.inbound.C():
-			n.step(func(now time.Time) []membership.Action { return n.members.Receive(now, p) })
+			n.handle(func(now time.Time) []membership.Action { return n.members.Receive(now, p) })
 		case c := <-n.commands:
-			n.step(c.run)
+			n.handle(c.run)
 			close(c.done)
 		}
 	}
 }
 
-// step runs one event and carries out its actions.
-func (n *Node) step(event func(time.Time) []membership.Action) {
+// handle passes one event to the Membership and carries out the resulting actions.
+func (n *Node) handle(event func(time.Time) []membership.Action) {
 	start := n.opts.Now()
 	for _, a := range event(start) {
-		n.carryOut(a)
+		n.perform(a)
 	}
 	n.counters.busy.Add(int64(n.opts.Now().Sub(start)))
 }
 
-func (n *Node) carryOut(a membership.Action) {
+func (n *Node) perform(a membership.Action) {
 	if s, ok := a.(membership.Send); ok {
 		n.send(s)
 		return
@@ -81,17 +81,17 @@
 	n.counters.bytesOut.Add(uint64(len(n.datagram)))
 }
 
-// reloadKeys takes over changed keys. Unusable ones are counted and the old
-// ones stay: a bad file must not cut the daemon off.
+// reloadKeys switches to changed keys. Invalid or missing ones are counted and the old
+// keys stay in use, so that a faulty key file doesn't isolate the daemon.
 func (n *Node) reloadKeys() {
 	keys := n.opts.Keys()
 	if keys.equal(n.sealer.Load().keys) {
 		return
 	}
-	seal, err := newSealer(keys)
-	if err != nil || len(seal.aeads) == 0 {
+	s, err := newSealer(keys)
+	if err != nil || len(s.aeads) == 0 {
 		n.counters.keyErrors.Add(1)
 		return
 	}
-	n.sealer.Store(seal)
+	n.sealer.Store(s)
 }
--- a/internal/gossip/reader.go
+++ b/internal/gossip/reader.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// readPause keeps a reader whose socket keeps failing from spinning.
-const readPause = 100 * time.Millisecond
+// readRetryDelay is the time between reads of a socket that returns errors, which would
+// otherwise be a busy loop.
+const readRetryDelay = 100 * time.Millisecond
 
-// read is the duty that receives datagrams.
-func (n *Node) read() {
+// runReader runs the goroutine that receives datagrams.
+func (n *Node) runReader() {
 	defer n.done.Done()
 	buffer := make([]byte, readBuffer)
 	for {
@@ -19,7 +20,7 @@
 			return
 		}
 		if err != nil {
-			if n.pause() {
+			if n.waitToRetry() {
 				return
 			}
 			continue
@@ -30,17 +31,17 @@
 	}
 }
 
-// pause waits a little and reports whether the Node is closing.
-func (n *Node) pause() bool {
+// waitToRetry waits for readRetryDelay and reports whether the Node is closing.
+func (n *Node) waitToRetry() bool {
 	select {
 	case <-n.closing:
 		return true
-	case <-time.After(readPause):
+	case <-time.After(readRetryDelay):
 		return false
 	}
 }
 
-// receive decodes a datagram and passes it to the owner.
+// receive decodes a datagram and passes it to the owner goroutine.
 func (n *Node) receive(datagram []byte, from net.Addr) {
 	n.counters.packetsIn.Add(1)
 	n.counters.bytesIn.Add(uint64(len(datagram)))
