--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -38,14 +38,14 @@
 func (d *Daemon) dispatchOptions(client *endpoint.Engines) dispatch.Options {
 	s := &d.settings
 	policy := request.DefaultPolicy()
-	policy.FirstPiece = s.Routing.FirstToken
-	policy.Progress = s.Routing.BetweenTokens
+	policy.DispatchTimeout = s.Routing.FirstToken
+	policy.ProgressTimeout = s.Routing.BetweenTokens
 	return dispatch.Options{
 		Instance: s.Instance,
 		Daemon:   d.run,
 		// The life watches each stream's progress; the client's own deadlines
 		// are the second line, for what never reaches the life.
-		Engines:    &engines{client: client, first: 2 * policy.FirstPiece, between: 2 * policy.Progress},
+		Engines:    &engines{client: client, first: 2 * policy.DispatchTimeout, between: 2 * policy.ProgressTimeout},
 		Router:     d.routing,
 		Quarantine: d.crashes,
 		Admission:  d.admission,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -73,7 +73,7 @@
 		stop:   stop,
 		budget: newLockedBudget(),
 		handover: handoverState{
-			holdings:  request.NewHoldings(o.Daemon),
+			holdings:  request.NewOwnershipTable(o.Daemon),
 			transfers: make(map[request.Ref]*Transfer),
 		},
 		table: request.NewTable(o.Limits),
@@ -162,7 +162,7 @@
 }
 
 // begin adds the request to the table, or attaches to the one that is there.
-func (d *Dispatcher) begin(s *gateway.Submission, ref request.Ref, digest request.Digest) (*run, request.Attach, *problem.Problem) {
+func (d *Dispatcher) begin(s *gateway.Submission, ref request.Ref, digest request.Digest) (*run, request.BeginResult, *problem.Problem) {
 	now := time.Now()
 	r := d.newRun(now, s, ref, digest)
 	d.mu.Lock()
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -41,7 +41,7 @@
 // daemon leaves, the state of the hand-over.
 type handoverState struct {
 	mu        sync.Mutex
-	holdings  *request.Holdings
+	holdings  *request.OwnershipTable
 	leaving   *request.Handover         // nil until the daemon leaves
 	transfers map[request.Ref]*Transfer // of the requests that are frozen for an offer
 }
@@ -165,9 +165,9 @@
 
 // applyHandover applies an event to the hand-over, if one has begun, and performs
 // the resulting orders.
-func (d *Dispatcher) applyHandover(f func(h *request.Handover, now time.Time) []request.Order) {
+func (d *Dispatcher) applyHandover(f func(h *request.Handover, now time.Time) []request.HandoverAction) {
 	d.handover.mu.Lock()
-	var orders []request.Order
+	var orders []request.HandoverAction
 	if h := d.handover.leaving; h != nil {
 		orders = f(h, time.Now())
 	}
@@ -176,7 +176,7 @@
 }
 
 // perform performs orders of the hand-over.
-func (d *Dispatcher) perform(orders []request.Order) {
+func (d *Dispatcher) perform(orders []request.HandoverAction) {
 	for _, o := range orders {
 		switch o := o.(type) {
 		case request.Prepare:
@@ -186,11 +186,11 @@
 		case request.Withdraw:
 			go d.withdraw(o)
 		case request.Release:
-			d.endTransfer(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Released(now, o.To.Holder) })
+			d.endTransfer(o.Ref, func(l *request.Lifecycle, now time.Time) []request.Action { return l.Released(now, o.To.Holder) })
 		case request.Keep:
-			d.endTransfer(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Unhold(now) })
+			d.endTransfer(o.Ref, func(l *request.Lifecycle, now time.Time) []request.Action { return l.Unfreeze(now) })
 		case request.GiveUp:
-			d.endTransfer(o.Ref, func(l *request.Life, now time.Time) []request.Action { return l.Lost(now) })
+			d.endTransfer(o.Ref, func(l *request.Lifecycle, now time.Time) []request.Action { return l.OutcomeUnknown(now) })
 		}
 	}
 }
@@ -199,7 +199,7 @@
 func (d *Dispatcher) prepare(o request.Prepare) {
 	t := d.freeze(o)
 	if t == nil {
-		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order {
+		d.applyHandover(func(h *request.Handover, now time.Time) []request.HandoverAction {
 			h.NotReady(now, o.Ref)
 			return nil
 		})
@@ -208,8 +208,8 @@
 	d.handover.mu.Lock()
 	d.handover.transfers[o.Ref] = t
 	d.handover.mu.Unlock()
-	d.applyHandover(func(h *request.Handover, now time.Time) []request.Order {
-		return h.Ready(now, o.Ref, t.Snapshot.Repeatable())
+	d.applyHandover(func(h *request.Handover, now time.Time) []request.HandoverAction {
+		return h.Ready(now, o.Ref, t.Snapshot.SafeToDuplicate())
 	})
 }
 
@@ -226,7 +226,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, ok := r.life.Hold(time.Now(), o.Urgent)
+	s, ok := r.life.Freeze(time.Now(), o.Urgent)
 	if !ok {
 		return nil
 	}
@@ -235,7 +235,7 @@
 
 // endTransfer removes the transfer of a frozen run and applies an event to its
 // life.
-func (d *Dispatcher) endTransfer(ref request.Ref, f func(*request.Life, time.Time) []request.Action) {
+func (d *Dispatcher) endTransfer(ref request.Ref, f func(*request.Lifecycle, time.Time) []request.Action) {
 	d.handover.mu.Lock()
 	delete(d.handover.transfers, ref)
 	d.handover.mu.Unlock()
@@ -246,7 +246,7 @@
 
 // reportFinished reports to the hand-over that a request ended on this daemon.
 func (d *Dispatcher) reportFinished(ref request.Ref) {
-	d.applyHandover(func(h *request.Handover, _ time.Time) []request.Order {
+	d.applyHandover(func(h *request.Handover, _ time.Time) []request.HandoverAction {
 		h.Finished(ref)
 		return nil
 	})
@@ -260,9 +260,9 @@
 	d.ensureCustody(ref, deadline)
 	before, lost := d.handover.holdings.Withdraw(now, ref, rank, deadline)
 	d.handover.mu.Unlock()
-	d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Learned(now, ref, rank) })
+	d.applyHandover(func(h *request.Handover, now time.Time) []request.HandoverAction { return h.Learned(now, ref, rank) })
 	if lost {
-		d.endTransfer(ref, func(l *request.Life, now time.Time) []request.Action { return l.Withdrawn(now, rank.Holder) })
+		d.endTransfer(ref, func(l *request.Lifecycle, now time.Time) []request.Action { return l.Withdrawn(now, rank.Holder) })
 	}
 	return before
 }
--- a/internal/dispatch/handover_send.go
+++ b/internal/dispatch/handover_send.go
@@ -24,9 +24,9 @@
 	reply, err := d.opts.Peers.Offer(ctx, &t)
 	switch {
 	case err == nil:
-		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Replied(now, reply) })
+		d.applyHandover(func(h *request.Handover, now time.Time) []request.HandoverAction { return h.Replied(now, reply) })
 	case verdict.Of(err) == verdict.NotRun && d.isFirstCopy(o):
-		d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Unsent(now, o) })
+		d.applyHandover(func(h *request.Handover, now time.Time) []request.HandoverAction { return h.Unsent(now, o) })
 	default:
 		d.opts.Log.WithField("request", o.Ref.ID).Infof("no reply to the offer to %s: %v", o.To, err)
 	}
@@ -54,5 +54,5 @@
 	if err != nil {
 		return
 	}
-	d.applyHandover(func(h *request.Handover, now time.Time) []request.Order { return h.Withdrawn(now, w, before) })
+	d.applyHandover(func(h *request.Handover, now time.Time) []request.HandoverAction { return h.Withdrawn(now, w, before) })
 }
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -17,7 +17,7 @@
 // move exports the stream's KV cache and imports it at another engine, in the
 // background. Called with r.mu held.
 func (r *run) move(a request.MoveKV) {
-	timeout := r.d.opts.Policy.Move
+	timeout := r.d.opts.Policy.MoveTimeout
 	go func() {
 		ctx, cancel := context.WithTimeout(r.d.ctx, timeout)
 		defer cancel()
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -36,7 +36,7 @@
 	if left <= 0 {
 		return nil
 	}
-	return &AttemptError{Kind: request.Held, Verdict: verdict.NotRun, RetryAfter: left, Err: errCrashes}
+	return &AttemptError{Kind: request.Quarantined, Verdict: verdict.NotRun, RetryAfter: left, Err: errCrashes}
 }
 
 var errCrashes = errors.New("the request crashes the engines that run it")
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -31,7 +31,7 @@
 	owner      string          // of the intent in the ledger
 
 	mu                sync.Mutex
-	life              *request.Life
+	life              *request.Lifecycle
 	transfer          uint64 // number of the transfer by which it came here, 0 if none
 	accepted          bool   // an engine has begun to answer
 	end               *gateway.Part
@@ -56,7 +56,7 @@
 		Deadline:      now.Add(d.opts.Timeout),
 		PromptTokens:  r.route.PromptTokens,
 	}
-	r.life = request.NewLife(spec, d.opts.Policy, runBudget{d.budget, r})
+	r.life = request.NewLifecycle(spec, d.opts.Policy, runBudget{d.budget, r})
 	return r
 }
 
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -215,7 +215,7 @@
 	switch f.Reason {
 	case request.DeadlinePassed:
 		status = http.StatusGatewayTimeout
-	case request.NothingToRunOn, request.BudgetSpent:
+	case request.NoEndpointFound, request.BudgetSpent:
 		status = http.StatusServiceUnavailable
 	case request.CrashesEngines:
 		if f.Verdict == verdict.NotRun {
--- a/internal/request/assembly.go
+++ b/internal/request/assembly.go
@@ -82,8 +82,8 @@
 // Bytes returns the memory that the answer holds.
 func (a *Assembly) Bytes() int { return a.text.Cap() + 4*cap(a.ends) }
 
-// Whole reports whether the answer is complete.
-func (a *Assembly) Whole() bool { return a.done }
+// Complete reports whether the answer is complete.
+func (a *Assembly) Complete() bool { return a.done }
 
 // Attempt returns the newest attempt seen.
 func (a *Assembly) Attempt() uint32 { return a.attempt }
--- a/internal/request/assembly_test.go
+++ b/internal/request/assembly_test.go
@@ -12,7 +12,7 @@
 // words in it. Pieces come out of order, twice and from an attempt that was
 // given up, because connections are replaced while the old one still delivers.
 // Only the next piece of the newest attempt may be appended.
-func TestAssemblyTakesEachTokenOnce(t *testing.T) {
+func TestAssemblyAppendsEachTokenOnce(t *testing.T) {
 	var a Assembly
 	assert.Equal(t, a.Add(1, 0, "a"), Appended)
 	assert.Equal(t, a.Add(1, 0, "a"), Duplicate)
--- a/internal/request/attach.go
+++ b/internal/request/begin_result.go
@@ -1,12 +1,12 @@
 package request
 
-// Attach says how a request met the table.
-type Attach uint8
+// BeginResult says how a request met the table.
+type BeginResult uint8
 
 // The ways to meet.
 const (
 	// Created: the request is new.
-	Created Attach = iota
+	Created BeginResult = iota
 	// Attached: the same request is there, running or finished.
 	Attached
 	// Conflict: the key is in use for another body.
--- a/internal/request/entry.go
+++ b/internal/request/entry.go
@@ -4,9 +4,9 @@
 
 // Entry is a request that a Table knows.
 type Entry struct {
-	Ref    Ref
-	Digest Digest
-	Life   *Life
+	Ref       Ref
+	Digest    Digest
+	Lifecycle *Lifecycle
 
 	finishedAt time.Time // zero while live
 	bytes      int
--- a/internal/request/failure.go
+++ b/internal/request/failure.go
@@ -25,8 +25,8 @@
 	EngineLeaving
 	// NoEndpoint: routing found no endpoint; nothing was written.
 	NoEndpoint
-	// Held: the request crashes the engines that run it; nothing was written.
-	Held
+	// Quarantined: the request crashes the engines that run it; nothing was written.
+	Quarantined
 	// Contradiction: the attempt's pieces contradict the answer so far.
 	Contradiction
 )
@@ -40,8 +40,8 @@
 	return "unknown"
 }
 
-// unwritten reports whether the kind itself proves that nothing left.
-func (k FailureKind) unwritten() bool { return k == Dial || k == NoEndpoint || k == Held }
+// nothingSent reports whether the kind itself proves that nothing left.
+func (k FailureKind) nothingSent() bool { return k == Dial || k == NoEndpoint || k == Quarantined }
 
 // Failure is the end of an attempt without its answer.
 type Failure struct {
--- a/internal/request/handover.go
+++ b/internal/request/handover.go
@@ -14,14 +14,14 @@
 // offered to the same successor again; it goes elsewhere under a higher number
 // only when two holders could not run it twice.
 type Handover struct {
-	policy  HandoverPolicy
-	self    Member
-	members []Member
-	by      time.Time // when this daemon ends, zero until Leave
-	items   map[Ref]*item
-	queue   []*item // most expensive first
-	flying  []*item // offering or preparing
-	pending []withdrawal
+	policy      HandoverPolicy
+	self        Member
+	members     []Member
+	endsAt      time.Time // when this daemon ends, zero until Leave
+	items       map[Ref]*item
+	queue       []*item // most expensive first
+	inFlight    []*item // offering or preparing
+	withdrawals []withdrawal
 }
 
 // NewHandover returns the hand-over of daemon self, which has not begun.
@@ -32,8 +32,8 @@
 // Leave begins the hand-over, to be over by then. A second notice can only
 // bring the end forward.
 func (h *Handover) Leave(by time.Time) {
-	if h.by.IsZero() || by.Before(h.by) {
-		h.by = by
+	if h.endsAt.IsZero() || by.Before(h.endsAt) {
+		h.endsAt = by
 	}
 }
 
@@ -43,11 +43,11 @@
 // Add enters a request. One that is known is left as it is, and one that this
 // daemon does not hold is not entered: its life may not have heard yet that it
 // was released, and a second offer would make a second holder.
-func (h *Handover) Add(c Candidate, custody *Custody) {
+func (h *Handover) Add(c Candidate, custody *Ownership) {
 	if h.items[c.Ref] != nil || custody.State() != Holding {
 		return
 	}
-	i := &item{candidate: c, custody: custody}
+	i := &item{candidate: c, ownership: custody}
 	h.items[c.Ref] = i
 	h.enqueue(i)
 }
@@ -64,57 +64,57 @@
 func (h *Handover) Open() int { return len(h.items) }
 
 // Settled reports whether every request is settled and every withdrawal answered.
-func (h *Handover) Settled() bool { return len(h.items) == 0 && len(h.pending) == 0 }
+func (h *Handover) Settled() bool { return len(h.items) == 0 && len(h.withdrawals) == 0 }
 
 // Tick starts and repeats what is due. Call it every Repeat at the least.
-func (h *Handover) Tick(now time.Time) []Order {
-	if h.by.IsZero() {
+func (h *Handover) Tick(now time.Time) []HandoverAction {
+	if h.endsAt.IsZero() {
 		return nil
 	}
-	var out []Order
-	for _, i := range slices.Clone(h.flying) {
-		out = append(out, h.repeat(now, i)...)
+	var out []HandoverAction
+	for _, i := range slices.Clone(h.inFlight) {
+		out = append(out, h.checkOffer(now, i)...)
 	}
 	out = append(out, h.start(now)...)
-	return append(out, h.withdrawDue(now)...)
+	return append(out, h.resendWithdrawals(now)...)
 }
 
 // start prepares queued requests while there is room.
-func (h *Handover) start(now time.Time) []Order {
-	var out []Order
-	urgent := h.by.Sub(now) <= h.policy.Urgent
-	for at := 0; at < len(h.queue) && len(h.flying) < h.policy.InFlight; {
+func (h *Handover) start(now time.Time) []HandoverAction {
+	var out []HandoverAction
+	urgent := h.endsAt.Sub(now) <= h.policy.UrgentBefore
+	for at := 0; at < len(h.queue) && len(h.inFlight) < h.policy.MaxInFlight; {
 		i := h.queue[at]
-		if now.Before(i.notBefore) || (i.candidate.Remaining <= h.policy.Short && !urgent) {
+		if now.Before(i.notBefore) || (i.candidate.Remaining <= h.policy.ShortRemaining && !urgent) {
 			at++
 			continue
 		}
 		h.queue = slices.Delete(h.queue, at, at+1)
-		h.flying = append(h.flying, i)
+		h.inFlight = append(h.inFlight, i)
 		i.state = itemPreparing
 		out = append(out, Prepare{Ref: i.candidate.Ref, Urgent: urgent})
 	}
 	return out
 }
 
-// repeat sends an unanswered offer again, or loses patience with it.
-func (h *Handover) repeat(now time.Time, i *item) []Order {
+// checkOffer sends an unanswered offer again, or loses patience with it.
+func (h *Handover) checkOffer(now time.Time, i *item) []HandoverAction {
 	switch {
 	case i.state != itemOffering:
 		return nil
-	case !now.Before(h.by):
+	case !now.Before(h.endsAt):
 		return h.settle(i, GiveUp{Ref: i.candidate.Ref})
-	case i.repeatable && now.Sub(i.firstSent) >= h.policy.Patience:
-		return h.goOn(now, i)
-	case now.Sub(i.lastSent) >= h.policy.Repeat:
+	case i.safeToDuplicate && now.Sub(i.firstSent) >= h.policy.ReplyTimeout:
+		return h.offerNext(now, i)
+	case now.Sub(i.lastSent) >= h.policy.ResendInterval:
 		i.lastSent = now
-		return []Order{Send{Offer: i.offer}}
+		return []HandoverAction{Send{Offer: i.offer}}
 	}
 	return nil
 }
 
-// goOn leaves an addressee that doesn't answer behind and goes on.
-func (h *Handover) goOn(now time.Time, i *item) []Order {
+// offerNext leaves an addressee that doesn't answer behind and goes on.
+func (h *Handover) offerNext(now time.Time, i *item) []HandoverAction {
 	i.unanswered = append(i.unanswered, i.offer.To)
 	return h.offer(now, i)
 }
@@ -122,41 +122,41 @@
 // offer sends the request to the next successor. When the round is over, the
 // request is kept for a while; if an earlier addressee may hold it, this daemon
 // must hold it under a higher number.
-func (h *Handover) offer(now time.Time, i *item) []Order {
+func (h *Handover) offer(now time.Time, i *item) []HandoverAction {
 	to, ok := i.successor(Successors(i.candidate.Ref.ID, h.self, h.members))
 	if !ok {
 		return h.keep(now, i)
 	}
 	i.tried = append(i.tried, to)
 	i.state = itemOffering
-	i.offer = Offer{Ref: i.candidate.Ref, Number: i.custody.Offer(to), From: h.self.Daemon, To: to}
+	i.offer = Offer{Ref: i.candidate.Ref, Number: i.ownership.Offer(to), From: h.self.Daemon, To: to}
 	i.firstSent, i.lastSent = now, now
-	return []Order{Send{Offer: i.offer}}
+	return []HandoverAction{Send{Offer: i.offer}}
 }
 
-func (h *Handover) keep(now time.Time, i *item) []Order {
-	out := []Order{Keep{Ref: i.candidate.Ref}}
+func (h *Handover) keep(now time.Time, i *item) []HandoverAction {
+	out := []HandoverAction{Keep{Ref: i.candidate.Ref}}
 	if len(i.unanswered) > 0 {
-		out = append(out, h.withdraw(now, i, i.custody.TakeBack())...)
+		out = append(out, h.withdraw(now, i, i.ownership.TakeBack())...)
 	}
-	h.land(i)
+	h.removeInFlight(i)
 	i.tried = nil
-	i.notBefore = now.Add(h.policy.Pause)
+	i.notBefore = now.Add(h.policy.RetryPause)
 	h.enqueue(i)
 	return out
 }
 
 // settle ends a request's part in the hand-over.
-func (h *Handover) settle(i *item, o Order) []Order {
-	h.land(i)
+func (h *Handover) settle(i *item, o HandoverAction) []HandoverAction {
+	h.removeInFlight(i)
 	i.state = itemSettled
 	delete(h.items, i.candidate.Ref)
-	return []Order{o}
+	return []HandoverAction{o}
 }
 
-// land takes an item out of those in flight.
-func (h *Handover) land(i *item) {
-	if at := slices.Index(h.flying, i); at >= 0 {
-		h.flying = slices.Delete(h.flying, at, at+1)
+// removeInFlight takes an item out of those in flight.
+func (h *Handover) removeInFlight(i *item) {
+	if at := slices.Index(h.inFlight, i); at >= 0 {
+		h.inFlight = slices.Delete(h.inFlight, at, at+1)
 	}
 }
--- a/internal/request/order.go
+++ b/internal/request/handover_action.go
@@ -2,8 +2,8 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// Order is what a Handover wants done: one of the types below.
-type Order interface{ order() }
+// HandoverAction is what a Handover wants done: one of the types below.
+type HandoverAction interface{ handoverAction() }
 
 // Prepare asks for Life.Hold, answered by Handover.Ready or NotReady.
 type Prepare struct {
@@ -35,9 +35,9 @@
 // GiveUp asks for Life.Lost: nobody can tell any more whether it was taken.
 type GiveUp struct{ Ref Ref }
 
-func (Prepare) order()  {}
-func (Send) order()     {}
-func (Withdraw) order() {}
-func (Release) order()  {}
-func (Keep) order()     {}
-func (GiveUp) order()   {}
+func (Prepare) handoverAction()  {}
+func (Send) handoverAction()     {}
+func (Withdraw) handoverAction() {}
+func (Release) handoverAction()  {}
+func (Keep) handoverAction()     {}
+func (GiveUp) handoverAction()   {}
--- a/internal/request/handover_event.go
+++ b/internal/request/handover_event.go
@@ -8,15 +8,15 @@
 )
 
 // Ready says that the request is held. Repeatable is Snapshot.Repeatable.
-func (h *Handover) Ready(now time.Time, ref Ref, repeatable bool) []Order {
+func (h *Handover) Ready(now time.Time, ref Ref, safeToDuplicate bool) []HandoverAction {
 	i := h.items[ref]
 	if i == nil || i.state != itemPreparing {
 		return nil
 	}
-	if i.custody.State() == Released {
+	if i.ownership.State() == Released {
 		return h.released(now, i)
 	}
-	i.repeatable = repeatable
+	i.safeToDuplicate = safeToDuplicate
 	return h.offer(now, i)
 }
 
@@ -26,13 +26,13 @@
 	if i == nil || i.state != itemPreparing {
 		return
 	}
-	h.land(i)
-	i.notBefore = now.Add(h.policy.Repeat)
+	h.removeInFlight(i)
+	i.notBefore = now.Add(h.policy.ResendInterval)
 	h.enqueue(i)
 }
 
 // Replied takes an answer to an offer.
-func (h *Handover) Replied(now time.Time, r Reply) []Order {
+func (h *Handover) Replied(now time.Time, r Reply) []HandoverAction {
 	i := h.items[r.Offer.Ref]
 	if i == nil || i.state != itemOffering || r.Offer != i.offer {
 		return nil
@@ -40,7 +40,7 @@
 	if r.Answer == NotAddressee {
 		return h.addresseeGone(now, i)
 	}
-	if !i.custody.Answered(r) {
+	if !i.ownership.Answered(r) {
 		return nil
 	}
 	if r.Answer == NotTaken {
@@ -51,18 +51,18 @@
 
 // addresseeGone: the daemon that was offered the request has ended, and nobody
 // is left to tell whether it had taken it.
-func (h *Handover) addresseeGone(now time.Time, i *item) []Order {
-	if i.repeatable {
-		return h.goOn(now, i)
+func (h *Handover) addresseeGone(now time.Time, i *item) []HandoverAction {
+	if i.safeToDuplicate {
+		return h.offerNext(now, i)
 	}
 	return h.settle(i, GiveUp{Ref: i.candidate.Ref})
 }
 
 // Unsent says that nothing of the offer left this process, in none of its
 // copies.
-func (h *Handover) Unsent(now time.Time, o Offer) []Order {
+func (h *Handover) Unsent(now time.Time, o Offer) []HandoverAction {
 	i := h.items[o.Ref]
-	if i == nil || i.state != itemOffering || o != i.offer || !i.custody.Unsent(o.Number) {
+	if i == nil || i.state != itemOffering || o != i.offer || !i.ownership.Unsent(o.Number) {
 		return nil
 	}
 	return h.offer(now, i)
@@ -70,13 +70,13 @@
 
 // Learned takes the rank of a holder from the directory or a withdrawal, before
 // or after Holdings.Withdraw.
-func (h *Handover) Learned(now time.Time, ref Ref, r Rank) []Order {
+func (h *Handover) Learned(now time.Time, ref Ref, r Rank) []HandoverAction {
 	i := h.items[ref]
 	if i == nil {
 		return nil
 	}
-	i.custody.Learn(r)
-	if i.custody.State() != Released {
+	i.ownership.Learn(r)
+	if i.ownership.State() != Released {
 		return nil
 	}
 	if i.state == itemOffering && i.offer.To != r.Holder {
@@ -87,8 +87,8 @@
 
 // released settles a request whose holder is known, and withdraws all others
 // that may hold it.
-func (h *Handover) released(now time.Time, i *item) []Order {
-	holder := i.custody.Holder()
+func (h *Handover) released(now time.Time, i *item) []HandoverAction {
+	holder := i.ownership.Holder()
 	out := h.withdraw(now, i, holder)
 	h.dequeue(i)
 	return append(out, h.settle(i, Release{Ref: i.candidate.Ref, To: holder})...)
@@ -101,7 +101,7 @@
 		return
 	}
 	h.dequeue(i)
-	h.land(i)
+	h.removeInFlight(i)
 	i.state = itemSettled
 	delete(h.items, ref)
 }
@@ -113,54 +113,54 @@
 }
 
 // withdraw tells the unanswered addressees who holds the request.
-func (h *Handover) withdraw(now time.Time, i *item, holder Rank) []Order {
-	var out []Order
+func (h *Handover) withdraw(now time.Time, i *item, holder Rank) []HandoverAction {
+	var out []HandoverAction
 	for _, d := range i.unanswered {
-		out = append(out, h.chase(now, i.candidate.Ref, holder, d)...)
+		out = append(out, h.sendWithdrawal(now, i.candidate.Ref, holder, d)...)
 	}
 	i.unanswered = nil
 	return out
 }
 
-func (h *Handover) chase(now time.Time, ref Ref, holder Rank, to fleet.DaemonID) []Order {
+func (h *Handover) sendWithdrawal(now time.Time, ref Ref, holder Rank, to fleet.DaemonID) []HandoverAction {
 	if to == holder.Holder || to == h.self.Daemon {
 		return nil
 	}
 	w := Withdraw{Ref: ref, Rank: holder, To: to}
-	h.pending = append(h.pending, withdrawal{order: w, next: now.Add(h.policy.Repeat), copies: 1})
-	return []Order{w}
+	h.withdrawals = append(h.withdrawals, withdrawal{message: w, resendAt: now.Add(h.policy.ResendInterval), copies: 1})
+	return []HandoverAction{w}
 }
 
-func (h *Handover) withdrawDue(now time.Time) []Order {
-	var out []Order
-	for at := range h.pending {
-		p := &h.pending[at]
-		if now.Before(p.next) {
+func (h *Handover) resendWithdrawals(now time.Time) []HandoverAction {
+	var out []HandoverAction
+	for at := range h.withdrawals {
+		p := &h.withdrawals[at]
+		if now.Before(p.resendAt) {
 			continue
 		}
 		p.copies++
-		p.next = now.Add(h.policy.Repeat)
-		out = append(out, p.order)
+		p.resendAt = now.Add(h.policy.ResendInterval)
+		out = append(out, p.message)
 	}
-	h.pending = slices.DeleteFunc(h.pending, func(p withdrawal) bool { return p.copies > h.policy.Withdraw })
+	h.withdrawals = slices.DeleteFunc(h.withdrawals, func(p withdrawal) bool { return p.copies > h.policy.MaxWithdrawals })
 	return out
 }
 
 // Withdrawn takes the answer to a withdrawal: the holder that its addressee
 // knew before. Where the addressee had passed the request on, two branches of
 // transfers have met: of their two holders the lower is withdrawn in its turn.
-func (h *Handover) Withdrawn(now time.Time, w Withdraw, before Rank) []Order {
-	known := len(h.pending)
-	h.pending = slices.DeleteFunc(h.pending, func(p withdrawal) bool { return p.order == w })
-	if len(h.pending) == known {
+func (h *Handover) Withdrawn(now time.Time, w Withdraw, before Rank) []HandoverAction {
+	count := len(h.withdrawals)
+	h.withdrawals = slices.DeleteFunc(h.withdrawals, func(p withdrawal) bool { return p.message == w })
+	if len(h.withdrawals) == count {
 		return nil
 	}
 	if w.Rank.Less(before) {
 		out := h.Learned(now, w.Ref, before)
-		return append(out, h.chase(now, w.Ref, before, w.Rank.Holder)...)
+		return append(out, h.sendWithdrawal(now, w.Ref, before, w.Rank.Holder)...)
 	}
 	if before.Holder == "" || before.Holder == w.To {
 		return nil
 	}
-	return h.chase(now, w.Ref, w.Rank, before.Holder)
+	return h.sendWithdrawal(now, w.Ref, w.Rank, before.Holder)
 }
--- a/internal/request/handover_item.go
+++ b/internal/request/handover_item.go
@@ -18,16 +18,16 @@
 
 // item is one request of a Handover.
 type item struct {
-	candidate  Candidate
-	custody    *Custody
-	state      itemState
-	repeatable bool // a second holder can't run it twice
-	notBefore  time.Time
-	offer      Offer
-	firstSent  time.Time
-	lastSent   time.Time
-	tried      []fleet.DaemonID // offered to in this round
-	unanswered []fleet.DaemonID // may hold it under a lower number
+	candidate       Candidate
+	ownership       *Ownership
+	state           itemState
+	safeToDuplicate bool // a second holder can't run it twice
+	notBefore       time.Time
+	offer           Offer
+	firstSent       time.Time
+	lastSent        time.Time
+	tried           []fleet.DaemonID // offered to in this round
+	unanswered      []fleet.DaemonID // may hold it under a lower number
 }
 
 // successor returns the best daemon that this round has not tried.
@@ -42,7 +42,7 @@
 
 // withdrawal is a Withdraw that has not been answered.
 type withdrawal struct {
-	order  Withdraw
-	next   time.Time
-	copies int
+	message  Withdraw
+	resendAt time.Time
+	copies   int
 }
--- a/internal/request/handover_machine_test.go
+++ b/internal/request/handover_machine_test.go
@@ -12,22 +12,22 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// part is what one daemon has of one request.
-type part struct{ alive, held, dispatched, finished, gaveUp bool }
+// requestState is what one daemon has of one request.
+type requestState struct{ alive, held, dispatched, finished, gaveUp bool }
 
 // node is one daemon.
 type node struct {
 	id       fleet.DaemonID
-	holdings *Holdings
+	holdings *OwnershipTable
 	handover *Handover
-	parts    map[Ref]*part
+	states   map[Ref]*requestState
 }
 
-func (n *node) part(r Ref) *part {
-	if n.parts[r] == nil {
-		n.parts[r] = &part{}
+func (n *node) state(r Ref) *requestState {
+	if n.states[r] == nil {
+		n.states[r] = &requestState{}
 	}
-	return n.parts[r]
+	return n.states[r]
 }
 
 // message is on its way; exactly one of the pointers is set.
@@ -37,7 +37,7 @@
 	dispatched bool // of the snapshot
 	reply      *Reply
 	withdraw   *Withdraw
-	by         fleet.DaemonID // who withdraws
+	from       fleet.DaemonID // who withdraws
 	withdrawn  *Withdraw
 	before     Rank
 }
@@ -48,7 +48,7 @@
 	nodes      []*node
 	idempotent map[Ref]bool
 	dispatches map[Ref]int
-	wire       []message
+	inTransit  []message
 	copies     map[Offer]int // that may arrive
 	lossy      bool
 }
@@ -69,7 +69,7 @@
 	return out
 }
 
-func (w *network) do(t *rapid.T, n *node, orders []Order) {
+func (w *network) do(t *rapid.T, n *node, orders []HandoverAction) {
 	for _, o := range orders {
 		switch o := o.(type) {
 		case Prepare:
@@ -77,20 +77,20 @@
 		case Send:
 			w.send(t, n, o.Offer)
 		case Withdraw:
-			w.wire = append(w.wire, message{to: o.To, withdraw: &o, by: n.id})
+			w.inTransit = append(w.inTransit, message{to: o.To, withdraw: &o, from: n.id})
 		case Release:
-			n.part(o.Ref).alive = false
+			n.state(o.Ref).alive = false
 		case Keep:
-			n.part(o.Ref).held = false
+			n.state(o.Ref).held = false
 		case GiveUp:
-			p := n.part(o.Ref)
+			p := n.state(o.Ref)
 			p.alive, p.gaveUp = false, true
 		}
 	}
 }
 
 func (w *network) prepare(t *rapid.T, n *node, o Prepare) {
-	p := n.part(o.Ref)
+	p := n.state(o.Ref)
 	if w.lossy && rapid.IntRange(0, 3).Draw(t, "not ready") == 0 {
 		n.handover.NotReady(w.now, o.Ref)
 		return
@@ -105,7 +105,7 @@
 		return
 	}
 	w.copies[o]++
-	w.wire = append(w.wire, message{to: o.To, offer: &o, dispatched: n.part(o.Ref).dispatched})
+	w.inTransit = append(w.inTransit, message{to: o.To, offer: &o, dispatched: n.state(o.Ref).dispatched})
 }
 
 func (w *network) deliver(t *rapid.T, m message) {
@@ -115,22 +115,22 @@
 		can := n.handover == nil && (!w.lossy || rapid.IntRange(0, 3).Draw(t, "full") > 0)
 		r, fresh := n.holdings.Take(w.now, *m.offer, netDeadline, can)
 		if fresh {
-			p := n.part(m.offer.Ref)
+			p := n.state(m.offer.Ref)
 			p.alive, p.held = true, false
 			p.dispatched = p.dispatched || m.dispatched
 		}
-		w.wire = append(w.wire, message{to: m.offer.From, reply: &r})
+		w.inTransit = append(w.inTransit, message{to: m.offer.From, reply: &r})
 	case m.reply != nil && n.handover != nil:
 		w.do(t, n, n.handover.Replied(w.now, *m.reply))
 	case m.withdraw != nil:
 		before, lost := n.holdings.Withdraw(w.now, m.withdraw.Ref, m.withdraw.Rank, netDeadline)
 		if lost {
-			n.part(m.withdraw.Ref).alive = false
+			n.state(m.withdraw.Ref).alive = false
 		}
 		if n.handover != nil {
 			w.do(t, n, n.handover.Learned(w.now, m.withdraw.Ref, m.withdraw.Rank))
 		}
-		w.wire = append(w.wire, message{to: m.by, withdrawn: m.withdraw, before: before})
+		w.inTransit = append(w.inTransit, message{to: m.from, withdrawn: m.withdraw, before: before})
 	case m.withdrawn != nil && n.handover != nil:
 		w.do(t, n, n.handover.Withdrawn(w.now, *m.withdrawn, m.before))
 	}
@@ -141,7 +141,7 @@
 		at := slices.Index(w.nodes, n)
 		n.handover = NewHandover(w.members()[at], DefaultHandoverPolicy())
 	}
-	for ref, p := range n.parts {
+	for ref, p := range n.states {
 		if p.alive && !p.finished {
 			n.handover.Add(Candidate{Ref: ref, Cost: len(ref.ID), Remaining: time.Minute}, n.holdings.Get(ref))
 		}
@@ -159,7 +159,7 @@
 
 // dispatch makes a new attempt where the daemon believes that it may.
 func (w *network) dispatch(n *node, ref Ref) {
-	p := n.part(ref)
+	p := n.state(ref)
 	c := n.holdings.Get(ref)
 	if c == nil || !p.alive || p.finished || !c.MayDispatch() {
 		return
@@ -174,15 +174,15 @@
 func (w *network) check(t *rapid.T) {
 	for ref, idempotent := range w.idempotent {
 		assert.Assert(t, idempotent || w.dispatches[ref] <= 1, "%v dispatched %d times", ref, w.dispatches[ref])
-		assert.Assert(t, idempotent || w.free(ref) <= 1, "%d daemons may dispatch %v", w.free(ref), ref)
+		assert.Assert(t, idempotent || w.undispatchedHolders(ref) <= 1, "%d daemons may dispatch %v", w.undispatchedHolders(ref), ref)
 	}
 }
 
-// free counts the daemons that might dispatch the request for the first time.
-func (w *network) free(ref Ref) int {
+// undispatchedHolders counts the daemons that might dispatch the request for the first time.
+func (w *network) undispatchedHolders(ref Ref) int {
 	count := 0
 	for _, n := range w.nodes {
-		c, p := n.holdings.Get(ref), n.part(ref)
+		c, p := n.holdings.Get(ref), n.state(ref)
 		if c != nil && c.MayDispatch() && p.alive && !p.dispatched && !p.finished {
 			count++
 		}
@@ -195,12 +195,12 @@
 // notices come twice. A non-idempotent request is never dispatched twice. Once
 // the network works again, each request has ended with a verdict or an answer,
 // or exactly one daemon holds it, which is not a leaving one.
-func TestHandoverUnderAnyNetwork(t *testing.T) {
+func TestHandoverOverAnUnreliableNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &network{now: t0, idempotent: map[Ref]bool{}, dispatches: map[Ref]int{}, copies: map[Offer]int{}, lossy: true}
 		for i := range 4 {
 			id := fleet.DaemonID(fmt.Sprint("d", i))
-			w.nodes = append(w.nodes, &node{id: id, holdings: NewHoldings(id), parts: map[Ref]*part{}})
+			w.nodes = append(w.nodes, &node{id: id, holdings: NewOwnershipTable(id), states: map[Ref]*requestState{}})
 		}
 		var refs []Ref
 		for i := range 2 {
@@ -209,7 +209,7 @@
 			w.idempotent[r] = rapid.Bool().Draw(t, "idempotent")
 			n := w.nodes[i]
 			n.holdings.Accept(r, netDeadline)
-			n.part(r).alive = true
+			n.state(r).alive = true
 		}
 		node := rapid.SampledFrom(w.nodes)
 		t.Repeat(map[string]func(*rapid.T){
@@ -230,7 +230,7 @@
 			},
 			"finish": func(t *rapid.T) {
 				n, r := node.Draw(t, "node"), rapid.SampledFrom(refs).Draw(t, "ref")
-				if p := n.part(r); p.alive && p.dispatched {
+				if p := n.state(r); p.alive && p.dispatched {
 					p.finished = true
 					if n.handover != nil {
 						n.handover.Finished(r)
@@ -239,7 +239,7 @@
 			},
 			"": w.check,
 		})
-		w.calm(t)
+		w.settle(t)
 		for _, r := range refs {
 			w.checkEnd(t, r)
 		}
@@ -247,30 +247,30 @@
 }
 
 func (w *network) pick(t *rapid.T, deliver, remove bool) {
-	if len(w.wire) == 0 {
+	if len(w.inTransit) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(w.wire)-1).Draw(t, "message")
-	m := w.wire[at]
+	at := rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "message")
+	m := w.inTransit[at]
 	if remove {
-		w.wire = slices.Delete(w.wire, at, at+1)
+		w.inTransit = slices.Delete(w.inTransit, at, at+1)
 	}
 	if deliver {
 		w.deliver(t, m)
 	}
 }
 
-// calm lets the network work until everything is settled.
-func (w *network) calm(t *rapid.T) {
+// settle lets the network work until everything is settled.
+func (w *network) settle(t *rapid.T) {
 	w.lossy = false
 	for range 300 {
 		w.now = w.now.Add(250 * time.Millisecond)
 		for _, n := range w.nodes {
 			w.tick(t, n)
 		}
-		for len(w.wire) > 0 {
-			m := w.wire[0]
-			w.wire = w.wire[1:]
+		for len(w.inTransit) > 0 {
+			m := w.inTransit[0]
+			w.inTransit = w.inTransit[1:]
 			w.deliver(t, m)
 		}
 		w.check(t)
@@ -280,7 +280,7 @@
 func (w *network) checkEnd(t *rapid.T, r Ref) {
 	holders, over := 0, false
 	for _, n := range w.nodes {
-		p := n.part(r)
+		p := n.state(r)
 		over = over || p.finished || p.gaveUp
 		if c := n.holdings.Get(r); c != nil && c.MayDispatch() && p.alive {
 			holders++
--- a/internal/request/handover_test.go
+++ b/internal/request/handover_test.go
@@ -13,18 +13,18 @@
 )
 
 var (
-	self   = Member{Daemon: "self", DataCentre: "a", Serving: true}
-	others = []Member{
+	self    = Member{Daemon: "self", DataCentre: "a", Serving: true}
+	members = []Member{
 		self, {Daemon: "near", DataCentre: "a", Serving: true},
 		{Daemon: "far", DataCentre: "b", Serving: true}, {Daemon: "gone", DataCentre: "b"},
 	}
 )
 
-func leaving(inFlight int, costs ...int) *Handover {
+func newLeavingHandover(inFlight int, costs ...int) *Handover {
 	p := DefaultHandoverPolicy()
-	p.InFlight = inFlight
+	p.MaxInFlight = inFlight
 	h := NewHandover(self, p)
-	h.SetMembers(others)
+	h.SetMembers(members)
 	for i, cost := range costs {
 		h.Add(Candidate{Ref: ref(fmt.Sprint(i)), Cost: cost, Remaining: time.Minute}, Accept("self"))
 	}
@@ -33,31 +33,31 @@
 }
 
 func TestSuccessorsOfOtherDataCentresComeFirst(t *testing.T) {
-	assert.DeepEqual(t, Successors("r", self, others), []fleet.DaemonID{"far", "near"})
+	assert.DeepEqual(t, Successors("r", self, members), []fleet.DaemonID{"far", "near"})
 }
 
 // A daemon dies earlier than announced: what it has not handed over is
 // recomputed. So the most expensive goes first, short ones are left to finish
 // until the end is near, and a second notice that is earlier brings that forward.
-func TestHandoverOrder(t *testing.T) {
-	h := leaving(2, 10, 3000, 200)
+func TestHandoverStartsWithTheMostExpensive(t *testing.T) {
+	h := newLeavingHandover(2, 10, 3000, 200)
 	h.Add(Candidate{Ref: ref("short"), Cost: 9000, Remaining: time.Second}, Accept("self"))
-	assert.DeepEqual(t, h.Tick(t0), []Order{Prepare{Ref: ref("1")}, Prepare{Ref: ref("2")}})
+	assert.DeepEqual(t, h.Tick(t0), []HandoverAction{Prepare{Ref: ref("1")}, Prepare{Ref: ref("2")}})
 	send := h.Ready(t0, ref("1"), true)[0].(Send)
 	assert.DeepEqual(t, send.Offer, Offer{Ref: ref("1"), Number: 1, From: "self", To: "far"})
 	h.Finished(ref("2"))
-	assert.DeepEqual(t, h.Tick(t0), []Order{Prepare{Ref: ref("0")}})
+	assert.DeepEqual(t, h.Tick(t0), []HandoverAction{Prepare{Ref: ref("0")}})
 	h.Leave(t0.Add(4 * time.Second))
 	h.Leave(t0.Add(time.Minute))
 	orders := h.Replied(t0, Reply{Offer: send.Offer, Answer: Taken})
-	assert.DeepEqual(t, orders, []Order{Release{Ref: ref("1"), To: Rank{Number: 1, Holder: "far"}}})
-	assert.DeepEqual(t, h.Tick(t0), []Order{Prepare{Ref: ref("short"), Urgent: true}})
+	assert.DeepEqual(t, orders, []HandoverAction{Release{Ref: ref("1"), To: Rank{Number: 1, Holder: "far"}}})
+	assert.DeepEqual(t, h.Tick(t0), []HandoverAction{Prepare{Ref: ref("short"), Urgent: true}})
 }
 
 // Two daemons would hold the request: its successor has it, and the running
 // answer here is entered once more before it has heard that it was released.
 func TestReleasedRequestIsNotOfferedAgain(t *testing.T) {
-	h := leaving(1)
+	h := newLeavingHandover(1)
 	c := Accept("self")
 	candidate := Candidate{Ref: ref("0"), Cost: 1, Remaining: time.Minute}
 	h.Add(candidate, c)
@@ -72,8 +72,8 @@
 // The dealer would get two orders: the offer of an order that has not been
 // dispatched is not answered, then the successor restarts and knows nothing of
 // it. Its former run may have dispatched. The request must not go to another.
-func TestUndispatchedOrderIsNotOfferedTwice(t *testing.T) {
-	h := leaving(1, 1)
+func TestUndispatchedNonIdempotentIsNotOfferedTwice(t *testing.T) {
+	h := newLeavingHandover(1, 1)
 	h.Tick(t0)
 	offer := h.Ready(t0, ref("0"), false)[0].(Send).Offer
 	for at := time.Duration(0); at < 10*time.Second; at += 250 * time.Millisecond {
@@ -81,10 +81,10 @@
 			assert.DeepEqual(t, o, Send{Offer: offer})
 		}
 	}
-	restarted := NewHoldings("far-2")
+	restarted := NewOwnershipTable("far-2")
 	reply, fresh := restarted.Take(t0, offer, t0.Add(time.Minute), true)
 	assert.Assert(t, !fresh)
-	assert.DeepEqual(t, h.Replied(t0, reply), []Order{GiveUp{Ref: ref("0")}})
+	assert.DeepEqual(t, h.Replied(t0, reply), []HandoverAction{GiveUp{Ref: ref("0")}})
 	assert.Assert(t, h.Settled())
 }
 
@@ -102,7 +102,7 @@
 	saved := 0
 	for b.Loop() {
 		saved = 0
-		h := leaving(64, costs...)
+		h := newLeavingHandover(64, costs...)
 		for h.Open() > 0 {
 			for _, o := range h.Tick(t0) {
 				i := h.items[o.(Prepare).Ref]
--- a/internal/request/life.go
+++ b/internal/request/lifecycle.go
@@ -12,23 +12,23 @@
 // forgotten first, since it has had the longest to recover.
 const maxAvoid = 8
 
-// Life decides one request from its acceptance to its end. An idempotent
+// Lifecycle decides one request from its acceptance to its end. An idempotent
 // request that lost its stream is continued on another engine; a
 // non-idempotent one leaves this process at most once and is only resumed
 // after that. Make one with NewLife or Adopt.
-type Life struct {
+type Lifecycle struct {
 	spec   Spec
 	policy Policy
 	budget Budget
 	answer Assembly
 
-	phase    phase
-	attempt  uint32
-	charged  int // dispatches that count towards MaxAttempts
-	resumes  int // in a row without a new piece
-	unproven int // dispatches that are not proved to be not run
-	accepted bool
-	own      bool // this Life made the newest dispatch itself
+	phase          phase
+	attempt        uint32
+	charged        int // dispatches that count towards MaxAttempts
+	resumes        int // in a row without a new piece
+	unproven       int // dispatches that are not proved to be not run
+	accepted       bool
+	dispatchedHere bool // this Life made the newest dispatch itself
 
 	endpoint fleet.EndpointID
 	stream   string
@@ -36,46 +36,46 @@
 	moveTo   fleet.EndpointID
 	avoid    []fleet.EndpointID
 
-	// announced: the endpoint was lost to a notice, so carrying on is neither
+	// uncharged: the endpoint was lost to a notice, so carrying on is neither
 	// charged nor bounded by attempts until the answer grows again.
-	announced bool
-	relocated bool // a dispatch has been made since announced
+	uncharged    bool
+	redispatched bool // a dispatch has been made since announced
 
-	progress time.Time // start of the phase or the newest piece
-	retryAt  time.Time // end of waiting
-	pauses   int
+	lastProgress time.Time // start of the phase or the newest piece
+	retryAt      time.Time // end of waiting
+	pauses       int
 
-	held   bool
-	parked *Failure // what failed while held
+	frozen          bool
+	deferredFailure *Failure // what failed while held
 }
 
-// NewLife returns the life of a request that has not been dispatched.
-func NewLife(spec Spec, policy Policy, budget Budget) *Life {
-	return &Life{spec: spec, policy: policy, budget: budget}
+// NewLifecycle returns the life of a request that has not been dispatched.
+func NewLifecycle(spec Spec, policy Policy, budget Budget) *Lifecycle {
+	return &Lifecycle{spec: spec, policy: policy, budget: budget}
 }
 
 // Spec returns what the request asked for.
-func (l *Life) Spec() Spec { return l.spec }
+func (l *Lifecycle) Spec() Spec { return l.spec }
 
 // Answer returns the answer so far; read only.
-func (l *Life) Answer() *Assembly { return &l.answer }
+func (l *Lifecycle) Answer() *Assembly { return &l.answer }
 
 // Ended reports whether the life needs nothing more.
-func (l *Life) Ended() bool { return l.phase == ended }
+func (l *Lifecycle) Ended() bool { return l.phase == ended }
 
 // Attempt returns the newest attempt's number.
-func (l *Life) Attempt() uint32 { return l.attempt }
+func (l *Lifecycle) Attempt() uint32 { return l.attempt }
 
 // Endpoint returns the endpoint that runs the request, empty where none is known to.
-func (l *Life) Endpoint() fleet.EndpointID { return l.endpoint }
+func (l *Lifecycle) Endpoint() fleet.EndpointID { return l.endpoint }
 
 // Stream returns the engine's stream id, empty before it is known.
-func (l *Life) Stream() string { return l.stream }
+func (l *Lifecycle) Stream() string { return l.stream }
 
 // Verdict returns what could be said if the request ended now.
-func (l *Life) Verdict() verdict.Verdict {
+func (l *Lifecycle) Verdict() verdict.Verdict {
 	switch {
-	case l.answer.Whole():
+	case l.answer.Complete():
 		return verdict.Ran
 	case l.unproven == 0:
 		return verdict.NotRun
@@ -85,7 +85,7 @@
 }
 
 // Start asks for the first dispatch.
-func (l *Life) Start(now time.Time) []Action {
+func (l *Lifecycle) Start(now time.Time) []Action {
 	if l.phase != idle {
 		return nil
 	}
@@ -93,10 +93,10 @@
 }
 
 // Accepted says that the caller has been told that the request is accepted.
-func (l *Life) Accepted(time.Time) { l.accepted = true }
+func (l *Lifecycle) Accepted(time.Time) { l.accepted = true }
 
 // Dispatched says which endpoint was chosen for attempt.
-func (l *Life) Dispatched(_ time.Time, attempt uint32, endpoint fleet.EndpointID) {
+func (l *Lifecycle) Dispatched(_ time.Time, attempt uint32, endpoint fleet.EndpointID) {
 	if attempt == l.attempt && l.phase == dispatching {
 		l.endpoint = endpoint
 	}
@@ -104,19 +104,19 @@
 
 // Opened says that the endpoint answers attempt, with its stream id where it
 // has one. A stream that nobody waits for any more is cancelled.
-func (l *Life) Opened(now time.Time, attempt uint32, endpoint fleet.EndpointID, stream string) []Action {
+func (l *Lifecycle) Opened(now time.Time, attempt uint32, endpoint fleet.EndpointID, stream string) []Action {
 	if attempt != l.attempt || l.phase == ended {
-		return l.orphan(endpoint, stream)
+		return l.cancelAbandoned(endpoint, stream)
 	}
 	l.endpoint, l.stream = endpoint, stream
 	l.phase = streaming
-	l.progress = now
+	l.lastProgress = now
 	return nil
 }
 
-// orphan cancels the stream of an abandoned dispatch, but not of a
+// cancelAbandoned cancels the stream of an abandoned dispatch, but not of a
 // non-idempotent request (see cancelStream).
-func (l *Life) orphan(endpoint fleet.EndpointID, stream string) []Action {
+func (l *Lifecycle) cancelAbandoned(endpoint fleet.EndpointID, stream string) []Action {
 	if stream == "" || stream == l.stream || l.spec.NonIdempotent {
 		return nil
 	}
@@ -124,14 +124,14 @@
 }
 
 // Piece takes a token of the answer. It allocates nothing for the next token in order.
-func (l *Life) Piece(now time.Time, attempt uint32, offset int, text string) (Result, []Action) {
+func (l *Lifecycle) Piece(now time.Time, attempt uint32, offset int, text string) (Result, []Action) {
 	if l.phase == ended || attempt > l.attempt {
 		return Stale, nil
 	}
 	r := l.answer.Add(attempt, offset, text)
 	switch r {
 	case Appended:
-		l.advanced(now)
+		l.pieceAppended(now)
 	case Gap:
 		return r, l.Failed(now, Failure{Attempt: attempt, Kind: Reset})
 	case Diverged:
@@ -142,20 +142,20 @@
 	return r, nil
 }
 
-// advanced forgets the failures before the newest piece.
-func (l *Life) advanced(now time.Time) {
-	l.progress = now
+// pieceAppended forgets the failures before the newest piece.
+func (l *Lifecycle) pieceAppended(now time.Time) {
+	l.lastProgress = now
 	l.resumes = 0
 	if l.phase == dispatching || l.phase == resuming {
 		l.phase = streaming
 	}
-	if l.relocated {
-		l.announced, l.relocated, l.pauses = false, false, 0
+	if l.redispatched {
+		l.uncharged, l.redispatched, l.pauses = false, false, 0
 	}
 }
 
 // Done takes attempt's end with the answer's length in tokens.
-func (l *Life) Done(now time.Time, attempt uint32, length int) []Action {
+func (l *Lifecycle) Done(now time.Time, attempt uint32, length int) []Action {
 	if l.phase == ended || attempt > l.attempt {
 		return nil
 	}
@@ -173,7 +173,7 @@
 }
 
 // Cancel ends the request because its caller asks for it.
-func (l *Life) Cancel(time.Time) []Action {
+func (l *Lifecycle) Cancel(time.Time) []Action {
 	if l.phase == ended {
 		return nil
 	}
@@ -181,11 +181,11 @@
 }
 
 // dispatch opens a new attempt, on endpoint to where one is named.
-func (l *Life) dispatch(now time.Time, to fleet.EndpointID, kv string) []Action {
-	l.next(now, dispatching)
+func (l *Lifecycle) dispatch(now time.Time, to fleet.EndpointID, kv string) []Action {
+	l.beginAttempt(now, dispatching)
 	l.unproven++
-	l.own = true
-	l.relocated = l.announced
+	l.dispatchedHere = true
+	l.redispatched = l.uncharged
 	l.endpoint, l.stream, l.leaveAt = to, "", time.Time{}
 	if l.answer.Len() == 0 && to == "" {
 		return []Action{Dispatch{Attempt: l.attempt, Avoid: slices.Clone(l.avoid)}}
@@ -195,42 +195,42 @@
 
 // resume opens the engine's stream again. It gets a number of its own so that
 // a late failure of the connection it replaces is not taken for its own.
-func (l *Life) resume(now time.Time, replace bool) []Action {
+func (l *Lifecycle) resume(now time.Time, replace bool) []Action {
 	l.resumes++
-	l.next(now, resuming)
+	l.beginAttempt(now, resuming)
 	return []Action{ResumeStream{
 		Attempt: l.attempt, Endpoint: l.endpoint, Stream: l.stream, From: l.answer.Len(), Replace: replace,
 	}}
 }
 
-func (l *Life) next(now time.Time, p phase) {
+func (l *Lifecycle) beginAttempt(now time.Time, p phase) {
 	l.attempt++
 	l.answer.Begin(l.attempt)
 	l.phase = p
-	l.progress = now
+	l.lastProgress = now
 }
 
 // giveUp ends the request at once: an answer held back until the deadline
 // would only keep the caller from trying elsewhere.
-func (l *Life) giveUp(why Reason, cause FailureKind, after time.Duration) []Action {
-	if after == 0 && (why == BudgetSpent || why == NothingToRunOn) {
-		after = l.policy.MaxPause
+func (l *Lifecycle) giveUp(why Reason, cause FailureKind, retryAfter time.Duration) []Action {
+	if retryAfter == 0 && (why == BudgetSpent || why == NoEndpointFound) {
+		retryAfter = l.policy.MaxPause
 	}
 	out := l.cancelStream(nil)
 	l.phase = ended
-	return append(out, Fail{Verdict: l.Verdict(), Reason: why, Cause: cause, RetryAfter: after})
+	return append(out, Fail{Verdict: l.Verdict(), Reason: why, Cause: cause, RetryAfter: retryAfter})
 }
 
 // cancelStream leaves a non-idempotent request's stream alone: to stop it
 // half-way is worse than to let it end.
-func (l *Life) cancelStream(out []Action) []Action {
+func (l *Lifecycle) cancelStream(out []Action) []Action {
 	if l.stream == "" || l.spec.NonIdempotent {
 		return out
 	}
 	return append(out, CancelStream{Endpoint: l.endpoint, Stream: l.stream})
 }
 
-func (l *Life) avoidEndpoint(e fleet.EndpointID) {
+func (l *Lifecycle) avoidEndpoint(e fleet.EndpointID) {
 	if e == "" || slices.Contains(l.avoid, e) {
 		return
 	}
--- a/internal/request/life_failure.go
+++ b/internal/request/lifecycle_failure.go
@@ -8,34 +8,34 @@
 
 // Failed takes the end of an attempt without its answer. Failures of older
 // attempts are ignored: the life has moved on.
-func (l *Life) Failed(now time.Time, f Failure) []Action {
+func (l *Lifecycle) Failed(now time.Time, f Failure) []Action {
 	if l.phase == ended || l.phase == moving || f.Attempt != l.attempt {
 		return nil
 	}
 	if l.phase == dispatching && f.provesNotRun() {
 		l.unproven--
 	}
-	if l.held {
-		l.parked = &f
+	if l.frozen {
+		l.deferredFailure = &f
 		l.phase = waiting
 		return nil
 	}
-	return l.recover(now, f)
+	return l.handleFailure(now, f)
 }
 
 func (f Failure) provesNotRun() bool {
-	return f.Verdict == verdict.NotRun || f.Kind.unwritten()
+	return f.Verdict == verdict.NotRun || f.Kind.nothingSent()
 }
 
-func (l *Life) recover(now time.Time, f Failure) []Action {
+func (l *Lifecycle) handleFailure(now time.Time, f Failure) []Action {
 	if l.canResume(now, f.Kind) {
 		return l.resume(now, f.Kind == Silent)
 	}
-	return l.again(now, f)
+	return l.retry(now, f)
 }
 
 // canResume reports whether the engine may still have the stream.
-func (l *Life) canResume(now time.Time, k FailureKind) bool {
+func (l *Lifecycle) canResume(now time.Time, k FailureKind) bool {
 	if l.stream == "" || l.resumes >= l.policy.MaxResumes {
 		return false
 	}
@@ -45,18 +45,18 @@
 	return k == Reset || k == Dial || k == Silent || k == Unavailable
 }
 
-// again starts over on another endpoint, waits, or gives up.
-func (l *Life) again(now time.Time, f Failure) []Action {
+// retry starts over on another endpoint, waits, or gives up.
+func (l *Lifecycle) retry(now time.Time, f Failure) []Action {
 	l.avoidEndpoint(l.endpoint)
 	if f.Kind == EngineLeaving {
-		l.announced = true
+		l.uncharged = true
 	}
 	if why, stop := l.mustStop(now, f); stop {
 		return l.giveUp(why, f.Kind, f.RetryAfter)
 	}
 	out := l.cancelStream(nil)
 	l.stream = ""
-	if f.Kind == NoEndpoint || l.relocated {
+	if f.Kind == NoEndpoint || l.redispatched {
 		l.wait(now)
 		return out
 	}
@@ -64,17 +64,17 @@
 }
 
 // mustStop holds the reasons to give up. It charges the retry it allows.
-func (l *Life) mustStop(now time.Time, f Failure) (Reason, bool) {
+func (l *Lifecycle) mustStop(now time.Time, f Failure) (Reason, bool) {
 	switch {
-	case l.spec.NonIdempotent && (l.unproven > 0 || !f.Kind.unwritten()):
+	case l.spec.NonIdempotent && (l.unproven > 0 || !f.Kind.nothingSent()):
 		return NotRepeatable, true
-	case f.Kind == Held:
+	case f.Kind == Quarantined:
 		return CrashesEngines, true
-	case !now.Before(l.spec.Deadline.Add(-l.policy.Margin)):
+	case !now.Before(l.spec.Deadline.Add(-l.policy.DeadlineMargin)):
 		return DeadlinePassed, true
 	case f.Kind == NoEndpoint:
-		return NothingToRunOn, !l.accepted
-	case l.announced:
+		return NoEndpointFound, !l.accepted
+	case l.uncharged:
 		return 0, false
 	case l.charged+1 >= l.policy.MaxAttempts:
 		return AttemptsSpent, true
@@ -88,8 +88,8 @@
 // wait pauses before the next try, twice as long each time: what an announced
 // reclaim displaced is never given up before its deadline, and must not ask
 // for an endpoint in a tight loop while none has room.
-func (l *Life) wait(now time.Time) {
-	pause := min(l.policy.Pause<<min(l.pauses, 16), l.policy.MaxPause)
+func (l *Lifecycle) wait(now time.Time) {
+	pause := min(l.policy.MinPause<<min(l.pauses, 16), l.policy.MaxPause)
 	l.pauses++
 	l.phase = waiting
 	l.endpoint = ""
@@ -98,7 +98,7 @@
 
 // Tick acts on what time alone brings: the deadline, a silent stream, the end
 // of a pause. Call it at Next.
-func (l *Life) Tick(now time.Time) []Action {
+func (l *Lifecycle) Tick(now time.Time) []Action {
 	switch {
 	case l.phase == ended || l.phase == idle:
 		return nil
@@ -115,22 +115,22 @@
 }
 
 // Next returns when Tick has something to do, zero when never.
-func (l *Life) Next() time.Time {
+func (l *Lifecycle) Next() time.Time {
 	var at time.Time
 	switch l.phase {
 	case idle, ended:
 		return time.Time{}
 	case dispatching:
-		at = l.progress.Add(l.policy.FirstPiece)
+		at = l.lastProgress.Add(l.policy.DispatchTimeout)
 	case moving:
-		at = l.progress.Add(l.policy.Move)
+		at = l.lastProgress.Add(l.policy.MoveTimeout)
 	case waiting:
 		at = l.retryAt
-		if l.held {
+		if l.frozen {
 			at = l.spec.Deadline
 		}
 	default:
-		at = l.progress.Add(l.policy.Progress)
+		at = l.lastProgress.Add(l.policy.ProgressTimeout)
 	}
 	if l.spec.Deadline.Before(at) {
 		return l.spec.Deadline
--- a/internal/request/life_move.go
+++ b/internal/request/lifecycle_move.go
@@ -10,7 +10,7 @@
 // to do about it is decided over all requests of the endpoint (package
 // reclaim) and told by Move or Recompute; without either, the request stays
 // and is continued elsewhere once the endpoint is gone.
-func (l *Life) Notice(_ time.Time, endpoint fleet.EndpointID, leaveAt time.Time) {
+func (l *Lifecycle) Notice(_ time.Time, endpoint fleet.EndpointID, leaveAt time.Time) {
 	if l.phase == ended {
 		return
 	}
@@ -18,7 +18,7 @@
 	if endpoint != l.endpoint {
 		return
 	}
-	l.announced, l.relocated = true, false
+	l.uncharged, l.redispatched = true, false
 	if l.leaveAt.IsZero() || leaveAt.Before(l.leaveAt) {
 		l.leaveAt = leaveAt
 	}
@@ -27,20 +27,20 @@
 // Move exports the stream's KV cache so that to can carry on without
 // recomputing. It does nothing for a request that can't be moved: a
 // non-idempotent one, one without a stream, one that is being handed over.
-func (l *Life) Move(now time.Time, to fleet.EndpointID) []Action {
-	if l.phase != streaming || l.stream == "" || l.held || l.spec.NonIdempotent {
+func (l *Lifecycle) Move(now time.Time, to fleet.EndpointID) []Action {
+	if l.phase != streaming || l.stream == "" || l.frozen || l.spec.NonIdempotent {
 		return nil
 	}
 	l.attempt++ // pieces under way still count, the stream's end does not
 	l.phase = moving
 	l.moveTo = to
-	l.progress = now
+	l.lastProgress = now
 	return []Action{MoveKV{Attempt: l.attempt, From: l.endpoint, Stream: l.stream, To: to}}
 }
 
 // Exported takes the blob and all tokens that the stream had generated when
 // the export stopped it.
-func (l *Life) Exported(now time.Time, attempt uint32, blob string, generated []string) []Action {
+func (l *Lifecycle) Exported(now time.Time, attempt uint32, blob string, generated []string) []Action {
 	if l.phase != moving || attempt != l.attempt {
 		return nil
 	}
@@ -52,28 +52,28 @@
 	if len(generated) != l.answer.Len() {
 		return l.MoveFailed(now, attempt)
 	}
-	l.announced = true
+	l.uncharged = true
 	return l.dispatch(now, l.moveTo, blob)
 }
 
 // MoveFailed says that the export did not succeed: the target recomputes.
-func (l *Life) MoveFailed(now time.Time, attempt uint32) []Action {
+func (l *Lifecycle) MoveFailed(now time.Time, attempt uint32) []Action {
 	if l.phase != moving || attempt != l.attempt {
 		return nil
 	}
 	out := l.cancelStream(nil)
-	l.announced = true
+	l.uncharged = true
 	return append(out, l.dispatch(now, l.moveTo, "")...)
 }
 
 // Recompute continues on another engine, to where it is named, without waiting
 // for the end of the one that runs it.
-func (l *Life) Recompute(now time.Time, to fleet.EndpointID) []Action {
-	if l.held || l.spec.NonIdempotent || (l.phase != streaming && l.phase != resuming && l.phase != dispatching) {
+func (l *Lifecycle) Recompute(now time.Time, to fleet.EndpointID) []Action {
+	if l.frozen || l.spec.NonIdempotent || (l.phase != streaming && l.phase != resuming && l.phase != dispatching) {
 		return nil
 	}
 	out := l.cancelStream(nil)
 	l.avoidEndpoint(l.endpoint)
-	l.announced = true
+	l.uncharged = true
 	return append(out, l.dispatch(now, to, "")...)
 }
--- a/internal/request/life_test.go
+++ b/internal/request/lifecycle_test.go
@@ -20,10 +20,10 @@
 
 func token(i int) string { return fmt.Sprint(i, " ") }
 
-// streamingLife returns a life with n tokens read from stream s1 of engine e1.
-func streamingLife(t *testing.T, nonIdempotent bool, b Budget, n int) *Life {
+// streamingLifecycle returns a life with n tokens read from stream s1 of engine e1.
+func streamingLifecycle(t *testing.T, nonIdempotent bool, b Budget, n int) *Lifecycle {
 	t.Helper()
-	l := NewLife(Spec{NonIdempotent: nonIdempotent, Deadline: t0.Add(time.Minute)}, DefaultPolicy(), b)
+	l := NewLifecycle(Spec{NonIdempotent: nonIdempotent, Deadline: t0.Add(time.Minute)}, DefaultPolicy(), b)
 	assert.DeepEqual(t, l.Start(t0), []Action{Dispatch{Attempt: 1}})
 	l.Accepted(t0)
 	l.Dispatched(t0, 1, "e1")
@@ -40,9 +40,9 @@
 // connection; the old connection's own failure comes late and must not count.
 // Only when new connections fail as well does another engine recompute.
 func TestSilentStreamIsResumedBeforeRecomputed(t *testing.T) {
-	l := streamingLife(t, false, NewRetryBudget(0.1, 3), 5)
+	l := streamingLifecycle(t, false, NewRetryBudget(0.1, 3), 5)
 	now := l.Next()
-	assert.Equal(t, now, t0.Add(DefaultPolicy().Progress))
+	assert.Equal(t, now, t0.Add(DefaultPolicy().ProgressTimeout))
 	assert.DeepEqual(t, l.Tick(now), []Action{
 		ResumeStream{Attempt: 2, Endpoint: "e1", Stream: "s1", From: 5, Replace: true},
 	})
@@ -61,8 +61,8 @@
 
 // The caller would miss a word: a piece got lost between the engine and us.
 // The stream is read again from the first missing one.
-func TestGapIsFetchedAgain(t *testing.T) {
-	l := streamingLife(t, false, noRetries{}, 2)
+func TestStreamIsReadAgainFromAGap(t *testing.T) {
+	l := streamingLifecycle(t, false, noRetries{}, 2)
 	r, actions := l.Piece(t0, 1, 3, token(3))
 	assert.Equal(t, r, Gap)
 	assert.DeepEqual(t, actions, []Action{ResumeStream{Attempt: 2, Endpoint: "e1", Stream: "s1", From: 2}})
@@ -76,7 +76,7 @@
 // without a token of the budget, and waits for an endpoint while there is none.
 // Without the notice the same loss is charged, and given up at once.
 func TestAnnouncedReclaimIsNotCharged(t *testing.T) {
-	l := streamingLife(t, false, noRetries{}, 3)
+	l := streamingLifecycle(t, false, noRetries{}, 3)
 	l.Notice(t0, "e1", t0.Add(time.Second))
 	now := t0.Add(time.Second)
 	actions := l.Failed(now, Failure{Attempt: 1, Kind: Reset})
@@ -89,7 +89,7 @@
 	r, _ := l.Piece(now, 12, 3, token(3))
 	assert.Equal(t, r, Appended)
 
-	l = streamingLife(t, false, noRetries{}, 3)
+	l = streamingLifecycle(t, false, noRetries{}, 3)
 	actions = l.Failed(t0, Failure{Attempt: 1, Kind: NotFound})
 	assert.DeepEqual(t, actions[1], Fail{Reason: BudgetSpent, Cause: NotFound, RetryAfter: time.Second})
 }
@@ -97,9 +97,9 @@
 // A dealer would pay for two orders: the connection of the only dispatch
 // breaks after the request was written. It must not be sent again. A
 // connection that was never made sent nothing, so another endpoint may get it.
-func TestNonIdempotentLeavesOnce(t *testing.T) {
+func TestNonIdempotentIsSentOnce(t *testing.T) {
 	spec := Spec{NonIdempotent: true, Deadline: t0.Add(time.Minute)}
-	l := NewLife(spec, DefaultPolicy(), NewRetryBudget(0.1, 3))
+	l := NewLifecycle(spec, DefaultPolicy(), NewRetryBudget(0.1, 3))
 	l.Start(t0)
 	l.Dispatched(t0, 1, "p1")
 	assert.Equal(t, l.Failed(t0, Failure{Attempt: 1, Kind: Dial})[0].(Dispatch).Attempt, uint32(2))
@@ -107,7 +107,7 @@
 		Fail{Verdict: verdict.MayHaveRun, Reason: NotRepeatable, Cause: Reset},
 	})
 
-	l = NewLife(spec, DefaultPolicy(), NewRetryBudget(0.1, 3))
+	l = NewLifecycle(spec, DefaultPolicy(), NewRetryBudget(0.1, 3))
 	l.Start(t0)
 	refused := Failure{Attempt: 1, Kind: Unavailable, Verdict: verdict.NotRun, RetryAfter: time.Second}
 	assert.DeepEqual(t, l.Failed(t0, refused), []Action{
@@ -119,7 +119,7 @@
 // stops the stream, its last pieces overtake the blob or come after it. All
 // tokens count once, and the target goes on after them.
 func TestExportKeepsEveryToken(t *testing.T) {
-	l := streamingLife(t, false, noRetries{}, 2)
+	l := streamingLifecycle(t, false, noRetries{}, 2)
 	l.Notice(t0, "e1", t0.Add(time.Minute))
 	assert.DeepEqual(t, l.Move(t0, "e2"), []Action{MoveKV{Attempt: 2, From: "e1", Stream: "s1", To: "e2"}})
 	r, _ := l.Piece(t0, 1, 2, token(2))
@@ -130,7 +130,7 @@
 	assert.Equal(t, actions[0].(Continue).From, 4)
 	assert.Equal(t, string(actions[0].(Continue).Endpoint), "e2")
 
-	l = streamingLife(t, false, noRetries{}, 2)
+	l = streamingLifecycle(t, false, noRetries{}, 2)
 	l.Move(t0, "e2")
 	actions = l.Exported(t0, 2, "blob", []string{token(0)})
 	assert.DeepEqual(t, actions[1], Continue{Attempt: 3, Endpoint: "e2", From: 2}) // recomputes
@@ -139,15 +139,15 @@
 // A request that is being handed over would be dispatched by two daemons: its
 // stream breaks while the offer is out. Nothing new starts until the successor
 // has refused; then the failure is acted on.
-func TestHeldLifeStartsNothing(t *testing.T) {
-	l := streamingLife(t, false, NewRetryBudget(0.1, 3), 2)
-	s, ok := l.Hold(t0, false)
+func TestFrozenRequestStartsNoAttempt(t *testing.T) {
+	l := streamingLifecycle(t, false, NewRetryBudget(0.1, 3), 2)
+	s, ok := l.Freeze(t0, false)
 	assert.Assert(t, ok)
 	assert.Equal(t, s.Stream, "s1")
 	assert.Equal(t, len(l.Failed(t0, Failure{Attempt: 1, Kind: NotFound})), 0)
 	assert.Equal(t, len(l.Tick(t0.Add(30*time.Second))), 0)
 	assert.Equal(t, len(l.Recompute(t0, "e2")), 0)
-	actions := l.Unhold(t0)
+	actions := l.Unfreeze(t0)
 	assert.Equal(t, actions[1].(Continue).From, 2)
 
 	next, actions := Adopt(t0, s, DefaultPolicy(), noRetries{})
@@ -157,11 +157,11 @@
 
 func BenchmarkLifePiece(b *testing.B) {
 	b.ReportAllocs()
-	var l *Life
+	var l *Lifecycle
 	offset := 4096
 	for b.Loop() {
 		if offset == 4096 {
-			l = NewLife(Spec{Deadline: t0.Add(time.Hour)}, DefaultPolicy(), noRetries{})
+			l = NewLifecycle(Spec{Deadline: t0.Add(time.Hour)}, DefaultPolicy(), noRetries{})
 			l.Start(t0)
 			l.Opened(t0, 1, "e1", "s1")
 			offset = 0
--- a/internal/request/life_transfer.go
+++ b/internal/request/lifecycle_transfer.go
@@ -7,7 +7,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Hold freezes the request for a transfer and returns what the successor
+// Freeze freezes the request for a transfer and returns what the successor
 // needs. Until Unhold no new attempt starts: the successor may hold the
 // request already. Pieces of the running one are still taken.
 //
@@ -15,7 +15,7 @@
 // an export under way, and a dispatch that has not been answered, whose stream
 // the successor could not resume. With urgent set, an idempotent request moves
 // in spite of an unanswered dispatch.
-func (l *Life) Hold(_ time.Time, urgent bool) (Snapshot, bool) {
+func (l *Lifecycle) Freeze(_ time.Time, urgent bool) (Snapshot, bool) {
 	switch l.phase {
 	case ended, moving:
 		return Snapshot{}, false
@@ -24,34 +24,34 @@
 			return Snapshot{}, false
 		}
 	}
-	l.held = true
+	l.frozen = true
 	return l.snapshot(), true
 }
 
-func (l *Life) snapshot() Snapshot {
-	s := Snapshot{Spec: l.spec, Attempt: l.attempt, MayRun: l.unproven > 0, Generated: l.answer.Tokens(0)}
+func (l *Lifecycle) snapshot() Snapshot {
+	s := Snapshot{Spec: l.spec, Attempt: l.attempt, MayHaveRun: l.unproven > 0, Generated: l.answer.Tokens(0)}
 	if l.stream != "" {
 		s.Endpoint, s.Stream = l.endpoint, l.stream
 	}
 	return s
 }
 
-// Unhold says that no successor has the request: it goes on here, with
+// Unfreeze says that no successor has the request: it goes on here, with
 // whatever failed meanwhile.
-func (l *Life) Unhold(now time.Time) []Action {
-	if !l.held || l.phase == ended {
+func (l *Lifecycle) Unfreeze(now time.Time) []Action {
+	if !l.frozen || l.phase == ended {
 		return nil
 	}
-	l.held = false
-	if f := l.parked; f != nil {
-		l.parked = nil
-		return l.recover(now, *f)
+	l.frozen = false
+	if f := l.deferredFailure; f != nil {
+		l.deferredFailure = nil
+		return l.handleFailure(now, *f)
 	}
 	return nil
 }
 
 // Released ends the life here because daemon to holds the request now.
-func (l *Life) Released(_ time.Time, to fleet.DaemonID) []Action {
+func (l *Lifecycle) Released(_ time.Time, to fleet.DaemonID) []Action {
 	if l.phase == ended {
 		return nil
 	}
@@ -62,36 +62,36 @@
 // Withdrawn ends the life here because daemon to holds the request under a
 // higher transfer number. A stream of this life's own dispatch is cancelled:
 // the other holder doesn't know it.
-func (l *Life) Withdrawn(now time.Time, to fleet.DaemonID) []Action {
+func (l *Lifecycle) Withdrawn(now time.Time, to fleet.DaemonID) []Action {
 	if l.phase == ended {
 		return nil
 	}
 	var out []Action
-	if l.own && !l.spec.NonIdempotent {
+	if l.dispatchedHere && !l.spec.NonIdempotent {
 		out = l.cancelStream(out)
 	}
 	return append(out, l.Released(now, to)...)
 }
 
-// Lost ends the life here because the successor's answer never came and the
+// OutcomeUnknown ends the life here because the successor's answer never came and the
 // successor may have run it.
-func (l *Life) Lost(time.Time) []Action {
+func (l *Lifecycle) OutcomeUnknown(time.Time) []Action {
 	if l.phase == ended {
 		return nil
 	}
 	l.phase = ended
-	return []Action{Fail{Verdict: verdict.MayHaveRun, Reason: HandoverUnknown, Cause: Silent}}
+	return []Action{Fail{Verdict: verdict.MayHaveRun, Reason: HandoverUnanswered, Cause: Silent}}
 }
 
 // Adopt carries on a request that another daemon handed over. The engine's
 // stream is resumed where there is one; a new dispatch is made only where that
 // cannot run a non-idempotent request twice.
-func Adopt(now time.Time, s Snapshot, p Policy, b Budget) (*Life, []Action) {
-	l := NewLife(s.Spec, p, b)
+func Adopt(now time.Time, s Snapshot, p Policy, b Budget) (*Lifecycle, []Action) {
+	l := NewLifecycle(s.Spec, p, b)
 	l.accepted = true
 	l.attempt = s.Attempt
 	l.endpoint, l.stream = s.Endpoint, s.Stream
-	if s.MayRun {
+	if s.MayHaveRun {
 		l.unproven = 1
 	}
 	for i, t := range s.Generated {
@@ -100,9 +100,9 @@
 	switch {
 	case s.Stream != "":
 		return l, l.resume(now, false)
-	case s.Spec.NonIdempotent && s.MayRun:
+	case s.Spec.NonIdempotent && s.MayHaveRun:
 		return l, l.giveUp(NotRepeatable, Reset, 0)
 	}
-	l.announced = true
+	l.uncharged = true
 	return l, l.dispatch(now, "", "")
 }
--- a/internal/request/custody.go
+++ b/internal/request/ownership.go
@@ -2,13 +2,13 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// CustodyState says whether a daemon may act for a request.
-type CustodyState uint8
+// OwnershipState says whether a daemon may act for a request.
+type OwnershipState uint8
 
 // The states of custody.
 const (
 	// Absent: this daemon never held it.
-	Absent CustodyState = iota
+	Absent OwnershipState = iota
 	// Holding: this daemon may dispatch it.
 	Holding
 	// Offering: an offer is out and not settled. The successor may hold the
@@ -18,7 +18,7 @@
 	Released
 )
 
-// Custody is one daemon's part in who holds one request. Transfers are
+// Ownership is one daemon's part in who holds one request. Transfers are
 // numbered; the greatest Rank holds the request. The rules:
 //
 //   - An offer that may have arrived is repeated with its number until it is
@@ -28,53 +28,53 @@
 //   - Without an answer the request may be taken back or offered elsewhere
 //     under a higher number only where a second holder can't run it twice;
 //     the lower holder is withdrawn once the higher one has it.
-type Custody struct {
-	self    fleet.DaemonID
-	state   CustodyState
-	number  uint64         // under which this daemon holds or held it
-	offered uint64         // the newest number offered from here
-	to      fleet.DaemonID // its addressee
-	refused uint64         // the highest number refused here
-	known   Rank           // the greatest rank of another daemon
+type Ownership struct {
+	self         fleet.DaemonID
+	state        OwnershipState
+	number       uint64         // under which this daemon holds or held it
+	offered      uint64         // the newest number offered from here
+	to           fleet.DaemonID // its addressee
+	refused      uint64         // the highest number refused here
+	highestOther Rank           // the greatest rank of another daemon
 }
 
 // Accept returns the custody of a request that self accepted from its caller.
-func Accept(self fleet.DaemonID) *Custody { return &Custody{self: self, state: Holding} }
+func Accept(self fleet.DaemonID) *Ownership { return &Ownership{self: self, state: Holding} }
 
 // State returns the state.
-func (c *Custody) State() CustodyState { return c.state }
+func (c *Ownership) State() OwnershipState { return c.state }
 
 // MayDispatch reports whether this daemon may start a new attempt.
-func (c *Custody) MayDispatch() bool { return c.state == Holding }
+func (c *Ownership) MayDispatch() bool { return c.state == Holding }
 
 // Rank returns the rank under which this daemon holds or held the request.
-func (c *Custody) Rank() Rank { return Rank{Number: c.number, Holder: c.self} }
+func (c *Ownership) Rank() Rank { return Rank{Number: c.number, Holder: c.self} }
 
 // Holder returns the greatest rank known, which may be this daemon's own.
-func (c *Custody) Holder() Rank {
-	if c.state == Holding || c.state == Offering || c.known.Less(c.Rank()) {
+func (c *Ownership) Holder() Rank {
+	if c.state == Holding || c.state == Offering || c.highestOther.Less(c.Rank()) {
 		return c.Rank()
 	}
-	return c.known
+	return c.highestOther
 }
 
 // Offer begins an offer to successor to and returns its number. It is higher
 // than any number used here or known of; 0 is returned where this daemon has
 // nothing to offer.
-func (c *Custody) Offer(to fleet.DaemonID) uint64 {
+func (c *Ownership) Offer(to fleet.DaemonID) uint64 {
 	if c.state != Holding && c.state != Offering {
 		return 0
 	}
 	c.state = Offering
 	c.to = to
-	c.offered = max(c.number, c.offered, c.known.Number) + 1
+	c.offered = max(c.number, c.offered, c.highestOther.Number) + 1
 	return c.offered
 }
 
 // Answered settles the offer by its reply and reports whether it did. Replies
 // to older offers settle nothing here, but a Taken tells of a holder that the
 // caller must withdraw once a higher one is sure.
-func (c *Custody) Answered(r Reply) bool {
+func (c *Ownership) Answered(r Reply) bool {
 	if c.state != Offering || r.Offer.Number != c.offered || r.Offer.To != c.to {
 		return false
 	}
@@ -92,7 +92,7 @@
 }
 
 // Unsent settles an offer of which nothing was sent.
-func (c *Custody) Unsent(number uint64) bool {
+func (c *Ownership) Unsent(number uint64) bool {
 	if c.state != Offering || number != c.offered {
 		return false
 	}
@@ -103,15 +103,15 @@
 // TakeBack makes this daemon the holder again without an answer to its offer,
 // under a higher number. Allowed only where a second holder can't run the
 // request twice. The addressee of the offer must be withdrawn.
-func (c *Custody) TakeBack() Rank {
-	c.number = max(c.number, c.offered, c.known.Number) + 1
+func (c *Ownership) TakeBack() Rank {
+	c.number = max(c.number, c.offered, c.highestOther.Number) + 1
 	c.state = Holding
 	return c.Rank()
 }
 
 // Take decides an offer that arrived. A daemon that can't take it, because it
 // is leaving or full, passes can false.
-func (c *Custody) Take(o Offer, can bool) Reply {
+func (c *Ownership) Take(o Offer, canTake bool) Reply {
 	offered := Rank{Number: o.Number, Holder: c.self}
 	switch {
 	case o.To != c.self:
@@ -120,7 +120,7 @@
 		return Reply{Offer: o, Answer: Taken}
 	case offered.Less(c.Holder()):
 		return Reply{Offer: o, Answer: Superseded, Known: c.Holder()}
-	case o.Number <= c.refused || !can || c.state == Offering:
+	case o.Number <= c.refused || !canTake || c.state == Offering:
 		c.refused = max(c.refused, o.Number)
 		return Reply{Offer: o, Answer: NotTaken}
 	}
@@ -133,7 +133,7 @@
 // reports whether this daemon has just lost the request to it. The rank is
 // remembered where nothing is held, too: a delayed offer with a lower number
 // must find that it is superseded.
-func (c *Custody) Learn(r Rank) bool {
+func (c *Ownership) Learn(r Rank) bool {
 	if r.Holder == c.self {
 		return false
 	}
@@ -142,8 +142,8 @@
 		c.release(r)
 		return true
 	}
-	if c.known.Less(r) {
-		c.known = r
+	if c.highestOther.Less(r) {
+		c.highestOther = r
 	}
 	return false
 }
@@ -151,14 +151,14 @@
 // Withdraw is Learn for a withdrawal from the origin of a higher transfer. It
 // also returns the holder known before, whom the origin must withdraw as well
 // when it is neither this daemon nor r's holder.
-func (c *Custody) Withdraw(r Rank) (before Rank, lost bool) {
+func (c *Ownership) Withdraw(r Rank) (before Rank, lost bool) {
 	before = c.Holder()
 	return before, c.Learn(r)
 }
 
-func (c *Custody) release(to Rank) {
+func (c *Ownership) release(to Rank) {
 	c.state = Released
-	if c.known.Less(to) {
-		c.known = to
+	if c.highestOther.Less(to) {
+		c.highestOther = to
 	}
 }
--- a/internal/request/reason.go
+++ b/internal/request/reason.go
@@ -13,16 +13,16 @@
 	BudgetSpent
 	// NotRepeatable: the one dispatch of a non-idempotent request failed.
 	NotRepeatable
-	// NothingToRunOn: routing found no endpoint.
-	NothingToRunOn
+	// NoEndpointFound: routing found no endpoint.
+	NoEndpointFound
 	// CrashesEngines: the request crashes the engines that run it.
 	CrashesEngines
 	// Cancelled: the caller asked for it.
 	Cancelled
 	// TooLarge: the answer exceeds MaxAnswerBytes.
 	TooLarge
-	// HandoverUnknown: the successor's answer never came.
-	HandoverUnknown
+	// HandoverUnanswered: the successor's answer never came.
+	HandoverUnanswered
 )
 
 // String returns the reason as callers see it.
--- a/internal/request/retry_budget.go
+++ b/internal/request/retry_budget.go
@@ -20,11 +20,11 @@
 // failures (as in Finagle's and gRPC's retry throttling). The zero value is not
 // usable; make one with NewRetryBudget.
 type RetryBudget struct {
-	share float64
-	floor float64 // retries over the whole window
-	slots [retrySlots]retrySlot
-	last  int64 // Unix second of the newest slot
-	sum   retrySlot
+	share      float64
+	minRetries float64 // retries over the whole window
+	slots      [retrySlots]retrySlot
+	last       int64 // Unix second of the newest slot
+	sum        retrySlot
 }
 
 type retrySlot struct{ successes, retries int64 }
@@ -33,7 +33,7 @@
 
 // NewRetryBudget allows share retries for each success and minPerSecond on top.
 func NewRetryBudget(share, minPerSecond float64) *RetryBudget {
-	return &RetryBudget{share: share, floor: minPerSecond * retrySlots}
+	return &RetryBudget{share: share, minRetries: minPerSecond * retrySlots}
 }
 
 // Success counts a request that got its whole answer.
@@ -46,7 +46,7 @@
 // Take reports whether a retry may be made now and charges it.
 func (b *RetryBudget) Take(now time.Time) bool {
 	b.advance(now)
-	allowed := b.floor + b.share*float64(b.sum.successes)
+	allowed := b.minRetries + b.share*float64(b.sum.successes)
 	if float64(b.sum.retries+1) > allowed {
 		return false
 	}
--- a/internal/request/retry_budget_test.go
+++ b/internal/request/retry_budget_test.go
@@ -11,7 +11,7 @@
 // requests a second fail for ten seconds, and each would be sent again. With a
 // budget the retries stay within a tenth of the successes before, plus three a
 // second, and those successes stop counting after ten seconds.
-func TestRetryBudgetBoundsWave(t *testing.T) {
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	b := NewRetryBudget(DefaultRetryShare, DefaultMinRetries)
 	now := time.Unix(1000, 0)
 	for range 1000 {
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -39,7 +39,7 @@
 
 // Begin attaches to the request ref, or enters life as a new one. The entry is
 // nil when the result is Full.
-func (t *Table) Begin(now time.Time, ref Ref, d Digest, life *Life) (*Entry, Attach) {
+func (t *Table) Begin(now time.Time, ref Ref, d Digest, life *Lifecycle) (*Entry, BeginResult) {
 	t.Expire(now)
 	if e := t.entries[ref]; e != nil {
 		if e.Digest != d {
@@ -50,7 +50,7 @@
 	if t.live >= t.limits.Live {
 		return nil, Full
 	}
-	e := &Entry{Ref: ref, Digest: d, Life: life}
+	e := &Entry{Ref: ref, Digest: d, Lifecycle: life}
 	t.entries[ref] = e
 	t.live++
 	return e, Created
@@ -68,8 +68,8 @@
 	}
 	e.finishedAt = now
 	e.bytes = entryBytes
-	if e.Life != nil {
-		e.bytes += e.Life.Answer().Bytes()
+	if e.Lifecycle != nil {
+		e.bytes += e.Lifecycle.Answer().Bytes()
 	}
 	t.live--
 	t.bytes += e.bytes
@@ -90,7 +90,7 @@
 // Expire drops finished requests beyond the limits and returns how many.
 func (t *Table) Expire(now time.Time) int {
 	dropped := 0
-	for t.oldest != nil && t.excess(now) {
+	for t.oldest != nil && t.overLimits(now) {
 		e := t.oldest
 		t.oldest = e.newer
 		if t.oldest == nil {
@@ -103,7 +103,7 @@
 	return dropped
 }
 
-func (t *Table) excess(now time.Time) bool {
+func (t *Table) overLimits(now time.Time) bool {
 	return t.bytes > t.limits.Bytes || now.Sub(t.oldest.finishedAt) >= t.limits.Retention
 }
 
--- a/internal/request/table_test.go
+++ b/internal/request/table_test.go
@@ -14,20 +14,20 @@
 func TestTableAttachesByKeyAndBody(t *testing.T) {
 	table := NewTable(TableLimits{Live: 2, Bytes: 1 << 20, Retention: time.Minute})
 	now := time.Unix(1000, 0)
-	_, how := table.Begin(now, ref("1"), Digest{1}, &Life{})
+	_, how := table.Begin(now, ref("1"), Digest{1}, &Lifecycle{})
 	assert.Equal(t, how, Created)
-	_, how = table.Begin(now, ref("1"), Digest{1}, &Life{})
+	_, how = table.Begin(now, ref("1"), Digest{1}, &Lifecycle{})
 	assert.Equal(t, how, Attached)
-	_, how = table.Begin(now, ref("1"), Digest{2}, &Life{})
+	_, how = table.Begin(now, ref("1"), Digest{2}, &Lifecycle{})
 	assert.Equal(t, how, Conflict)
-	_, how = table.Begin(now, Ref{Workspace: "other", ID: ref("1").ID}, Digest{1}, &Life{})
+	_, how = table.Begin(now, Ref{Workspace: "other", ID: ref("1").ID}, Digest{1}, &Lifecycle{})
 	assert.Equal(t, how, Created)
-	_, how = table.Begin(now, ref("2"), Digest{1}, &Life{})
+	_, how = table.Begin(now, ref("2"), Digest{1}, &Lifecycle{})
 	assert.Equal(t, how, Full)
 	table.Finish(now, ref("1"))
-	_, how = table.Begin(now, ref("1"), Digest{1}, &Life{})
+	_, how = table.Begin(now, ref("1"), Digest{1}, &Lifecycle{})
 	assert.Equal(t, how, Attached)
-	_, how = table.Begin(now.Add(time.Minute), ref("1"), Digest{1}, &Life{})
+	_, how = table.Begin(now.Add(time.Minute), ref("1"), Digest{1}, &Lifecycle{})
 	assert.Equal(t, how, Created)
 }
 
@@ -36,10 +36,10 @@
 func TestTableBoundsFinishedBytes(t *testing.T) {
 	table := NewTable(TableLimits{Live: 100, Bytes: 10 * entryBytes, Retention: time.Hour})
 	now := time.Unix(1000, 0)
-	table.Begin(now, ref("live"), Digest{}, &Life{})
+	table.Begin(now, ref("live"), Digest{}, &Lifecycle{})
 	for i := range 50 {
 		r := ref(string(rune('A' + i)))
-		table.Begin(now, r, Digest{}, &Life{})
+		table.Begin(now, r, Digest{}, &Lifecycle{})
 		table.Finish(now, r)
 	}
 	assert.Assert(t, table.Bytes() <= 10*entryBytes)
