--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch runs completions: it performs the actions of request.Life,
+// Package dispatch runs completions: it performs the actions of request.Lifecycle,
 // the state machine of a request, against the engines and streams the growing
 // answers to their readers. When the daemon leaves, it hands its requests over
 // to other daemons.
--- a/internal/dispatch/engines.go
+++ b/internal/dispatch/engines.go
@@ -50,7 +50,7 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// failureOf converts an attempt's error to an event of request.Life. An error of
+// failureOf converts an attempt's error to an event of request.Lifecycle. An error of
 // another type proves nothing, so the request may have run.
 func failureOf(attempt uint32, err error) request.Failure {
 	var e *AttemptError
--- a/internal/request/action.go
+++ b/internal/request/action.go
@@ -7,40 +7,42 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Action is what a Life wants done: one of the types below. Attempt numbers
-// grow with every action that opens a connection; events about an attempt must
-// carry its number, so that late ones are told apart.
+// Action is something that the caller of a Lifecycle must do: one of the types
+// below. Every action that starts an attempt has a new, higher attempt number.
+// Events about an attempt must carry its number, so that late events of an
+// earlier attempt are recognised.
 type Action interface{ action() }
 
-// Dispatch sends the request to an endpoint that routing chooses.
+// Dispatch sends the request to an endpoint that routing selects.
 type Dispatch struct {
 	Attempt uint32
-	Avoid   []fleet.EndpointID // where other endpoints serve it
+	Avoid   []fleet.EndpointID // used only if no other endpoint serves the request
 }
 
-// Continue sends the request together with the text so far, which the engine
-// prefills: those tokens are recomputed unless KV names an imported blob.
+// Continue sends the request together with the answer so far, which the engine
+// prefills: those tokens are recomputed unless KV names a blob to import.
 type Continue struct {
 	Attempt  uint32
-	Endpoint fleet.EndpointID // empty: routing chooses
+	Endpoint fleet.EndpointID // empty: routing selects one
 	Avoid    []fleet.EndpointID
-	From     int    // tokens of the answer that are there already
-	KV       string // blob exported by MoveKV, to be imported first
+	From     int    // number of tokens of the answer received so far
+	KV       string // id of the blob exported by MoveKV, to be imported first
 }
 
-// ResumeStream reads the engine's stream again on a new connection. Nothing
-// is recomputed.
+// ResumeStream reads the engine's stream from token From on a new connection.
+// Nothing is recomputed.
 type ResumeStream struct {
 	Attempt  uint32
 	Endpoint fleet.EndpointID
 	Stream   string
 	From     int
-	// Replace asks to close the pool's connections of the old one's age first:
-	// it went silent, and its contemporaries are likely to be as dead.
+	// Replace asks to close first all pooled connections that are as old as the
+	// stalled one, since they are likely to be broken as well.
 	Replace bool
 }
 
-// MoveKV exports the stream's KV cache. Answer with Life.Exported or Life.MoveFailed.
+// MoveKV exports the stream's KV cache for endpoint To. Its result is passed to
+// Lifecycle.Exported or Lifecycle.MoveFailed.
 type MoveKV struct {
 	Attempt uint32
 	From    fleet.EndpointID
@@ -48,24 +50,24 @@
 	To      fleet.EndpointID
 }
 
-// CancelStream stops an engine's stream that nobody needs. Best effort.
+// CancelStream stops an engine's stream that is no longer needed. Best effort.
 type CancelStream struct {
 	Endpoint fleet.EndpointID
 	Stream   string
 }
 
-// Finish gives the caller the end of its whole answer.
-type Finish struct{ Length int }
+// Finish ends the complete answer to the caller.
+type Finish struct{ Length int } // in tokens
 
-// Fail ends the request without its whole answer.
+// Fail ends the request without a complete answer.
 type Fail struct {
 	Verdict    verdict.Verdict
 	Reason     Reason
 	Cause      FailureKind   // of the last failed attempt
-	RetryAfter time.Duration // 0 where waiting does not help
+	RetryAfter time.Duration // 0 if a later retry would not help
 }
 
-// Transfer tells attached callers where the request went.
+// Transfer redirects attached callers to daemon To, which now holds the request.
 type Transfer struct{ To fleet.DaemonID }
 
 func (Dispatch) action()     {}
--- a/internal/request/assembly.go
+++ b/internal/request/assembly.go
@@ -5,31 +5,31 @@
 	"strings"
 )
 
-// MaxAnswerBytes bounds an answer's text. 16 MiB is some four million tokens,
-// beyond any model's context; an endpoint that sends more is at fault and must
-// not take the daemon's memory.
+// MaxAnswerBytes limits an answer's text. 16 MiB is about four million tokens,
+// more than any model's context. A faulty endpoint that sends more must not
+// exhaust the daemon's memory.
 const MaxAnswerBytes = 16 << 20
 
-// Assembly puts an answer together from the pieces of one or more attempts.
-// A piece is one token with its offset in the whole answer, from 0. The zero
+// Assembly assembles an answer from the pieces of one or more attempts. A piece
+// is one token and its offset in the answer, counted in tokens from 0. The zero
 // value is an empty answer. An Assembly must not be copied after its first Add.
 //
-// Tokens stand one after another in one buffer, so that a token costs four
-// bytes beyond its text and no allocation of its own.
+// All tokens share one buffer, so a token takes four bytes in addition to its
+// text and no allocation of its own.
 type Assembly struct {
 	text    strings.Builder
-	ends    []uint32 // ends[i] is where token i ends in text
-	attempt uint32   // the newest attempt seen
+	ends    []uint32 // ends[i] is the offset in text at which token i ends
+	attempt uint32   // the newest one
 	done    bool
 }
 
-// Begin makes attempt the current one. Pieces of older ones are dropped from
-// now on: a late piece of an abandoned attempt may come from another engine,
-// whose text need not match.
+// Begin makes attempt the current one, unless a newer one is. Pieces of older
+// attempts are dropped from then on: a late piece of an abandoned attempt may
+// come from another engine, whose text can differ.
 func (a *Assembly) Begin(attempt uint32) { a.attempt = max(a.attempt, attempt) }
 
-// Add takes the piece at offset. A piece of a newer attempt than the current
-// one begins that attempt.
+// Add adds the piece at offset. A piece of a newer attempt than the current one
+// makes that attempt the current one.
 func (a *Assembly) Add(attempt uint32, offset int, text string) Result {
 	if attempt < a.attempt {
 		return Stale
@@ -52,8 +52,9 @@
 	return Appended
 }
 
-// compare guards against an engine that did not continue the text it was
-// given: its later pieces would be joined to a text they don't belong to.
+// compare checks a repeated piece against the assembled one. They differ when an
+// engine did not continue the text it was given; its later pieces must not be
+// appended to that text.
 func (a *Assembly) compare(offset int, text string) Result {
 	if a.Token(offset) != text {
 		return Diverged
@@ -61,7 +62,8 @@
 	return Duplicate
 }
 
-// Done takes an attempt's end, which gives the whole answer's length in tokens.
+// Done handles the end of an attempt, which states the length of the complete
+// answer in tokens.
 func (a *Assembly) Done(attempt uint32, length int) Result {
 	switch {
 	case attempt < a.attempt:
@@ -76,16 +78,16 @@
 	return Complete
 }
 
-// Len returns how many tokens are there, which is the offset of the next one.
+// Len returns the number of tokens so far, which is the offset of the next one.
 func (a *Assembly) Len() int { return len(a.ends) }
 
-// Bytes returns the memory that the answer holds.
+// Bytes returns the memory allocated for the answer.
 func (a *Assembly) Bytes() int { return a.text.Cap() + 4*cap(a.ends) }
 
 // Complete reports whether the answer is complete.
 func (a *Assembly) Complete() bool { return a.done }
 
-// Attempt returns the newest attempt seen.
+// Attempt returns the number of the newest attempt.
 func (a *Assembly) Attempt() uint32 { return a.attempt }
 
 // Text returns the text so far without copying it.
@@ -100,7 +102,7 @@
 	return a.text.String()[start:a.ends[offset]]
 }
 
-// From yields the tokens from offset on with their offsets.
+// From yields the tokens from offset on, with their offsets.
 func (a *Assembly) From(offset int) iter.Seq2[int, string] {
 	return func(yield func(int, string) bool) {
 		for i := max(offset, 0); i < len(a.ends); i++ {
--- a/internal/request/assembly_test.go
+++ b/internal/request/assembly_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// The caller would read an answer with a hole, a repeat or another engine's
-// words in it. Pieces come out of order, twice and from an attempt that was
-// given up, because connections are replaced while the old one still delivers.
-// Only the next piece of the newest attempt may be appended.
+// Guards against an answer with missing, repeated or foreign tokens. Pieces arrive
+// out of order, twice, and from an abandoned attempt, because a connection may
+// still deliver after it has been replaced. Only the next piece of the newest
+// attempt may be appended.
 func TestAssemblyAppendsEachTokenOnce(t *testing.T) {
 	var a Assembly
 	assert.Equal(t, a.Add(1, 0, "a"), Appended)
@@ -38,9 +38,9 @@
 	assert.Equal(t, a.Add(1, 1, "y"), Overflow)
 }
 
-// Each pair of input bytes is a piece or an end: an attempt, of which odd
-// ones tell the truth and even ones garbage, and an offset. An even attempt is
-// begun only to be replaced before it delivers, as a life does.
+// Each pair of input bytes is an attempt number and an offset, where 255 is the end
+// of the answer. Odd attempts send the correct tokens. Even ones send garbage, but
+// are replaced before their pieces arrive, as a Lifecycle does.
 func FuzzAssembly(f *testing.F) {
 	f.Add([]byte{1, 0, 1, 1, 1, 2})
 	f.Add([]byte{1, 0, 3, 5, 2, 1, 3, 1, 1, 1, 3, 255})
@@ -74,7 +74,7 @@
 	})
 }
 
-// One token of a 4096-token answer.
+// Adds one token to an answer of 4,096 tokens.
 func BenchmarkAssemblyAdd(b *testing.B) {
 	b.ReportAllocs()
 	var a *Assembly
--- a/internal/request/begin_result.go
+++ b/internal/request/begin_result.go
@@ -1,16 +1,16 @@
 package request
 
-// BeginResult says how a request met the table.
+// BeginResult is the result of Table.Begin.
 type BeginResult uint8
 
-// The ways to meet.
+// The results of Table.Begin.
 const (
 	// Created: the request is new.
 	Created BeginResult = iota
-	// Attached: the same request is there, running or finished.
+	// Attached: the same request is in the table, running or finished.
 	Attached
 	// Conflict: the key is in use for another body.
 	Conflict
-	// Full: the table holds as many live requests as it may.
+	// Full: the table is at its limit of live requests.
 	Full
 )
--- a/internal/request/candidate.go
+++ b/internal/request/candidate.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Candidate is a request that a leaving daemon may have to hand over.
+// Candidate is a request that a daemon may have to hand over before it shuts
+// down.
 type Candidate struct {
 	Ref       Ref
 	Cost      int           // tokens that would be recomputed without a hand-over
-	Remaining time.Duration // estimate until its answer is whole
+	Remaining time.Duration // estimated time until its answer is complete
 }
--- a/internal/request/digest.go
+++ b/internal/request/digest.go
@@ -1,5 +1,5 @@
 package request
 
-// Digest is a SHA-256 of a request's body, so that a key reused with another
-// body is told apart from a repeat.
+// Digest is the SHA-256 of a request's body. It distinguishes a retry of a
+// request from another request that reuses its idempotency key.
 type Digest [32]byte
--- a/internal/request/doc.go
+++ b/internal/request/doc.go
@@ -1,9 +1,10 @@
-// Package request decides the life of an accepted request: which attempts it
-// gets, how its answer is put together from their pieces, when it is given up
-// and with which verdict, and who may dispatch it while daemons leave.
+// Package request holds the state machines of an accepted request: which
+// attempts are made, how the answer is assembled from their pieces, when the
+// request fails and with which verdict, and which daemon may dispatch it while
+// daemons shut down and hand their requests over.
 //
-// Everything here is a plain value without locks, clocks or I/O. Methods take
-// the time and an event and return actions; the caller serialises them.
+// Nothing here locks, reads a clock or does I/O. Methods take the time and an
+// event and return the actions to take; the caller serialises the calls.
 package request
 
 import "github.com/zeebo/errs"
--- a/internal/request/entry.go
+++ b/internal/request/entry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Entry is a request that a Table knows.
+// Entry is a request in a Table.
 type Entry struct {
 	Ref       Ref
 	Digest    Digest
@@ -10,8 +10,8 @@
 
 	finishedAt time.Time // zero while live
 	bytes      int
-	newer      *Entry // finished later
+	newer      *Entry // the entry that finished next
 }
 
-// Finished reports whether Table.Finish was called for it.
+// Finished reports whether Table.Finish was called for the request.
 func (e *Entry) Finished() bool { return !e.finishedAt.IsZero() }
--- a/internal/request/failure.go
+++ b/internal/request/failure.go
@@ -11,21 +11,22 @@
 
 // The kinds of failure.
 const (
-	// Reset: the connection broke, or the stream ended without its end mark.
+	// Reset: the connection broke, or the stream ended without its end marker.
 	Reset FailureKind = iota
 	// Dial: no connection could be made; nothing was written.
 	Dial
-	// Silent: nothing came for longer than the progress deadline.
+	// Silent: no piece arrived within Policy's timeout.
 	Silent
-	// NotFound: the engine does not know the stream.
+	// NotFound: the engine has no such stream.
 	NotFound
-	// Unavailable: the endpoint answered that it can't serve now.
+	// Unavailable: the endpoint answered that it can't serve the request now.
 	Unavailable
-	// EngineLeaving: the endpoint ended the attempt because it is leaving.
+	// EngineLeaving: the endpoint ended the attempt because it is shutting down.
 	EngineLeaving
 	// NoEndpoint: routing found no endpoint; nothing was written.
 	NoEndpoint
-	// Quarantined: the request crashes the engines that run it; nothing was written.
+	// Quarantined: the request crashes the engines that run it; nothing was
+	// written.
 	Quarantined
 	// Contradiction: the attempt's pieces contradict the answer so far.
 	Contradiction
@@ -40,13 +41,14 @@
 	return "unknown"
 }
 
-// nothingSent reports whether the kind itself proves that nothing left.
+// nothingSent reports whether the kind alone proves that nothing of the request
+// was sent.
 func (k FailureKind) nothingSent() bool { return k == Dial || k == NoEndpoint || k == Quarantined }
 
-// Failure is the end of an attempt without its answer.
+// Failure is the end of an attempt without a complete answer.
 type Failure struct {
 	Attempt    uint32
 	Kind       FailureKind
 	Verdict    verdict.Verdict // of this attempt alone
-	RetryAfter time.Duration   // from the endpoint's answer, 0 where it gave none
+	RetryAfter time.Duration   // from the endpoint's answer, 0 if absent
 }
--- a/internal/request/handover.go
+++ b/internal/request/handover.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// Handover decides in which order a leaving daemon hands its requests over, to
-// whom, and what becomes of those whose offer is refused or unanswered.
+// Handover is the hand-over of all requests of a daemon that is shutting down. It
+// decides in which order they are offered, to which successors, and what happens
+// if an offer is refused or unanswered.
 //
-// What costs most to recompute goes first: if the daemon dies early, the least
-// is lost. A refused request goes to the next successor. An unanswered one is
-// offered to the same successor again; it goes elsewhere under a higher number
-// only when two holders could not run it twice.
+// Requests that are the most expensive to recompute go first, so that the least
+// is lost if the daemon ends early. A refused request is offered to the next
+// successor. An unanswered offer is resent to the same successor; the request is
+// offered to another one, under a higher number, only if two holders can't run it
+// twice.
 type Handover struct {
 	policy      HandoverPolicy
 	self        Member
 	members     []Member
-	endsAt      time.Time // when this daemon ends, zero until Leave
+	endsAt      time.Time // when this daemon has to end; zero before Leave
 	items       map[Ref]*item
-	queue       []*item // most expensive first
-	inFlight    []*item // offering or preparing
+	queue       []*item // the most expensive first
+	inFlight    []*item // being prepared or offered
 	withdrawals []withdrawal
 }
 
-// NewHandover returns the hand-over of daemon self, which has not begun.
+// NewHandover returns a hand-over for daemon self. Leave starts it.
 func NewHandover(self Member, policy HandoverPolicy) *Handover {
 	return &Handover{policy: policy, self: self, items: make(map[Ref]*item)}
 }
 
-// Leave begins the hand-over, to be over by then. A second notice can only
-// bring the end forward.
+// Leave starts the hand-over, which has to be complete at time by. Another call
+// can only make that earlier.
 func (h *Handover) Leave(by time.Time) {
 	if h.endsAt.IsZero() || by.Before(h.endsAt) {
 		h.endsAt = by
 	}
 }
 
-// SetMembers replaces the daemons that may be successors.
+// SetMembers replaces the list of daemons that may be successors.
 func (h *Handover) SetMembers(members []Member) { h.members = members }
 
-// Add enters a request. One that is known is left as it is, and one that this
-// daemon does not hold is not entered: its life may not have heard yet that it
-// was released, and a second offer would make a second holder.
+// Add adds a request unless it was added before or this daemon doesn't hold it.
+// The latter happens when a request has been released but its Lifecycle hasn't
+// ended yet; a second offer would create a second holder.
 func (h *Handover) Add(c Candidate, custody *Ownership) {
 	if h.items[c.Ref] != nil || custody.State() != Holding {
 		return
@@ -60,13 +62,14 @@
 	h.queue = slices.Insert(h.queue, at, i)
 }
 
-// Open returns how many requests are still to be settled or finished.
+// Open returns the number of requests that are neither settled nor finished.
 func (h *Handover) Open() int { return len(h.items) }
 
-// Settled reports whether every request is settled and every withdrawal answered.
+// Settled reports whether all requests are settled and no withdrawal is pending.
 func (h *Handover) Settled() bool { return len(h.items) == 0 && len(h.withdrawals) == 0 }
 
-// Tick starts and repeats what is due. Call it every Repeat at the least.
+// Tick starts offers, and resends offers and withdrawals that are due. It must be
+// called at least every HandoverPolicy.ResendInterval.
 func (h *Handover) Tick(now time.Time) []HandoverAction {
 	if h.endsAt.IsZero() {
 		return nil
@@ -79,7 +82,7 @@
 	return append(out, h.resendWithdrawals(now)...)
 }
 
-// start prepares queued requests while there is room.
+// start prepares queued requests, up to the limit of requests in flight.
 func (h *Handover) start(now time.Time) []HandoverAction {
 	var out []HandoverAction
 	urgent := h.endsAt.Sub(now) <= h.policy.UrgentBefore
@@ -97,7 +100,8 @@
 	return out
 }
 
-// checkOffer sends an unanswered offer again, or loses patience with it.
+// checkOffer handles an unanswered offer: it is resent, replaced by an offer to
+// the next successor after the timeout, or ended when time is up.
 func (h *Handover) checkOffer(now time.Time, i *item) []HandoverAction {
 	switch {
 	case i.state != itemOffering:
@@ -113,15 +117,14 @@
 	return nil
 }
 
-// offerNext leaves an addressee that doesn't answer behind and goes on.
+// offerNext replaces the offer to an addressee that doesn't answer.
 func (h *Handover) offerNext(now time.Time, i *item) []HandoverAction {
 	i.unanswered = append(i.unanswered, i.offer.To)
 	return h.offer(now, i)
 }
 
-// offer sends the request to the next successor. When the round is over, the
-// request is kept for a while; if an earlier addressee may hold it, this daemon
-// must hold it under a higher number.
+// offer offers the request to the next successor. If all have been tried, the
+// request is kept until the next round.
 func (h *Handover) offer(now time.Time, i *item) []HandoverAction {
 	to, ok := i.successor(Successors(i.candidate.Ref.ID, h.self, h.members))
 	if !ok {
@@ -134,6 +137,9 @@
 	return []HandoverAction{Send{Offer: i.offer}}
 }
 
+// keep queues a request again for the next round of offers. If an addressee that
+// did not answer may hold the request, this daemon takes it back under a higher
+// number.
 func (h *Handover) keep(now time.Time, i *item) []HandoverAction {
 	out := []HandoverAction{Keep{Ref: i.candidate.Ref}}
 	if len(i.unanswered) > 0 {
@@ -146,7 +152,7 @@
 	return out
 }
 
-// settle ends a request's part in the hand-over.
+// settle ends the hand-over of a request with action o.
 func (h *Handover) settle(i *item, o HandoverAction) []HandoverAction {
 	h.removeInFlight(i)
 	i.state = itemSettled
@@ -154,7 +160,7 @@
 	return []HandoverAction{o}
 }
 
-// removeInFlight takes an item out of those in flight.
+// removeInFlight removes an item from those in flight.
 func (h *Handover) removeInFlight(i *item) {
 	if at := slices.Index(h.inFlight, i); at >= 0 {
 		h.inFlight = slices.Delete(h.inFlight, at, at+1)
--- a/internal/request/handover_action.go
+++ b/internal/request/handover_action.go
@@ -2,37 +2,41 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// HandoverAction is what a Handover wants done: one of the types below.
+// HandoverAction is something that the caller of a Handover must do: one of the
+// types below.
 type HandoverAction interface{ handoverAction() }
 
-// Prepare asks for Life.Hold, answered by Handover.Ready or NotReady.
+// Prepare asks for Lifecycle.Freeze. Its result is passed to Handover.Ready or
+// Handover.NotReady.
 type Prepare struct {
 	Ref    Ref
 	Urgent bool
 }
 
-// Send sends an offer with the request's snapshot, again where it was sent
-// before. Answer with Handover.Replied or Unsent; silence needs no event.
+// Send sends or resends an offer with the request's snapshot. Its result is passed
+// to Handover.Replied or Handover.Unsent; a missing reply needs no event.
 type Send struct{ Offer Offer }
 
-// Withdraw tells daemon To that the holder of Rank has the request. It is
-// repeated until Handover.Withdrawn.
+// Withdraw informs daemon To that Rank.Holder holds the request. It is resent
+// until Handover.Withdrawn, up to HandoverPolicy.MaxWithdrawals copies.
 type Withdraw struct {
 	Ref  Ref
 	Rank Rank
 	To   fleet.DaemonID
 }
 
-// Release asks for Life.Released: To holds the request.
+// Release asks for Lifecycle.Released: To holds the request.
 type Release struct {
 	Ref Ref
 	To  Rank
 }
 
-// Keep asks for Life.Unhold: the request goes on here for now.
+// Keep asks for Lifecycle.Unfreeze: the request continues on this daemon until it
+// is offered again.
 type Keep struct{ Ref Ref }
 
-// GiveUp asks for Life.Lost: nobody can tell any more whether it was taken.
+// GiveUp asks for Lifecycle.OutcomeUnknown: whether the request was taken can't be
+// found out any more.
 type GiveUp struct{ Ref Ref }
 
 func (Prepare) handoverAction()  {}
--- a/internal/request/handover_event.go
+++ b/internal/request/handover_event.go
@@ -7,7 +7,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Ready says that the request is held. Repeatable is Snapshot.Repeatable.
+// Ready handles the success of a Prepare: the request's Lifecycle is frozen.
+// safeToDuplicate is the result of Snapshot.SafeToDuplicate.
 func (h *Handover) Ready(now time.Time, ref Ref, safeToDuplicate bool) []HandoverAction {
 	i := h.items[ref]
 	if i == nil || i.state != itemPreparing {
@@ -20,7 +21,8 @@
 	return h.offer(now, i)
 }
 
-// NotReady says that Life.Hold refused; the request is asked again after a pause.
+// NotReady handles the failure of a Prepare: Lifecycle.Freeze returned false. The
+// request is prepared again after a pause.
 func (h *Handover) NotReady(now time.Time, ref Ref) {
 	i := h.items[ref]
 	if i == nil || i.state != itemPreparing {
@@ -31,7 +33,7 @@
 	h.enqueue(i)
 }
 
-// Replied takes an answer to an offer.
+// Replied handles the reply to an offer.
 func (h *Handover) Replied(now time.Time, r Reply) []HandoverAction {
 	i := h.items[r.Offer.Ref]
 	if i == nil || i.state != itemOffering || r.Offer != i.offer {
@@ -49,8 +51,8 @@
 	return h.released(now, i)
 }
 
-// addresseeGone: the daemon that was offered the request has ended, and nobody
-// is left to tell whether it had taken it.
+// addresseeGone handles the end of the daemon that the request was offered to.
+// Whether it had taken the request can't be found out any more.
 func (h *Handover) addresseeGone(now time.Time, i *item) []HandoverAction {
 	if i.safeToDuplicate {
 		return h.offerNext(now, i)
@@ -58,8 +60,7 @@
 	return h.settle(i, GiveUp{Ref: i.candidate.Ref})
 }
 
-// Unsent says that nothing of the offer left this process, in none of its
-// copies.
+// Unsent handles an offer of which nothing was sent, in none of its copies.
 func (h *Handover) Unsent(now time.Time, o Offer) []HandoverAction {
 	i := h.items[o.Ref]
 	if i == nil || i.state != itemOffering || o != i.offer || !i.ownership.Unsent(o.Number) {
@@ -68,8 +69,8 @@
 	return h.offer(now, i)
 }
 
-// Learned takes the rank of a holder from the directory or a withdrawal, before
-// or after Holdings.Withdraw.
+// Learned handles the rank of a holder, received from the directory or in a
+// withdrawal. It may be called before or after OwnershipTable.Withdraw.
 func (h *Handover) Learned(now time.Time, ref Ref, r Rank) []HandoverAction {
 	i := h.items[ref]
 	if i == nil {
@@ -85,8 +86,8 @@
 	return h.released(now, i)
 }
 
-// released settles a request whose holder is known, and withdraws all others
-// that may hold it.
+// released settles a request whose holder is known, and withdraws all other
+// daemons that may hold it.
 func (h *Handover) released(now time.Time, i *item) []HandoverAction {
 	holder := i.ownership.Holder()
 	out := h.withdraw(now, i, holder)
@@ -94,7 +95,7 @@
 	return append(out, h.settle(i, Release{Ref: i.candidate.Ref, To: holder})...)
 }
 
-// Finished says that the request ended here.
+// Finished handles the end of a request on this daemon.
 func (h *Handover) Finished(ref Ref) {
 	i := h.items[ref]
 	if i == nil {
@@ -112,7 +113,7 @@
 	}
 }
 
-// withdraw tells the unanswered addressees who holds the request.
+// withdraw sends holder to all addressees that have not answered.
 func (h *Handover) withdraw(now time.Time, i *item, holder Rank) []HandoverAction {
 	var out []HandoverAction
 	for _, d := range i.unanswered {
@@ -146,9 +147,10 @@
 	return out
 }
 
-// Withdrawn takes the answer to a withdrawal: the holder that its addressee
-// knew before. Where the addressee had passed the request on, two branches of
-// transfers have met: of their two holders the lower is withdrawn in its turn.
+// Withdrawn handles the answer to a withdrawal, which is the holder that its
+// addressee had recorded before. If that is a third daemon, the addressee had
+// handed the request over as well, so two daemons hold it; the one of the lower
+// rank is withdrawn in turn.
 func (h *Handover) Withdrawn(now time.Time, w Withdraw, before Rank) []HandoverAction {
 	count := len(h.withdrawals)
 	h.withdrawals = slices.DeleteFunc(h.withdrawals, func(p withdrawal) bool { return p.message == w })
--- a/internal/request/handover_item.go
+++ b/internal/request/handover_item.go
@@ -16,18 +16,18 @@
 	itemSettled
 )
 
-// item is one request of a Handover.
+// item is the state of one request in a Handover.
 type item struct {
 	candidate       Candidate
 	ownership       *Ownership
 	state           itemState
-	safeToDuplicate bool // a second holder can't run it twice
-	notBefore       time.Time
+	safeToDuplicate bool      // two holders can't run it twice
+	notBefore       time.Time // of the next Prepare
 	offer           Offer
-	firstSent       time.Time
-	lastSent        time.Time
-	tried           []fleet.DaemonID // offered to in this round
-	unanswered      []fleet.DaemonID // may hold it under a lower number
+	firstSent       time.Time        // of the current offer
+	lastSent        time.Time        // newest copy of it
+	tried           []fleet.DaemonID // addressees of offers in this round
+	unanswered      []fleet.DaemonID // addressees that may hold it under a lower number
 }
 
 // successor returns the best daemon that this round has not tried.
@@ -40,7 +40,7 @@
 	return "", false
 }
 
-// withdrawal is a Withdraw that has not been answered.
+// withdrawal is an unanswered Withdraw.
 type withdrawal struct {
 	message  Withdraw
 	resendAt time.Time
--- a/internal/request/handover_machine_test.go
+++ b/internal/request/handover_machine_test.go
@@ -12,10 +12,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// requestState is what one daemon has of one request.
+// requestState is the state of one request on one daemon.
 type requestState struct{ alive, held, dispatched, finished, gaveUp bool }
 
-// node is one daemon.
+// node is a simulated daemon.
 type node struct {
 	id       fleet.DaemonID
 	holdings *OwnershipTable
@@ -30,26 +30,26 @@
 	return n.states[r]
 }
 
-// message is on its way; exactly one of the pointers is set.
+// message is a message in transit; exactly one of the pointers is set.
 type message struct {
 	to         fleet.DaemonID
 	offer      *Offer
-	dispatched bool // of the snapshot
+	dispatched bool // the offered snapshot says that the request was dispatched
 	reply      *Reply
 	withdraw   *Withdraw
-	from       fleet.DaemonID // who withdraws
+	from       fleet.DaemonID // sender of withdraw
 	withdrawn  *Withdraw
 	before     Rank
 }
 
-// network is daemons, requests and the messages between them.
+// network simulates daemons, their requests and the messages between them.
 type network struct {
 	now        time.Time
 	nodes      []*node
 	idempotent map[Ref]bool
 	dispatches map[Ref]int
 	inTransit  []message
-	copies     map[Offer]int // that may arrive
+	copies     map[Offer]int // copies of each offer that were sent
 	lossy      bool
 }
 
@@ -157,7 +157,7 @@
 	}
 }
 
-// dispatch makes a new attempt where the daemon believes that it may.
+// dispatch makes a new attempt if the daemon's ownership allows it.
 func (w *network) dispatch(n *node, ref Ref) {
 	p := n.state(ref)
 	c := n.holdings.Get(ref)
@@ -178,7 +178,8 @@
 	}
 }
 
-// undispatchedHolders counts the daemons that might dispatch the request for the first time.
+// undispatchedHolders counts the daemons that may dispatch the request for the
+// first time.
 func (w *network) undispatchedHolders(ref Ref) int {
 	count := 0
 	for _, n := range w.nodes {
@@ -190,11 +191,11 @@
 	return count
 }
 
-// Daemons hand requests over while offers, answers and withdrawals get lost,
-// doubled and delayed at will, successors are full or leave as well, and
-// notices come twice. A non-idempotent request is never dispatched twice. Once
-// the network works again, each request has ended with a verdict or an answer,
-// or exactly one daemon holds it, which is not a leaving one.
+// Daemons hand requests over while offers, replies and withdrawals are lost,
+// duplicated and delayed, successors are full or leave as well, and notices are
+// repeated. A non-idempotent request must never be dispatched twice. Once the
+// network is reliable, each request must have ended with an answer or a verdict,
+// or be held by exactly one daemon that is not leaving.
 func TestHandoverOverAnUnreliableNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &network{now: t0, idempotent: map[Ref]bool{}, dispatches: map[Ref]int{}, copies: map[Offer]int{}, lossy: true}
@@ -260,7 +261,7 @@
 	}
 }
 
-// settle lets the network work until everything is settled.
+// settle runs a reliable network for 75 s, in which every hand-over ends.
 func (w *network) settle(t *rapid.T) {
 	w.lossy = false
 	for range 300 {
--- a/internal/request/handover_policy.go
+++ b/internal/request/handover_policy.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// HandoverPolicy bounds a Handover.
+// HandoverPolicy sets the limits and intervals of a Handover.
 type HandoverPolicy struct {
-	MaxInFlight    int           // offers that wait for an answer at once
-	ResendInterval time.Duration // between copies of an offer or withdrawal
-	ReplyTimeout   time.Duration // without an answer, before a higher number is used
-	RetryPause     time.Duration // before a refused request is offered again
-	ShortRemaining time.Duration // requests with less remaining are left to finish
-	UrgentBefore   time.Duration // before the end, when short ones go as well
-	MaxWithdrawals int           // copies of a withdrawal at most
+	MaxInFlight    int           // requests being prepared or offered at once
+	ResendInterval time.Duration // between copies of an offer or a withdrawal
+	ReplyTimeout   time.Duration // without a reply, until the request is offered to another successor
+	RetryPause     time.Duration // before a request that all successors refused is offered again
+	ShortRemaining time.Duration // requests with less time remaining are left to finish
+	UrgentBefore   time.Duration // before the daemon's end, when short requests are handed over as well
+	MaxWithdrawals int           // copies of a withdrawal
 }
 
-// DefaultHandoverPolicy suits daemons a few milliseconds apart and notices of
-// 30 s or more.
+// DefaultHandoverPolicy suits daemons with a few milliseconds between them and a
+// notice of 30 s or more before a shutdown.
 func DefaultHandoverPolicy() HandoverPolicy {
 	return HandoverPolicy{
-		MaxInFlight:    64,                     // some MB of snapshots at once
-		ResendInterval: 250 * time.Millisecond, // a hundred round trips
-		ReplyTimeout:   2 * time.Second,        // eight copies; a member that is silent for longer is suspected anyway
-		RetryPause:     time.Second,            // until membership may have changed
-		ShortRemaining: 3 * time.Second,        // a hand-over disturbs its caller more than waiting
-		UrgentBefore:   5 * time.Second,        // two rounds of patience
-		MaxWithdrawals: 40,                     // ten seconds; the directory tells later ones
+		MaxInFlight:    64,                     // a few MB of snapshots
+		ResendInterval: 250 * time.Millisecond, // about a hundred round trips
+		ReplyTimeout:   2 * time.Second,        // eight copies; membership suspects a daemon that is unresponsive for longer
+		RetryPause:     time.Second,            // enough for membership to change
+		ShortRemaining: 3 * time.Second,        // a hand-over would disturb the caller more than the wait
+		UrgentBefore:   5 * time.Second,        // two reply timeouts and some slack
+		MaxWithdrawals: 40,                     // for ten seconds; after that daemons get the holder from the directory
 	}
 }
--- a/internal/request/handover_test.go
+++ b/internal/request/handover_test.go
@@ -36,9 +36,9 @@
 	assert.DeepEqual(t, Successors("r", self, members), []fleet.DaemonID{"far", "near"})
 }
 
-// A daemon dies earlier than announced: what it has not handed over is
-// recomputed. So the most expensive goes first, short ones are left to finish
-// until the end is near, and a second notice that is earlier brings that forward.
+// A daemon may end earlier than announced, and what it has not handed over is
+// recomputed. So the most expensive requests go first, short ones are left to
+// finish until the end is near, and an earlier second notice moves that forward.
 func TestHandoverStartsWithTheMostExpensive(t *testing.T) {
 	h := newLeavingHandover(2, 10, 3000, 200)
 	h.Add(Candidate{Ref: ref("short"), Cost: 9000, Remaining: time.Second}, Accept("self"))
@@ -54,8 +54,8 @@
 	assert.DeepEqual(t, h.Tick(t0), []HandoverAction{Prepare{Ref: ref("short"), Urgent: true}})
 }
 
-// Two daemons would hold the request: its successor has it, and the running
-// answer here is entered once more before it has heard that it was released.
+// Guards against two daemons holding a request: the successor has taken it, and the
+// origin adds it to the hand-over again before its Lifecycle was released.
 func TestReleasedRequestIsNotOfferedAgain(t *testing.T) {
 	h := newLeavingHandover(1)
 	c := Accept("self")
@@ -69,9 +69,10 @@
 	assert.Equal(t, c.Offer("near"), uint64(0))
 }
 
-// The dealer would get two orders: the offer of an order that has not been
-// dispatched is not answered, then the successor restarts and knows nothing of
-// it. Its former run may have dispatched. The request must not go to another.
+// Guards against a non-idempotent request that runs twice. The offer of a request
+// that has not been dispatched is unanswered, then the successor restarts without
+// a record of it. Its former run may have dispatched the request, so it must not be
+// offered to another daemon.
 func TestUndispatchedNonIdempotentIsNotOfferedTwice(t *testing.T) {
 	h := newLeavingHandover(1, 1)
 	h.Tick(t0)
@@ -88,9 +89,9 @@
 	assert.Assert(t, h.Settled())
 }
 
-// One hand-over of 1,000 requests with log-normal costs, all taken at once. The
-// metric is the share of tokens that would be recomputed if the daemon died
-// half-way; in order of arrival it would be a half.
+// Hands over 1,000 requests with log-normal costs, all taken at once. lost-share is
+// the share of tokens to be recomputed if the daemon ended half-way; in order of
+// arrival it would be a half.
 func BenchmarkHandover(b *testing.B) {
 	b.ReportAllocs()
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/request/lifecycle.go
+++ b/internal/request/lifecycle.go
@@ -8,14 +8,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// maxAvoid bounds the endpoints a request remembers as bad; the oldest is
-// forgotten first, since it has had the longest to recover.
+// maxAvoid limits the endpoints that a request avoids. The oldest is removed
+// first, since it had the most time to recover.
 const maxAvoid = 8
 
-// Lifecycle decides one request from its acceptance to its end. An idempotent
-// request that lost its stream is continued on another engine; a
-// non-idempotent one leaves this process at most once and is only resumed
-// after that. Make one with NewLife or Adopt.
+// Lifecycle is the state machine of one request, from its acceptance to its end.
+// An idempotent request whose stream is lost is continued on another engine. A
+// non-idempotent one is sent at most once; after that its stream can only be
+// resumed. NewLifecycle and Adopt create one.
 type Lifecycle struct {
 	spec   Spec
 	policy Policy
@@ -24,55 +24,57 @@
 
 	phase          phase
 	attempt        uint32
-	charged        int // dispatches that count towards MaxAttempts
-	resumes        int // in a row without a new piece
-	unproven       int // dispatches that are not proved to be not run
-	accepted       bool
-	dispatchedHere bool // this Life made the newest dispatch itself
+	charged        int  // retries that count towards MaxAttempts
+	resumes        int  // consecutive ones without a new piece
+	unproven       int  // dispatches without proof that they did not run
+	accepted       bool // the caller has been informed that the request is accepted
+	dispatchedHere bool // the newest dispatch was made by this daemon
 
 	endpoint fleet.EndpointID
 	stream   string
-	leaveAt  time.Time // of endpoint, zero without a notice
-	moveTo   fleet.EndpointID
+	leaveAt  time.Time        // when endpoint leaves, zero without a notice
+	moveTo   fleet.EndpointID // target of an export in progress
 	avoid    []fleet.EndpointID
 
-	// uncharged: the endpoint was lost to a notice, so carrying on is neither
-	// charged nor bounded by attempts until the answer grows again.
+	// uncharged: the request has to move because its endpoint or daemon leaves.
+	// Until the answer grows again, dispatches are neither charged to the retry
+	// budget nor limited by MaxAttempts.
 	uncharged    bool
-	redispatched bool // a dispatch has been made since announced
+	redispatched bool // a dispatch has been made since uncharged was set
 
-	lastProgress time.Time // start of the phase or the newest piece
-	retryAt      time.Time // end of waiting
-	pauses       int
+	lastProgress time.Time // start of the phase, or time of the newest piece
+	retryAt      time.Time // end of the waiting phase
+	pauses       int       // consecutive waiting phases, for the backoff
 
 	frozen          bool
-	deferredFailure *Failure // what failed while held
+	deferredFailure *Failure // a failure while frozen, handled by Unfreeze
 }
 
-// NewLifecycle returns the life of a request that has not been dispatched.
+// NewLifecycle returns the state machine of a request that has not been
+// dispatched.
 func NewLifecycle(spec Spec, policy Policy, budget Budget) *Lifecycle {
 	return &Lifecycle{spec: spec, policy: policy, budget: budget}
 }
 
-// Spec returns what the request asked for.
+// Spec returns the request's specification.
 func (l *Lifecycle) Spec() Spec { return l.spec }
 
-// Answer returns the answer so far; read only.
+// Answer returns the answer so far, which must not be changed.
 func (l *Lifecycle) Answer() *Assembly { return &l.answer }
 
-// Ended reports whether the life needs nothing more.
+// Ended reports whether the request has ended on this daemon.
 func (l *Lifecycle) Ended() bool { return l.phase == ended }
 
-// Attempt returns the newest attempt's number.
+// Attempt returns the number of the newest attempt.
 func (l *Lifecycle) Attempt() uint32 { return l.attempt }
 
-// Endpoint returns the endpoint that runs the request, empty where none is known to.
+// Endpoint returns the endpoint that runs the request, empty if none is known.
 func (l *Lifecycle) Endpoint() fleet.EndpointID { return l.endpoint }
 
 // Stream returns the engine's stream id, empty before it is known.
 func (l *Lifecycle) Stream() string { return l.stream }
 
-// Verdict returns what could be said if the request ended now.
+// Verdict returns the verdict if the request ended now.
 func (l *Lifecycle) Verdict() verdict.Verdict {
 	switch {
 	case l.answer.Complete():
@@ -84,7 +86,7 @@
 	}
 }
 
-// Start asks for the first dispatch.
+// Start starts the first attempt.
 func (l *Lifecycle) Start(now time.Time) []Action {
 	if l.phase != idle {
 		return nil
@@ -92,18 +94,18 @@
 	return l.dispatch(now, "", "")
 }
 
-// Accepted says that the caller has been told that the request is accepted.
+// Accepted records that the caller was informed of the request's acceptance.
 func (l *Lifecycle) Accepted(time.Time) { l.accepted = true }
 
-// Dispatched says which endpoint was chosen for attempt.
+// Dispatched records the endpoint that was selected for attempt.
 func (l *Lifecycle) Dispatched(_ time.Time, attempt uint32, endpoint fleet.EndpointID) {
 	if attempt == l.attempt && l.phase == dispatching {
 		l.endpoint = endpoint
 	}
 }
 
-// Opened says that the endpoint answers attempt, with its stream id where it
-// has one. A stream that nobody waits for any more is cancelled.
+// Opened handles the start of an endpoint's answer to attempt. stream is the
+// engine's stream id, or empty. The stream of an abandoned attempt is cancelled.
 func (l *Lifecycle) Opened(now time.Time, attempt uint32, endpoint fleet.EndpointID, stream string) []Action {
 	if attempt != l.attempt || l.phase == ended {
 		return l.cancelAbandoned(endpoint, stream)
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// cancelAbandoned cancels the stream of an abandoned dispatch, but not of a
+// cancelAbandoned cancels the stream of an abandoned attempt, except for a
 // non-idempotent request (see cancelStream).
 func (l *Lifecycle) cancelAbandoned(endpoint fleet.EndpointID, stream string) []Action {
 	if stream == "" || stream == l.stream || l.spec.NonIdempotent {
@@ -123,7 +125,8 @@
 	return []Action{CancelStream{Endpoint: endpoint, Stream: stream}}
 }
 
-// Piece takes a token of the answer. It allocates nothing for the next token in order.
+// Piece handles a token of the answer. It does not allocate for a token that is
+// the next one in order, except to grow the answer's buffers.
 func (l *Lifecycle) Piece(now time.Time, attempt uint32, offset int, text string) (Result, []Action) {
 	if l.phase == ended || attempt > l.attempt {
 		return Stale, nil
@@ -142,7 +145,7 @@
 	return r, nil
 }
 
-// pieceAppended forgets the failures before the newest piece.
+// pieceAppended records progress and resets the counts of failures before it.
 func (l *Lifecycle) pieceAppended(now time.Time) {
 	l.lastProgress = now
 	l.resumes = 0
@@ -154,7 +157,7 @@
 	}
 }
 
-// Done takes attempt's end with the answer's length in tokens.
+// Done handles the end of attempt, which states the answer's length in tokens.
 func (l *Lifecycle) Done(now time.Time, attempt uint32, length int) []Action {
 	if l.phase == ended || attempt > l.attempt {
 		return nil
@@ -172,7 +175,7 @@
 	return nil
 }
 
-// Cancel ends the request because its caller asks for it.
+// Cancel ends the request at its caller's request.
 func (l *Lifecycle) Cancel(time.Time) []Action {
 	if l.phase == ended {
 		return nil
@@ -180,7 +183,7 @@
 	return l.giveUp(Cancelled, Reset, 0)
 }
 
-// dispatch opens a new attempt, on endpoint to where one is named.
+// dispatch starts a new attempt, on endpoint to unless that is empty.
 func (l *Lifecycle) dispatch(now time.Time, to fleet.EndpointID, kv string) []Action {
 	l.beginAttempt(now, dispatching)
 	l.unproven++
@@ -193,8 +196,8 @@
 	return []Action{Continue{Attempt: l.attempt, Endpoint: to, Avoid: slices.Clone(l.avoid), From: l.answer.Len(), KV: kv}}
 }
 
-// resume opens the engine's stream again. It gets a number of its own so that
-// a late failure of the connection it replaces is not taken for its own.
+// resume opens the engine's stream again. It has an attempt number of its own, so
+// that a late failure of the replaced connection is not attributed to it.
 func (l *Lifecycle) resume(now time.Time, replace bool) []Action {
 	l.resumes++
 	l.beginAttempt(now, resuming)
@@ -210,8 +213,8 @@
 	l.lastProgress = now
 }
 
-// giveUp ends the request at once: an answer held back until the deadline
-// would only keep the caller from trying elsewhere.
+// giveUp ends the request immediately: delaying the failure until the deadline
+// would only keep the caller from retrying elsewhere.
 func (l *Lifecycle) giveUp(why Reason, cause FailureKind, retryAfter time.Duration) []Action {
 	if retryAfter == 0 && (why == BudgetSpent || why == NoEndpointFound) {
 		retryAfter = l.policy.MaxPause
@@ -221,8 +224,8 @@
 	return append(out, Fail{Verdict: l.Verdict(), Reason: why, Cause: cause, RetryAfter: retryAfter})
 }
 
-// cancelStream leaves a non-idempotent request's stream alone: to stop it
-// half-way is worse than to let it end.
+// cancelStream adds the cancellation of the current stream to out, except for a
+// non-idempotent request: interrupting it is worse than letting it end.
 func (l *Lifecycle) cancelStream(out []Action) []Action {
 	if l.stream == "" || l.spec.NonIdempotent {
 		return out
--- a/internal/request/lifecycle_failure.go
+++ b/internal/request/lifecycle_failure.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Failed takes the end of an attempt without its answer. Failures of older
-// attempts are ignored: the life has moved on.
+// Failed handles the end of an attempt without a complete answer. Failures of
+// older attempts are ignored.
 func (l *Lifecycle) Failed(now time.Time, f Failure) []Action {
 	if l.phase == ended || l.phase == moving || f.Attempt != l.attempt {
 		return nil
@@ -34,7 +34,8 @@
 	return l.retry(now, f)
 }
 
-// canResume reports whether the engine may still have the stream.
+// canResume reports whether the engine may still have the stream and another
+// resume is allowed.
 func (l *Lifecycle) canResume(now time.Time, k FailureKind) bool {
 	if l.stream == "" || l.resumes >= l.policy.MaxResumes {
 		return false
@@ -45,7 +46,7 @@
 	return k == Reset || k == Dial || k == Silent || k == Unavailable
 }
 
-// retry starts over on another endpoint, waits, or gives up.
+// retry dispatches the request to another endpoint, waits, or gives up.
 func (l *Lifecycle) retry(now time.Time, f Failure) []Action {
 	l.avoidEndpoint(l.endpoint)
 	if f.Kind == EngineLeaving {
@@ -63,7 +64,8 @@
 	return append(out, l.dispatch(now, "", "")...)
 }
 
-// mustStop holds the reasons to give up. It charges the retry it allows.
+// mustStop returns whether to give up, and the reason. If not, it charges the
+// retry that it allows.
 func (l *Lifecycle) mustStop(now time.Time, f Failure) (Reason, bool) {
 	switch {
 	case l.spec.NonIdempotent && (l.unproven > 0 || !f.Kind.nothingSent()):
@@ -85,9 +87,9 @@
 	return 0, false
 }
 
-// wait pauses before the next try, twice as long each time: what an announced
-// reclaim displaced is never given up before its deadline, and must not ask
-// for an endpoint in a tight loop while none has room.
+// wait delays the next attempt with exponential backoff. A request displaced by an
+// announced reclaim is not given up before its deadline, and must not be retried
+// in a tight loop while no endpoint has capacity.
 func (l *Lifecycle) wait(now time.Time) {
 	pause := min(l.policy.MinPause<<min(l.pauses, 16), l.policy.MaxPause)
 	l.pauses++
@@ -96,8 +98,8 @@
 	l.retryAt = now.Add(pause)
 }
 
-// Tick acts on what time alone brings: the deadline, a silent stream, the end
-// of a pause. Call it at Next.
+// Tick handles the deadline, the timeouts and the end of a wait. It is to be
+// called at the time that Next returns.
 func (l *Lifecycle) Tick(now time.Time) []Action {
 	switch {
 	case l.phase == ended || l.phase == idle:
@@ -114,7 +116,7 @@
 	return l.Failed(now, Failure{Attempt: l.attempt, Kind: Silent})
 }
 
-// Next returns when Tick has something to do, zero when never.
+// Next returns when Tick has to be called next, zero for never.
 func (l *Lifecycle) Next() time.Time {
 	var at time.Time
 	switch l.phase {
--- a/internal/request/lifecycle_machine_test.go
+++ b/internal/request/lifecycle_machine_test.go
@@ -11,7 +11,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// lifecycleRun drives one life with random events and keeps what really happened.
+// lifecycleRun drives a Lifecycle with random events and records what happened.
 type lifecycleRun struct {
 	lifecycle *Lifecycle
 	now       time.Time
@@ -57,10 +57,10 @@
 	r.take(t, r.lifecycle.Failed(r.now, f))
 }
 
-// A life gets every event in any order: pieces with gaps, late failures,
-// notices, exports, transfers. Whatever comes, it ends exactly once; Finish has
-// the whole answer; not-run means that no dispatch may have arrived; and a
-// non-idempotent request leaves at most once.
+// A Lifecycle gets every event in any order: pieces with gaps, late failures,
+// notices, exports, hand-overs. It must end exactly once, Finish must come with the
+// complete answer, not-run must mean that no dispatch can have arrived, and a
+// non-idempotent request must be sent at most once.
 func TestLifecycleUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &lifecycleRun{now: t0, length: rapid.IntRange(1, 8).Draw(t, "length"), sent: map[uint32]bool{}}
--- a/internal/request/lifecycle_move.go
+++ b/internal/request/lifecycle_move.go
@@ -6,10 +6,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Notice says that endpoint leaves at leaveAt. Noticed twice is harmless. What
-// to do about it is decided over all requests of the endpoint (package
-// reclaim) and told by Move or Recompute; without either, the request stays
-// and is continued elsewhere once the endpoint is gone.
+// Notice records that endpoint leaves at leaveAt. It is idempotent. Package
+// reclaim decides for all requests of the endpoint together what to do, and calls
+// Move or Recompute. Without either, the request stays and is continued on
+// another endpoint once this one is gone.
 func (l *Lifecycle) Notice(_ time.Time, endpoint fleet.EndpointID, leaveAt time.Time) {
 	if l.phase == ended {
 		return
@@ -24,22 +24,22 @@
 	}
 }
 
-// Move exports the stream's KV cache so that to can carry on without
-// recomputing. It does nothing for a request that can't be moved: a
-// non-idempotent one, one without a stream, one that is being handed over.
+// Move exports the stream's KV cache so that endpoint to can continue without
+// recomputing. It does nothing for a request that can't be moved: one that is
+// non-idempotent, has no stream, or is being handed over.
 func (l *Lifecycle) Move(now time.Time, to fleet.EndpointID) []Action {
 	if l.phase != streaming || l.stream == "" || l.frozen || l.spec.NonIdempotent {
 		return nil
 	}
-	l.attempt++ // pieces under way still count, the stream's end does not
+	l.attempt++ // pieces of the old attempt are still accepted, its end is ignored
 	l.phase = moving
 	l.moveTo = to
 	l.lastProgress = now
 	return []Action{MoveKV{Attempt: l.attempt, From: l.endpoint, Stream: l.stream, To: to}}
 }
 
-// Exported takes the blob and all tokens that the stream had generated when
-// the export stopped it.
+// Exported handles the success of MoveKV: the id of the blob, and all tokens that
+// the engine had generated when the export stopped the stream.
 func (l *Lifecycle) Exported(now time.Time, attempt uint32, blob string, generated []string) []Action {
 	if l.phase != moving || attempt != l.attempt {
 		return nil
@@ -56,7 +56,7 @@
 	return l.dispatch(now, l.moveTo, blob)
 }
 
-// MoveFailed says that the export did not succeed: the target recomputes.
+// MoveFailed handles the failure of MoveKV: the target recomputes.
 func (l *Lifecycle) MoveFailed(now time.Time, attempt uint32) []Action {
 	if l.phase != moving || attempt != l.attempt {
 		return nil
@@ -66,8 +66,8 @@
 	return append(out, l.dispatch(now, l.moveTo, "")...)
 }
 
-// Recompute continues on another engine, to where it is named, without waiting
-// for the end of the one that runs it.
+// Recompute continues the request on another engine, which is to unless that is
+// empty, without waiting for the end of the one that runs it.
 func (l *Lifecycle) Recompute(now time.Time, to fleet.EndpointID) []Action {
 	if l.frozen || l.spec.NonIdempotent || (l.phase != streaming && l.phase != resuming && l.phase != dispatching) {
 		return nil
--- a/internal/request/lifecycle_test.go
+++ b/internal/request/lifecycle_test.go
@@ -12,7 +12,7 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-// noRetries is a budget without a token.
+// noRetries is a budget that allows no retry.
 type noRetries struct{}
 
 func (noRetries) Take(time.Time) bool { return false }
@@ -20,7 +20,8 @@
 
 func token(i int) string { return fmt.Sprint(i, " ") }
 
-// streamingLifecycle returns a life with n tokens read from stream s1 of engine e1.
+// streamingLifecycle returns a Lifecycle with n tokens read from stream s1 of
+// engine e1.
 func streamingLifecycle(t *testing.T, nonIdempotent bool, b Budget, n int) *Lifecycle {
 	t.Helper()
 	l := NewLifecycle(Spec{NonIdempotent: nonIdempotent, Deadline: t0.Add(time.Minute)}, DefaultPolicy(), b)
@@ -35,10 +36,10 @@
 	return l
 }
 
-// The caller sees its answer stop for ever: the connection to a healthy engine
-// went silent in the middle. The life reads the engine's stream again on a new
-// connection; the old connection's own failure comes late and must not count.
-// Only when new connections fail as well does another engine recompute.
+// Guards against an answer that stops because the connection to a healthy engine
+// stalls. The engine's stream must be read again on a new connection, and the late
+// failure of the old connection must be ignored. Only when new connections fail as
+// well is the answer recomputed on another engine.
 func TestSilentStreamIsResumedBeforeRecomputed(t *testing.T) {
 	l := streamingLifecycle(t, false, NewRetryBudget(0.1, 3), 5)
 	now := l.Next()
@@ -59,8 +60,8 @@
 	assert.DeepEqual(t, string(again.Avoid[0]), "e1")
 }
 
-// The caller would miss a word: a piece got lost between the engine and us.
-// The stream is read again from the first missing one.
+// A piece is lost between the engine and the daemon. The stream must be read again
+// from the first missing piece.
 func TestStreamIsReadAgainFromAGap(t *testing.T) {
 	l := streamingLifecycle(t, false, noRetries{}, 2)
 	r, actions := l.Piece(t0, 1, 3, token(3))
@@ -71,10 +72,10 @@
 	assert.Equal(t, len(actions), 0)
 }
 
-// A mechanic loses a long diagnosis because its engine was reclaimed while
-// retries were throttled. What an announced reclaim displaced is carried on
-// without a token of the budget, and waits for an endpoint while there is none.
-// Without the notice the same loss is charged, and given up at once.
+// Guards against losing a long answer because its engine is reclaimed while the
+// retry budget is spent. A request displaced by an announced reclaim is continued
+// without charging the budget, and waits while there is no endpoint. The same
+// failure without a notice is charged, so the request ends immediately.
 func TestAnnouncedReclaimIsNotCharged(t *testing.T) {
 	l := streamingLifecycle(t, false, noRetries{}, 3)
 	l.Notice(t0, "e1", t0.Add(time.Second))
@@ -94,9 +95,9 @@
 	assert.DeepEqual(t, actions[1], Fail{Reason: BudgetSpent, Cause: NotFound, RetryAfter: time.Second})
 }
 
-// A dealer would pay for two orders: the connection of the only dispatch
-// breaks after the request was written. It must not be sent again. A
-// connection that was never made sent nothing, so another endpoint may get it.
+// Guards against a non-idempotent request that runs twice: the connection breaks
+// after the request was written, so it must not be sent again. If no connection was
+// made, nothing was sent, and another endpoint may be tried.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	spec := Spec{NonIdempotent: true, Deadline: t0.Add(time.Minute)}
 	l := NewLifecycle(spec, DefaultPolicy(), NewRetryBudget(0.1, 3))
@@ -115,9 +116,9 @@
 	})
 }
 
-// The caller would wait for tokens that were computed already: a KV export
-// stops the stream, its last pieces overtake the blob or come after it. All
-// tokens count once, and the target goes on after them.
+// Guards against recomputing tokens after a KV export, which stops the stream while
+// its last pieces may arrive before the blob or after it. Every token must be
+// counted once, and the target must continue after the last one.
 func TestExportKeepsEveryToken(t *testing.T) {
 	l := streamingLifecycle(t, false, noRetries{}, 2)
 	l.Notice(t0, "e1", t0.Add(time.Minute))
@@ -133,12 +134,12 @@
 	l = streamingLifecycle(t, false, noRetries{}, 2)
 	l.Move(t0, "e2")
 	actions = l.Exported(t0, 2, "blob", []string{token(0)})
-	assert.DeepEqual(t, actions[1], Continue{Attempt: 3, Endpoint: "e2", From: 2}) // recomputes
+	assert.DeepEqual(t, actions[1], Continue{Attempt: 3, Endpoint: "e2", From: 2}) // the export lacks a token, so the target recomputes
 }
 
-// A request that is being handed over would be dispatched by two daemons: its
-// stream breaks while the offer is out. Nothing new starts until the successor
-// has refused; then the failure is acted on.
+// Guards against a request that two daemons dispatch: its stream breaks while it is
+// offered to a successor. No attempt may start until the successor has refused;
+// then the failure is handled.
 func TestFrozenRequestStartsNoAttempt(t *testing.T) {
 	l := streamingLifecycle(t, false, NewRetryBudget(0.1, 3), 2)
 	s, ok := l.Freeze(t0, false)
--- a/internal/request/lifecycle_transfer.go
+++ b/internal/request/lifecycle_transfer.go
@@ -7,14 +7,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Freeze freezes the request for a transfer and returns what the successor
-// needs. Until Unhold no new attempt starts: the successor may hold the
-// request already. Pieces of the running one are still taken.
+// Freeze prepares the request for a hand-over and returns the snapshot that the
+// successor needs. Until Unfreeze no new attempt starts, since the successor may
+// already hold the request. Pieces of the current attempt are still accepted.
 //
-// It reports false for a request that must not move now: one that has ended,
-// an export under way, and a dispatch that has not been answered, whose stream
-// the successor could not resume. With urgent set, an idempotent request moves
-// in spite of an unanswered dispatch.
+// It returns false if the request can't be handed over now: it has ended, an
+// export is in progress, or a dispatch is unanswered, so that the successor would
+// have no stream to resume. If urgent is set, an idempotent request is frozen in
+// spite of an unanswered dispatch.
 func (l *Lifecycle) Freeze(_ time.Time, urgent bool) (Snapshot, bool) {
 	switch l.phase {
 	case ended, moving:
@@ -36,8 +36,8 @@
 	return s
 }
 
-// Unfreeze says that no successor has the request: it goes on here, with
-// whatever failed meanwhile.
+// Unfreeze continues the request on this daemon because no successor has taken it.
+// A failure since Freeze is handled now.
 func (l *Lifecycle) Unfreeze(now time.Time) []Action {
 	if !l.frozen || l.phase == ended {
 		return nil
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Released ends the life here because daemon to holds the request now.
+// Released ends the request on this daemon because daemon to holds it now.
 func (l *Lifecycle) Released(_ time.Time, to fleet.DaemonID) []Action {
 	if l.phase == ended {
 		return nil
@@ -59,9 +59,9 @@
 	return []Action{Transfer{To: to}}
 }
 
-// Withdrawn ends the life here because daemon to holds the request under a
-// higher transfer number. A stream of this life's own dispatch is cancelled:
-// the other holder doesn't know it.
+// Withdrawn ends the request on this daemon because daemon to holds it under a
+// higher rank. The stream of a dispatch made here is cancelled, since the other
+// holder has no record of it.
 func (l *Lifecycle) Withdrawn(now time.Time, to fleet.DaemonID) []Action {
 	if l.phase == ended {
 		return nil
@@ -73,8 +73,8 @@
 	return append(out, l.Released(now, to)...)
 }
 
-// OutcomeUnknown ends the life here because the successor's answer never came and the
-// successor may have run it.
+// OutcomeUnknown ends the request on this daemon because the successor did not
+// reply and may have run it.
 func (l *Lifecycle) OutcomeUnknown(time.Time) []Action {
 	if l.phase == ended {
 		return nil
@@ -83,9 +83,9 @@
 	return []Action{Fail{Verdict: verdict.MayHaveRun, Reason: HandoverUnanswered, Cause: Silent}}
 }
 
-// Adopt carries on a request that another daemon handed over. The engine's
-// stream is resumed where there is one; a new dispatch is made only where that
-// cannot run a non-idempotent request twice.
+// Adopt continues a request that another daemon handed over. The engine's stream
+// is resumed if there is one. Otherwise the request is dispatched again, unless
+// that could run a non-idempotent request twice.
 func Adopt(now time.Time, s Snapshot, p Policy, b Budget) (*Lifecycle, []Action) {
 	l := NewLifecycle(s.Spec, p, b)
 	l.accepted = true
--- a/internal/request/offer.go
+++ b/internal/request/offer.go
@@ -2,12 +2,12 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// Offer hands a request to one run of a daemon. A daemon that is not To, such
-// as the same instance after a restart, must answer NotAddressee: its
-// predecessor may have taken and run the request.
+// Offer offers a request to one run of a daemon. A daemon with another id than To,
+// for example after a restart on the same instance, must answer NotAddressee: the
+// earlier run may have taken and run the request.
 type Offer struct {
 	Ref    Ref
-	Number uint64
+	Number uint64 // of the transfer
 	From   fleet.DaemonID
 	To     fleet.DaemonID
 }
@@ -15,15 +15,15 @@
 // Answer is the answer to an Offer.
 type Answer uint8
 
-// The answers. The zero value proves nothing.
+// The answers. The zero value leaves the outcome open.
 const (
 	// NotAddressee: the offer was for another run of the daemon.
 	NotAddressee Answer = iota
-	// Taken: the callee holds the request, or has held it under this number.
+	// Taken: the addressee holds the request, or has held it under this number.
 	Taken
-	// NotTaken: the callee does not hold it and never will under this number.
+	// NotTaken: the addressee does not hold it and never will under this number.
 	NotTaken
-	// Superseded: a holder of a higher rank is known.
+	// Superseded: the addressee has recorded a holder of a higher rank.
 	Superseded
 )
 
@@ -31,5 +31,5 @@
 type Reply struct {
 	Offer  Offer
 	Answer Answer
-	Known  Rank // with Superseded
+	Known  Rank // the recorded holder, with Superseded
 }
--- a/internal/request/ownership.go
+++ b/internal/request/ownership.go
@@ -5,52 +5,52 @@
 // OwnershipState says whether a daemon may act for a request.
 type OwnershipState uint8
 
-// The states of custody.
+// The states of ownership.
 const (
-	// Absent: this daemon never held it.
+	// Absent: this daemon has never held the request.
 	Absent OwnershipState = iota
 	// Holding: this daemon may dispatch it.
 	Holding
-	// Offering: an offer is out and not settled. The successor may hold the
-	// request, so nothing may be dispatched here.
+	// Offering: an offer has been sent and its outcome is not known. The
+	// successor may hold the request, so nothing may be dispatched here.
 	Offering
 	// Released: another daemon holds it.
 	Released
 )
 
-// Ownership is one daemon's part in who holds one request. Transfers are
-// numbered; the greatest Rank holds the request. The rules:
+// Ownership is one daemon's view of which daemon holds a request. Transfers of a
+// request are numbered, and the daemon with the highest Rank holds it:
 //
-//   - An offer that may have arrived is repeated with its number until it is
-//     answered. Its daemon dispatches nothing meanwhile.
-//   - NotTaken is for good: the callee remembers the number, so that a delayed
-//     copy of the offer can't be taken after the origin went on.
-//   - Without an answer the request may be taken back or offered elsewhere
-//     under a higher number only where a second holder can't run it twice;
-//     the lower holder is withdrawn once the higher one has it.
+//   - An offer that may have arrived is resent with the same number until it is
+//     answered. Until then its sender dispatches nothing.
+//   - NotTaken is final: the addressee remembers the number, so that it doesn't
+//     take a delayed copy of the offer after the sender has continued.
+//   - Without an answer, the request may be taken back or offered to another
+//     daemon, under a higher number, only if two holders can't run it twice. The
+//     holder with the lower number is withdrawn once the other one has it.
 type Ownership struct {
 	self         fleet.DaemonID
 	state        OwnershipState
-	number       uint64         // under which this daemon holds or held it
-	offered      uint64         // the newest number offered from here
-	to           fleet.DaemonID // its addressee
-	refused      uint64         // the highest number refused here
-	highestOther Rank           // the greatest rank of another daemon
+	number       uint64         // of the transfer to this daemon; 0 if it accepted the request itself
+	offered      uint64         // number of the newest offer from this daemon
+	to           fleet.DaemonID // addressee of that offer
+	refused      uint64         // the highest number that this daemon has refused
+	highestOther Rank           // the highest known rank of another daemon
 }
 
-// Accept returns the custody of a request that self accepted from its caller.
+// Accept returns the ownership of a request that self accepted from its caller.
 func Accept(self fleet.DaemonID) *Ownership { return &Ownership{self: self, state: Holding} }
 
-// State returns the state.
+// State returns the ownership's state.
 func (c *Ownership) State() OwnershipState { return c.state }
 
 // MayDispatch reports whether this daemon may start a new attempt.
 func (c *Ownership) MayDispatch() bool { return c.state == Holding }
 
-// Rank returns the rank under which this daemon holds or held the request.
+// Rank returns the rank with which this daemon holds or held the request.
 func (c *Ownership) Rank() Rank { return Rank{Number: c.number, Holder: c.self} }
 
-// Holder returns the greatest rank known, which may be this daemon's own.
+// Holder returns the highest known rank, which may be this daemon's own.
 func (c *Ownership) Holder() Rank {
 	if c.state == Holding || c.state == Offering || c.highestOther.Less(c.Rank()) {
 		return c.Rank()
@@ -58,9 +58,9 @@
 	return c.highestOther
 }
 
-// Offer begins an offer to successor to and returns its number. It is higher
-// than any number used here or known of; 0 is returned where this daemon has
-// nothing to offer.
+// Offer starts an offer to daemon to and returns its number, which is higher
+// than all numbers known here. It returns 0 if this daemon doesn't hold the
+// request.
 func (c *Ownership) Offer(to fleet.DaemonID) uint64 {
 	if c.state != Holding && c.state != Offering {
 		return 0
@@ -71,9 +71,9 @@
 	return c.offered
 }
 
-// Answered settles the offer by its reply and reports whether it did. Replies
-// to older offers settle nothing here, but a Taken tells of a holder that the
-// caller must withdraw once a higher one is sure.
+// Answered applies the reply to the current offer and reports whether it did.
+// Replies to older offers are ignored here; if such a reply is Taken, the caller
+// must withdraw that holder once a holder of a higher rank is confirmed.
 func (c *Ownership) Answered(r Reply) bool {
 	if c.state != Offering || r.Offer.Number != c.offered || r.Offer.To != c.to {
 		return false
@@ -91,7 +91,7 @@
 	return true
 }
 
-// Unsent settles an offer of which nothing was sent.
+// Unsent ends an offer of which nothing was sent.
 func (c *Ownership) Unsent(number uint64) bool {
 	if c.state != Offering || number != c.offered {
 		return false
@@ -100,17 +100,17 @@
 	return true
 }
 
-// TakeBack makes this daemon the holder again without an answer to its offer,
-// under a higher number. Allowed only where a second holder can't run the
-// request twice. The addressee of the offer must be withdrawn.
+// TakeBack makes this daemon the holder again, under a higher number, without an
+// answer to its offer. That is allowed only if two holders can't run the request
+// twice. The addressee of the offer must be withdrawn.
 func (c *Ownership) TakeBack() Rank {
 	c.number = max(c.number, c.offered, c.highestOther.Number) + 1
 	c.state = Holding
 	return c.Rank()
 }
 
-// Take decides an offer that arrived. A daemon that can't take it, because it
-// is leaving or full, passes can false.
+// Take answers a received offer. canTake is false if the daemon is leaving or at
+// its limit of requests.
 func (c *Ownership) Take(o Offer, canTake bool) Reply {
 	offered := Rank{Number: o.Number, Holder: c.self}
 	switch {
@@ -129,10 +129,10 @@
 	return Reply{Offer: o, Answer: Taken}
 }
 
-// Learn takes the rank of another holder, from its origin or the directory. It
-// reports whether this daemon has just lost the request to it. The rank is
-// remembered where nothing is held, too: a delayed offer with a lower number
-// must find that it is superseded.
+// Learn records the rank of another holder, received from the daemon that made
+// the transfer or from the directory, and reports whether this daemon lost the
+// request to it. The rank is recorded even if this daemon doesn't hold the
+// request, so that a delayed offer with a lower number is superseded.
 func (c *Ownership) Learn(r Rank) bool {
 	if r.Holder == c.self {
 		return false
@@ -148,9 +148,9 @@
 	return false
 }
 
-// Withdraw is Learn for a withdrawal from the origin of a higher transfer. It
-// also returns the holder known before, whom the origin must withdraw as well
-// when it is neither this daemon nor r's holder.
+// Withdraw is Learn for a withdrawal sent by the daemon that made a transfer of
+// higher rank. It also returns the previously known holder, which the sender has
+// to withdraw as well if it is neither this daemon nor r's holder.
 func (c *Ownership) Withdraw(r Rank) (before Rank, lost bool) {
 	before = c.Holder()
 	return before, c.Learn(r)
--- a/internal/request/ownership_table.go
+++ b/internal/request/ownership_table.go
@@ -6,14 +6,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// clockSlack keeps custody longer than its request's deadline, against a
-// clock that is set back.
+// clockSlack is how long ownership is kept after its request's deadline, in case
+// a clock is set back.
 const clockSlack = time.Minute
 
-// OwnershipTable is all custody of one run of a daemon. Custody outlives its request
-// until the request's deadline: a copy of an old offer may arrive until then
-// and must find that it was taken, refused or superseded. After the deadline
-// every offer is refused by the clock, so nothing need be remembered.
+// OwnershipTable holds the Ownership of all requests of one run of a daemon. It is
+// kept until the request's deadline, even if the request ends before: a copy of
+// an old offer may arrive until then and must be recognised as taken, refused or
+// superseded. After the deadline every offer is refused.
 type OwnershipTable struct {
 	self  fleet.DaemonID
 	byRef map[Ref]*ownershipEntry
@@ -24,12 +24,12 @@
 	deadline  time.Time
 }
 
-// NewOwnershipTable returns an empty set of custody for one run of a daemon.
+// NewOwnershipTable returns an empty table for daemon self.
 func NewOwnershipTable(self fleet.DaemonID) *OwnershipTable {
 	return &OwnershipTable{self: self, byRef: make(map[Ref]*ownershipEntry)}
 }
 
-// Accept enters a request that this daemon accepted from its caller.
+// Accept adds a request that this daemon accepted from its caller.
 func (h *OwnershipTable) Accept(ref Ref, deadline time.Time) *Ownership {
 	c := h.getOrCreate(ref, deadline)
 	if c.state == Absent && c.highestOther == (Rank{}) {
@@ -38,7 +38,7 @@
 	return c
 }
 
-// Get returns the custody of ref, nil when it is unknown.
+// Get returns the ownership of ref, or nil if there is none.
 func (h *OwnershipTable) Get(ref Ref) *Ownership {
 	if e := h.byRef[ref]; e != nil {
 		return e.ownership
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// Take decides an offer. With Taken, fresh says that the request came with
-// this copy of the offer, so that it is adopted once.
+// Take answers an offer. fresh is true for the first copy of an offer that is
+// Taken, so that its request is adopted only once.
 func (h *OwnershipTable) Take(now time.Time, o Offer, deadline time.Time, canTake bool) (r Reply, fresh bool) {
 	if !now.Before(deadline) {
 		return h.takeAfterDeadline(o), false
@@ -58,7 +58,8 @@
 	return r, r.Answer == Taken && !held && c.state == Holding
 }
 
-// takeAfterDeadline answers an offer after its deadline, which is never taken any more.
+// takeAfterDeadline answers an offer that arrives after its request's deadline.
+// Such an offer is not taken.
 func (h *OwnershipTable) takeAfterDeadline(o Offer) Reply {
 	if e := h.byRef[o.Ref]; e != nil {
 		return e.ownership.Take(o, false)
@@ -69,8 +70,9 @@
 	return Reply{Offer: o, Answer: NotTaken}
 }
 
-// Withdraw takes the rank of a higher holder. Before is the holder known until
-// then; lost says that this daemon held the request and must stop acting for it.
+// Withdraw records the holder in a withdrawal. It returns the previously known
+// holder, and lost as true if this daemon held the request and must stop acting
+// for it.
 func (h *OwnershipTable) Withdraw(now time.Time, ref Ref, r Rank, deadline time.Time) (before Rank, lost bool) {
 	if !now.Before(deadline) && h.byRef[ref] == nil {
 		return Rank{}, false
@@ -87,7 +89,8 @@
 	return e.ownership
 }
 
-// Expire forgets custody of requests whose deadline is long past.
+// Expire removes requests whose deadline passed at least clockSlack ago, and
+// returns how many.
 func (h *OwnershipTable) Expire(now time.Time) int {
 	dropped := 0
 	for ref, e := range h.byRef {
@@ -99,5 +102,5 @@
 	return dropped
 }
 
-// Len returns how many requests are remembered.
+// Len returns the number of requests in the table.
 func (h *OwnershipTable) Len() int { return len(h.byRef) }
--- a/internal/request/phase.go
+++ b/internal/request/phase.go
@@ -1,14 +1,14 @@
 package request
 
-// phase is what a Life waits for.
+// phase is what a Lifecycle waits for.
 type phase uint8
 
 const (
 	idle        phase = iota // not started
-	dispatching              // an endpoint to open the answer
+	dispatching              // the start of an endpoint's answer
 	streaming                // pieces
-	resuming                 // the engine to open its stream again
-	moving                   // an export of KV cache
-	waiting                  // the pause before the next try
+	resuming                 // the start of a resumed stream
+	moving                   // the export of the KV cache
+	waiting                  // the end of the delay before the next attempt
 	ended                    // nothing
 )
--- a/internal/request/policy.go
+++ b/internal/request/policy.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Policy bounds what a Life does.
+// Policy sets the limits and timeouts of a Lifecycle.
 type Policy struct {
-	// MaxAttempts bounds dispatches that the request is charged for.
+	// MaxAttempts limits the dispatches of a request, not counting those made
+	// because its endpoint or daemon leaves.
 	MaxAttempts int
-	// MaxResumes bounds resumes in a row without a new piece between them.
+	// MaxResumes limits consecutive resumes without a new piece.
 	MaxResumes int
-	// DispatchTimeout is how long a dispatch may stay without its first piece.
+	// DispatchTimeout is how long a dispatch may be unanswered.
 	DispatchTimeout time.Duration
-	// ProgressTimeout is the longest silence between pieces.
+	// ProgressTimeout is the longest time without a new piece.
 	ProgressTimeout time.Duration
-	// MoveTimeout is how long an export may take.
+	// MoveTimeout is how long an export of KV cache may take.
 	MoveTimeout time.Duration
-	// DeadlineMargin before the deadline within which no new attempt starts.
+	// DeadlineMargin is the time before the deadline in which no new attempt
+	// starts.
 	DeadlineMargin time.Duration
-	// MinPause and MaxPause bound the doubling wait between tries that wait for
-	// an endpoint.
+	// MinPause and MaxPause limit the exponential backoff while no endpoint is
+	// available.
 	MinPause, MaxPause time.Duration
 }
 
-// DefaultPolicy suits engines that give the first token within 1.5 s and a
-// token every 34 ms.
+// DefaultPolicy suits engines that send the first token within 1.5 s and further
+// tokens every 34 ms.
 func DefaultPolicy() Policy {
 	return Policy{
-		MaxAttempts:     4, // a request that failed on four endpoints is more likely at fault than they
-		MaxResumes:      2, // one for the lost connection, one in case the new one met the same fault
+		MaxAttempts:     4, // after four endpoints, the fault is more likely the request's
+		MaxResumes:      2, // one for the lost connection, one if the new connection fails as well
 		DispatchTimeout: 20 * time.Second,
-		ProgressTimeout: 2 * time.Second, // sixty missed tokens
+		ProgressTimeout: 2 * time.Second, // about sixty tokens
 		MoveTimeout:     5 * time.Second,
-		DeadlineMargin:  50 * time.Millisecond, // less than any attempt needs
+		DeadlineMargin:  50 * time.Millisecond, // shorter than any attempt
 		MinPause:        50 * time.Millisecond,
 		MaxPause:        time.Second,
 	}
--- a/internal/request/reason.go
+++ b/internal/request/reason.go
@@ -5,27 +5,28 @@
 
 // The reasons.
 const (
-	// DeadlinePassed: the request's deadline came first.
+	// DeadlinePassed: the request's deadline passed.
 	DeadlinePassed Reason = iota
-	// AttemptsSpent: all attempts that a request may have failed.
+	// AttemptsSpent: Policy.MaxAttempts attempts failed.
 	AttemptsSpent
-	// BudgetSpent: the retry budget has no token.
+	// BudgetSpent: the retry budget allows no retry.
 	BudgetSpent
 	// NotRepeatable: the one dispatch of a non-idempotent request failed.
 	NotRepeatable
 	// NoEndpointFound: routing found no endpoint.
 	NoEndpointFound
-	// CrashesEngines: the request crashes the engines that run it.
+	// CrashesEngines: the request is quarantined because it crashes the engines
+	// that run it.
 	CrashesEngines
-	// Cancelled: the caller asked for it.
+	// Cancelled: the caller cancelled the request.
 	Cancelled
 	// TooLarge: the answer exceeds MaxAnswerBytes.
 	TooLarge
-	// HandoverUnanswered: the successor's answer never came.
+	// HandoverUnanswered: the successor did not reply to the offer.
 	HandoverUnanswered
 )
 
-// String returns the reason as callers see it.
+// String returns the reason in answers to callers.
 func (r Reason) String() string {
 	names := [...]string{
 		"deadline passed", "all attempts failed", "retry budget spent",
--- a/internal/request/ref.go
+++ b/internal/request/ref.go
@@ -2,8 +2,8 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// Ref names a request within its workspace. The id may be a key that the
-// caller chose, so an id alone could attach one workspace to another's answer.
+// Ref identifies a request. The id may be an idempotency key chosen by the caller,
+// so by the id alone a workspace could attach to another workspace's answer.
 type Ref struct {
 	Workspace fleet.WorkspaceID
 	ID        fleet.RequestID
--- a/internal/request/result.go
+++ b/internal/request/result.go
@@ -1,23 +1,23 @@
 package request
 
-// Result says what became of a piece or of an attempt's end.
+// Result is the result of Assembly.Add or Assembly.Done.
 type Result uint8
 
 // The results.
 const (
 	// Appended: the piece was the next one.
 	Appended Result = iota
-	// Duplicate: the piece was there already.
+	// Duplicate: the piece was added before.
 	Duplicate
-	// Stale: the piece is of an older attempt and was dropped.
+	// Stale: the piece or end is of an older attempt and was dropped.
 	Stale
-	// Gap: pieces before this one are missing; fetch again from Len.
+	// Gap: earlier pieces are missing; the stream is to be read again from Len.
 	Gap
-	// Diverged: the attempt contradicts the pieces that are there.
+	// Diverged: the attempt contradicts the answer so far.
 	Diverged
 	// Overflow: the answer would exceed MaxAnswerBytes.
 	Overflow
-	// Complete: the answer is whole.
+	// Complete: the answer is complete.
 	Complete
 )
 
--- a/internal/request/retry_budget.go
+++ b/internal/request/retry_budget.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// Defaults of RetryBudget.
+// Defaults for NewRetryBudget.
 const (
-	// DefaultRetryShare lets a wave of failures add at most a tenth to the
-	// endpoints' load.
+	// DefaultRetryShare limits the load that retries add to a tenth.
 	DefaultRetryShare = 0.1
-	// DefaultMinRetries a second keep retries possible for a workspace that
-	// has hardly any traffic.
+	// DefaultMinRetries is in retries a second. It allows retries for a workspace
+	// with hardly any traffic.
 	DefaultMinRetries = 3.0
-	// retrySlots of one second each are remembered: long enough to smooth
-	// bursts, short enough that yesterday's successes pay for nothing.
+	// retrySlots is the length of the window in seconds: long enough to smooth
+	// bursts, short enough that old successes allow no retries.
 	retrySlots = 10
 )
 
-// RetryBudget limits retries to a share of the successes of the last ten
-// seconds plus a small constant rate, so that retries can't multiply a wave of
-// failures (as in Finagle's and gRPC's retry throttling). The zero value is not
-// usable; make one with NewRetryBudget.
+// RetryBudget limits retries to a share of the successes of the last ten seconds
+// plus a small constant rate, so that retries don't amplify an outage (as in
+// Finagle's and gRPC's retry throttling). The zero value is not usable;
+// NewRetryBudget creates one.
 type RetryBudget struct {
 	share      float64
 	minRetries float64 // retries over the whole window
@@ -31,12 +30,13 @@
 
 var _ Budget = (*RetryBudget)(nil)
 
-// NewRetryBudget allows share retries for each success and minPerSecond on top.
+// NewRetryBudget returns a budget of share retries for each success, plus
+// minPerSecond.
 func NewRetryBudget(share, minPerSecond float64) *RetryBudget {
 	return &RetryBudget{share: share, minRetries: minPerSecond * retrySlots}
 }
 
-// Success counts a request that got its whole answer.
+// Success counts a request whose answer was complete.
 func (b *RetryBudget) Success(now time.Time) {
 	b.advance(now)
 	b.slot().successes++
@@ -57,8 +57,8 @@
 
 func (b *RetryBudget) slot() *retrySlot { return &b.slots[b.last%retrySlots] }
 
-// advance forgets the slots that have left the window. A clock that steps back
-// counts into the newest slot.
+// advance removes the slots that are older than the window. If the clock is set
+// back, events are counted in the newest slot.
 func (b *RetryBudget) advance(now time.Time) {
 	second := now.Unix()
 	if second-b.last >= retrySlots {
--- a/internal/request/retry_budget_test.go
+++ b/internal/request/retry_budget_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Callers of a healthy endpoint see it slow down when another fails: 1,000
-// requests a second fail for ten seconds, and each would be sent again. With a
-// budget the retries stay within a tenth of the successes before, plus three a
-// second, and those successes stop counting after ten seconds.
+// Guards against retries that overload healthy endpoints when others fail: 1,000
+// requests a second fail for ten seconds, and each would be retried. Retries must
+// stay within a tenth of the earlier successes plus three a second, and successes
+// must stop counting after ten seconds.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
 	b := NewRetryBudget(DefaultRetryShare, DefaultMinRetries)
 	now := time.Unix(1000, 0)
--- a/internal/request/spec.go
+++ b/internal/request/spec.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Spec is what a Life must know of its request.
+// Spec is the part of a request that its Lifecycle depends on.
 type Spec struct {
 	Ref           Ref
 	NonIdempotent bool
-	Deadline      time.Time // the answer must be whole by then
+	Deadline      time.Time // for the complete answer
 	PromptTokens  int
 }
--- a/internal/request/successor.go
+++ b/internal/request/successor.go
@@ -5,17 +5,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Member is a daemon that might take requests over.
+// Member is a daemon that may take over requests.
 type Member struct {
 	Daemon     fleet.DaemonID
 	DataCentre fleet.DataCentre
-	Serving    bool // alive, caught up and not leaving
+	Serving    bool // alive, with its state synchronised, and not leaving
 }
 
-// Successors ranks the members that may take request id over from self: by
-// rendezvous over the id, so that a wave of requests spreads evenly and two
-// hand-overs of one request agree; those of other data centres first, since a
-// data centre tends to leave as a whole.
+// Successors ranks the members that may take over request id from self. Members of
+// other data centres come first, since the instances of a data centre tend to be
+// reclaimed together. Within each group they are ranked by rendezvous hashing of
+// the id, so that requests are spread evenly and all hand-overs of one request
+// agree on the successor.
 func Successors(id fleet.RequestID, self Member, members []Member) []fleet.DaemonID {
 	var far, near []string
 	for _, m := range members {
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// TableLimits bounds a Table.
+// TableLimits are the limits of a Table.
 type TableLimits struct {
-	Live      int           // requests that run at once
-	Bytes     int           // memory of finished answers
-	Retention time.Duration // of finished answers
+	Live      int           // running requests
+	Bytes     int           // memory of finished requests
+	Retention time.Duration // of finished requests
 }
 
-// DefaultTableLimits fits an entry instance: finished answers are kept for
-// callers that lost their connection and come back, in a third of its memory.
+// DefaultTableLimits suits an entry instance. Finished answers are kept, in a
+// third of its memory, for callers that lost their connection and reconnect.
 func DefaultTableLimits() TableLimits {
 	return TableLimits{Live: 4096, Bytes: 64 << 20, Retention: 2 * time.Minute}
 }
 
-// entryBytes estimates what an entry costs beyond its answer.
+// entryBytes is the estimated memory of an entry without its answer.
 const entryBytes = 512
 
-// Table holds the live requests of a daemon and, for a bounded time and in
-// bounded memory, the finished ones.
+// Table holds the live requests of a daemon and, for a limited time and in limited
+// memory, the finished ones.
 type Table struct {
 	limits  TableLimits
 	entries map[Ref]*Entry
@@ -37,8 +37,8 @@
 	return &Table{limits: limits, entries: make(map[Ref]*Entry)}
 }
 
-// Begin attaches to the request ref, or enters life as a new one. The entry is
-// nil when the result is Full.
+// Begin returns the entry of request ref, or adds one for life. The entry is nil
+// if the result is Full.
 func (t *Table) Begin(now time.Time, ref Ref, d Digest, life *Lifecycle) (*Entry, BeginResult) {
 	t.Expire(now)
 	if e := t.entries[ref]; e != nil {
@@ -56,11 +56,11 @@
 	return e, Created
 }
 
-// Get returns the entry of ref, nil when it is unknown.
+// Get returns the entry of ref, or nil if there is none.
 func (t *Table) Get(ref Ref) *Entry { return t.entries[ref] }
 
-// Finish keeps ref as a finished request. The oldest finished ones are dropped
-// to keep within the limits.
+// Finish marks ref as finished, and drops the oldest finished requests that exceed
+// the limits.
 func (t *Table) Finish(now time.Time, ref Ref) {
 	e := t.entries[ref]
 	if e == nil || e.Finished() {
@@ -77,7 +77,7 @@
 	t.Expire(now)
 }
 
-// Remove forgets a live request, one that was handed over or refused.
+// Remove removes a live request that was handed over or refused.
 func (t *Table) Remove(ref Ref) {
 	e := t.entries[ref]
 	if e == nil || e.Finished() {
@@ -87,7 +87,7 @@
 	t.live--
 }
 
-// Expire drops finished requests beyond the limits and returns how many.
+// Expire drops finished requests that exceed the limits, and returns how many.
 func (t *Table) Expire(now time.Time) int {
 	dropped := 0
 	for t.oldest != nil && t.overLimits(now) {
@@ -116,16 +116,16 @@
 	t.newest = e
 }
 
-// Live returns how many requests run.
+// Live returns the number of live requests.
 func (t *Table) Live() int { return t.live }
 
-// Len returns how many requests are known.
+// Len returns the number of requests, live and finished.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Bytes returns the memory of the finished requests.
+// Bytes returns the estimated memory of the finished requests.
 func (t *Table) Bytes() int { return t.bytes }
 
-// Running yields the live requests in no order.
+// Running yields the live requests in no particular order.
 func (t *Table) Running() iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
 		for _, e := range t.entries {
--- a/internal/request/table_test.go
+++ b/internal/request/table_test.go
@@ -31,8 +31,8 @@
 	assert.Equal(t, how, Created)
 }
 
-// A daemon runs out of memory because callers never fetch what was finished:
-// the oldest finished answers must go, the live ones stay.
+// Guards against running out of memory when callers don't fetch finished answers:
+// the oldest finished requests must be dropped, the live ones kept.
 func TestTableBoundsFinishedBytes(t *testing.T) {
 	table := NewTable(TableLimits{Live: 100, Bytes: 10 * entryBytes, Retention: time.Hour})
 	now := time.Unix(1000, 0)
