--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -100,7 +100,7 @@
 // none.
 func (b *Balancer) SetOthers(load Loads) {
 	for _, m := range b.members {
-		m.others = load[rendezvous.Short(m.hash)]
+		m.others = load[rendezvous.ShortKey(m.hash)]
 	}
 }
 
@@ -109,7 +109,7 @@
 	out := Loads{}
 	for _, m := range b.members {
 		if m.own.Requests > 0 {
-			out[rendezvous.Short(m.hash)] = m.own
+			out[rendezvous.ShortKey(m.hash)] = m.own
 		}
 	}
 	return out
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -77,7 +77,7 @@
 		b := newTestBalancer(d, 18)
 		load := Loads{}
 		for _, e := range testEndpoints(18)[1:] {
-			load[rendezvous.ShortOf(string(e.ID))] = Load{Requests: 12}
+			load[rendezvous.ShortKeyOf(string(e.ID))] = Load{Requests: 12}
 		}
 		b.SetOthers(load)
 		for i := range uint64(40) {
@@ -171,10 +171,10 @@
 	q := requestWithPrefix(3)
 	c, _ := b.Pick(start, q)
 	b.Sent(q, c)
-	assert.Equal(t, b.OwnLoads()[rendezvous.ShortOf("e0")].Requests, 1)
-	assert.Assert(t, b.OwnLoads()[rendezvous.ShortOf("e0")].PendingPrefill > 0)
+	assert.Equal(t, b.OwnLoads()[rendezvous.ShortKeyOf("e0")].Requests, 1)
+	assert.Assert(t, b.OwnLoads()[rendezvous.ShortKeyOf("e0")].PendingPrefill > 0)
 	b.FirstToken(q, c, 0.2)
-	assert.Equal(t, b.OwnLoads()[rendezvous.ShortOf("e0")].PendingPrefill, 0)
+	assert.Equal(t, b.OwnLoads()[rendezvous.ShortKeyOf("e0")].PendingPrefill, 0)
 	b.Done(start, q, c, true, Answered)
 	assert.Equal(t, len(b.OwnLoads()), 0)
 }
@@ -216,7 +216,7 @@
 func TestRestartedEngineIsANewOne(t *testing.T) {
 	b := newTestBalancer(1, 1)
 	before := testEndpoints(1)
-	before[0].Born = start
+	before[0].StartedAt = start
 	b.SetEndpoints(before)
 	q := requestWithPrefix(7)
 	old, ok := b.Pick(start, q)
@@ -227,7 +227,7 @@
 	assert.Equal(t, cached.Cached, q.Prompt)
 
 	after := testEndpoints(1)
-	after[0].Born = start.Add(time.Second)
+	after[0].StartedAt = start.Add(time.Second)
 	b.SetEndpoints(after)
 	assert.Equal(t, len(b.OwnLoads()), 0)
 	fresh, _ := b.Pick(start, q)
@@ -235,6 +235,6 @@
 	b.Sent(q, fresh)
 	b.Done(start, q, old, false, Failed)
 	b.Done(start, q, old, false, Failed)
-	assert.Equal(t, b.OwnLoads()[rendezvous.ShortOf("e0")].Requests, 1)
+	assert.Equal(t, b.OwnLoads()[rendezvous.ShortKeyOf("e0")].Requests, 1)
 	assert.Assert(t, !b.members["e0"].avoided(start))
 }
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	for _, m := range set {
-		if s := rendezvous.Mix(key, m.hash); best == nil || s > most {
+		if s := rendezvous.ScoreHashed(key, m.hash); best == nil || s > most {
 			best, most = m, s
 		}
 	}
@@ -47,7 +47,7 @@
 	var scores [homeCount]uint64
 	var top [homeCount]*member
 	for _, m := range set {
-		s := rendezvous.Mix(key, m.hash)
+		s := rendezvous.ScoreHashed(key, m.hash)
 		for i := range top {
 			if top[i] == nil || s > scores[i] {
 				copy(top[i+1:], top[i:homeCount-1])
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -43,7 +43,7 @@
 	if m.DataCentre != b.self {
 		sum += remoteSeconds
 	}
-	if now.Before(m.SlowUntil) {
+	if now.Before(m.WarmUpEnd) {
 		sum += warmUpSeconds
 	}
 	return sum
--- a/internal/balance/member.go
+++ b/internal/balance/member.go
@@ -17,7 +17,7 @@
 }
 
 // Loads is loads by endpoint, without those that are idle.
-type Loads map[rendezvous.Short]Load
+type Loads map[rendezvous.ShortKey]Load
 
 // member is an endpoint with its state.
 type member struct {
--- a/internal/balance/source_test.go
+++ b/internal/balance/source_test.go
@@ -81,12 +81,12 @@
 
 	b = fetchingBalancer(2e-6, 2)
 	all := addressedEndpoints(2)
-	all[0].Born, all[1].Born = start, start
+	all[0].StartedAt, all[1].StartedAt = start, start
 	b.SetEndpoints(all)
 	first, _ = b.Pick(start, q)
 	b.Sent(q, first)
 	again := addressedEndpoints(2)
-	again[0].Born, again[1].Born = start.Add(time.Second), start.Add(time.Second)
+	again[0].StartedAt, again[1].StartedAt = start.Add(time.Second), start.Add(time.Second)
 	drain(again, first.Endpoint.ID)
 	b.SetEndpoints(again)
 	got, _ = b.Pick(start, q)
--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -65,7 +65,7 @@
 		return
 	}
 	slices.SortFunc(s.new, func(x, y *member) int {
-		if rendezvous.Mix(s.rotation, x.hash) < rendezvous.Mix(s.rotation, y.hash) {
+		if rendezvous.ScoreHashed(s.rotation, x.hash) < rendezvous.ScoreHashed(s.rotation, y.hash) {
 			return -1
 		}
 		return 1
@@ -127,7 +127,7 @@
 	for _, m := range all {
 		mixed = mixed || m.Version != all[0].Version
 		known = known || m.Version == b.establishedVersions[service]
-		if m.Born.Before(first.Born) {
+		if m.StartedAt.Before(first.StartedAt) {
 			first = m
 		}
 	}
--- a/internal/balance/split_test.go
+++ b/internal/balance/split_test.go
@@ -19,7 +19,7 @@
 	out := make([]roster.Endpoint, n)
 	for i := range out {
 		id := version + "-" + string(rune('a'+i))
-		out[i] = roster.Endpoint{ID: fleet.EndpointID(id), Service: "s", Address: id, Version: version, Slots: 4, Born: born}
+		out[i] = roster.Endpoint{ID: fleet.EndpointID(id), Service: "s", Address: id, Version: version, Slots: 4, StartedAt: born}
 	}
 	return out
 }
@@ -68,7 +68,7 @@
 	assert.DeepEqual(t, versions, map[string]bool{"v1": true})
 
 	for i := range old {
-		old[i].Born = testNow.Add(time.Hour) // all endpoints of v1 restarted
+		old[i].StartedAt = testNow.Add(time.Hour) // all endpoints of v1 restarted
 	}
 	b.SetEndpoints(append(versionedEndpoints("v2", 3, testNow.Add(time.Minute)), old...))
 	versions, _ = pickedVersions(b, rollout.Old)
--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -90,7 +90,7 @@
 }
 
 // Cut implements dispatch.Quarantine.
-func (d *crashDuty) Cut(c ends.Cut) { d.watch.Cut(c) }
+func (d *crashDuty) Cut(c ends.Disconnect) { d.watch.Disconnected(c) }
 
 // Ran implements dispatch.Quarantine.
 func (d *crashDuty) Ran(id fleet.EndpointID, sent time.Time, k quarantine.Key) {
--- a/internal/daemon/locator.go
+++ b/internal/daemon/locator.go
@@ -50,9 +50,9 @@
 
 func newLocator(state *lifecycle, r *roster, client *peer.Client, limits settings.Limits, log *logrus.Entry) *locator {
 	d := directory.New(directory.Config{
-		MaxEntries: directoryEntries,
-		Running:    limits.RequestTimeout,
-		Finished:   limits.Retain,
+		MaxEntries:  directoryEntries,
+		RunningTTL:  limits.RequestTimeout,
+		FinishedTTL: limits.Retain,
 	})
 	return &locator{
 		owner:     newOwner("directory", directoryRing, d),
@@ -92,7 +92,7 @@
 // Claim implements dispatch.Locator. The first owner decides, so that two
 // daemons with one key agree; the second one gets a copy.
 func (l *locator) Claim(ctx context.Context, h directory.Holding) directory.Holding {
-	for _, p := range l.owners(h.Workspace, h.Request, directory.Copies) {
+	for _, p := range l.owners(h.Workspace, h.Request, directory.Replicas) {
 		won, err := l.claimAt(ctx, p, h)
 		if err == nil {
 			return won
@@ -143,7 +143,7 @@
 
 // Lookup implements dispatch.Locator.
 func (l *locator) Lookup(ctx context.Context, workspace fleet.WorkspaceID, id fleet.RequestID) (directory.Holding, bool) {
-	for _, p := range l.owners(workspace, id, directory.Reach) {
+	for _, p := range l.owners(workspace, id, directory.LookupFanout) {
 		h, ok := l.lookupAt(ctx, p, id)
 		if ok && h.Holder != l.self {
 			return h, true
@@ -196,7 +196,7 @@
 	byPeer := make(map[fleet.InstanceID][]directory.Holding)
 	peers := make(map[fleet.InstanceID]peerInfo)
 	for _, h := range batch {
-		for _, p := range l.owners(h.Workspace, h.Request, directory.Copies) {
+		for _, p := range l.owners(h.Workspace, h.Request, directory.Replicas) {
 			byPeer[p.Instance] = append(byPeer[p.Instance], h)
 			peers[p.Instance] = p
 		}
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		s.router.Finished(choice.Endpoint, id, routing.Failed)
 		s.blame(choice.Endpoint, err)
-		s.cut(ctx, ends.Cut{Endpoint: choice.Endpoint, Address: choice.Address, Request: key, Sent: sent}, err)
+		s.cut(ctx, ends.Disconnect{Endpoint: choice.Endpoint, Address: choice.Address, Request: key, Sent: sent}, err)
 		s.log.WithField("request", c.Key).WithField("endpoint", choice.Endpoint).Infof("call failed: %v", err)
 		return nil, choice.Endpoint, problem.New(http.StatusBadGateway, verdict.Of(err), "the service did not answer")
 	}
@@ -185,7 +185,7 @@
 }
 
 // cut tells of a call that ended with its connection.
-func (s *services) cut(ctx context.Context, c ends.Cut, err error) {
+func (s *services) cut(ctx context.Context, c ends.Disconnect, err error) {
 	var silent *endpoint.StallError
 	if ctx.Err() == nil && !errors.As(err, &silent) && verdict.Of(err) == verdict.MayHaveRun {
 		s.crashes.Cut(c)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// Copies is how many daemons keep a request's entry: one may die.
-	Copies = 2
-	// Reach is how many daemons a lookup asks: the owners of now, and the one
+	// Replicas is how many daemons keep a request's entry: one may die.
+	Replicas = 2
+	// LookupFanout is how many daemons a lookup asks: the owners of now, and the one
 	// that was an owner before the last daemon came or went.
-	Reach = 3
+	LookupFanout = 3
 )
 
 // Holding says which instance holds a request.
@@ -30,9 +30,9 @@
 
 // Config bounds the directory.
 type Config struct {
-	MaxEntries int           // the oldest are forgotten first
-	Running    time.Duration // an entry of a running request lives so long
-	Finished   time.Duration // and of a finished one so long
+	MaxEntries  int           // the oldest are forgotten first
+	RunningTTL  time.Duration // an entry of a running request lives so long
+	FinishedTTL time.Duration // and of a finished one so long
 }
 
 // entry is a holding with its end of life.
@@ -41,9 +41,9 @@
 	expires time.Time
 }
 
-// aged is a place in the order of insertion. It is stale when its entry was
+// registration is a place in the order of insertion. It is stale when its entry was
 // registered again later.
-type aged struct {
+type registration struct {
 	request fleet.RequestID
 	expires time.Time
 }
@@ -52,7 +52,7 @@
 type Directory struct {
 	config  Config
 	entries map[fleet.RequestID]entry
-	order   []aged // by time of registration; head is the first in use
+	order   []registration // by time of registration; head is the first in use
 	head    int
 }
 
@@ -63,7 +63,7 @@
 
 // Register records h unless a later transfer is known, and returns what is known then.
 func (d *Directory) Register(now time.Time, h Holding) Holding {
-	if old, ok := d.live(now, h.Request); ok && older(h, old) {
+	if old, ok := d.lookup(now, h.Request); ok && outdated(h, old) {
 		return old
 	}
 	d.put(now, h)
@@ -73,7 +73,7 @@
 // Claim records h if no other holder is known, and returns the holder. Two
 // daemons that were sent the same key at once thus agree on one of them.
 func (d *Directory) Claim(now time.Time, h Holding) Holding {
-	if old, ok := d.live(now, h.Request); ok {
+	if old, ok := d.lookup(now, h.Request); ok {
 		return old
 	}
 	d.put(now, h)
@@ -82,7 +82,7 @@
 
 // Lookup returns the holding of a request.
 func (d *Directory) Lookup(now time.Time, id fleet.RequestID) (Holding, bool) {
-	return d.live(now, id)
+	return d.lookup(now, id)
 }
 
 // Forget drops the claims of an instance that died without handing over, so
@@ -99,16 +99,16 @@
 // Len returns the number of entries, expired ones not yet dropped included.
 func (d *Directory) Len() int { return len(d.entries) }
 
-// older reports whether h says less than old: an earlier transfer, or the
+// outdated reports whether h says less than old: an earlier transfer, or the
 // start of a request whose end is known.
-func older(h, old Holding) bool {
+func outdated(h, old Holding) bool {
 	if h.Transfer != old.Transfer {
 		return h.Transfer < old.Transfer
 	}
 	return old.Finished && !h.Finished
 }
 
-func (d *Directory) live(now time.Time, id fleet.RequestID) (Holding, bool) {
+func (d *Directory) lookup(now time.Time, id fleet.RequestID) (Holding, bool) {
 	e, ok := d.entries[id]
 	if !ok || !now.Before(e.expires) {
 		return Holding{}, false
@@ -117,18 +117,18 @@
 }
 
 func (d *Directory) put(now time.Time, h Holding) {
-	life := d.config.Running
+	life := d.config.RunningTTL
 	if h.Finished {
-		life = d.config.Finished
+		life = d.config.FinishedTTL
 	}
 	e := entry{holding: h, expires: now.Add(life)}
 	d.entries[h.Request] = e
-	d.order = append(d.order, aged{request: h.Request, expires: e.expires})
-	d.trim(now)
+	d.order = append(d.order, registration{request: h.Request, expires: e.expires})
+	d.evict(now)
 }
 
-// trim drops stale places, expired entries, and the oldest while there are too many.
-func (d *Directory) trim(now time.Time) {
+// evict drops stale places, expired entries, and the oldest while there are too many.
+func (d *Directory) evict(now time.Time) {
 	for d.head < len(d.order) {
 		first := d.order[d.head]
 		e, ok := d.entries[first.request]
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -12,26 +12,26 @@
 
 var (
 	start  = time.Unix(1_000, 0)
-	config = Config{MaxEntries: 100, Running: time.Minute, Finished: 10 * time.Second}
+	config = Config{MaxEntries: 100, RunningTTL: time.Minute, FinishedTTL: 10 * time.Second}
 )
 
-func held(by fleet.InstanceID, transfer uint64) Holding {
+func holdingOf(by fleet.InstanceID, transfer uint64) Holding {
 	return Holding{Request: "r", Workspace: "w", Holder: by, Transfer: transfer}
 }
 
 func TestFirstClaimWins(t *testing.T) {
 	d := New(config)
-	assert.Equal(t, d.Claim(start, held("a", 0)).Holder, fleet.InstanceID("a"))
-	assert.Equal(t, d.Claim(start, held("b", 0)).Holder, fleet.InstanceID("a"))
-	assert.Equal(t, d.Claim(start.Add(time.Minute), held("b", 0)).Holder, fleet.InstanceID("b"))
+	assert.Equal(t, d.Claim(start, holdingOf("a", 0)).Holder, fleet.InstanceID("a"))
+	assert.Equal(t, d.Claim(start, holdingOf("b", 0)).Holder, fleet.InstanceID("a"))
+	assert.Equal(t, d.Claim(start.Add(time.Minute), holdingOf("b", 0)).Holder, fleet.InstanceID("b"))
 }
 
 // A transfer's registration overtakes the origin's, which arrives late. A
 // caller that looks the request up must find the successor: the origin has let go.
 func TestLateRegistrationDoesNotUndoTransfer(t *testing.T) {
 	d := New(config)
-	d.Register(start, held("successor", 1))
-	d.Register(start, held("origin", 0))
+	d.Register(start, holdingOf("successor", 1))
+	d.Register(start, holdingOf("origin", 0))
 	h, ok := d.Lookup(start, "r")
 	assert.Assert(t, ok)
 	assert.Equal(t, h.Holder, fleet.InstanceID("successor"))
@@ -39,11 +39,11 @@
 
 func TestFinishedEntryIsNotReopened(t *testing.T) {
 	d := New(config)
-	h := held("a", 0)
+	h := holdingOf("a", 0)
 	h.Finished = true
 	d.Register(start, h)
-	assert.Assert(t, d.Register(start, held("a", 0)).Finished)
-	_, ok := d.Lookup(start.Add(config.Finished), "r")
+	assert.Assert(t, d.Register(start, holdingOf("a", 0)).Finished)
+	_, ok := d.Lookup(start.Add(config.FinishedTTL), "r")
 	assert.Assert(t, !ok)
 }
 
@@ -51,9 +51,9 @@
 // key, elsewhere. The claims of the dead one must not bind the new attempt.
 func TestForgetFreesTheClaimsOfADeadInstance(t *testing.T) {
 	d := New(config)
-	d.Claim(start, held("dead", 0))
+	d.Claim(start, holdingOf("dead", 0))
 	d.Forget("dead")
-	assert.Equal(t, d.Claim(start, held("b", 0)).Holder, fleet.InstanceID("b"))
+	assert.Equal(t, d.Claim(start, holdingOf("b", 0)).Holder, fleet.InstanceID("b"))
 }
 
 func TestEntriesAreBounded(t *testing.T) {
@@ -63,12 +63,12 @@
 	}
 	assert.Equal(t, d.Len(), config.MaxEntries)
 	assert.Assert(t, len(d.order) <= 4*config.MaxEntries)
-	d.Claim(start.Add(time.Hour), held("a", 0))
+	d.Claim(start.Add(time.Hour), holdingOf("a", 0))
 	assert.Equal(t, d.Len(), 1)
 }
 
 func BenchmarkClaim(b *testing.B) {
-	d := New(Config{MaxEntries: 10_000, Running: time.Minute, Finished: time.Minute})
+	d := New(Config{MaxEntries: 10_000, RunningTTL: time.Minute, FinishedTTL: time.Minute})
 	ids := make([]fleet.RequestID, 20_000)
 	for i := range ids {
 		ids[i] = fleet.RequestID(fmt.Sprint(i))
--- a/internal/dispatch/deps.go
+++ b/internal/dispatch/deps.go
@@ -40,7 +40,7 @@
 	// it may be sent.
 	Held(k quarantine.Key) time.Duration
 	// Cut reports an attempt whose connection broke before the answer was complete.
-	Cut(c ends.Cut)
+	Cut(c ends.Disconnect)
 	// Ran reports that an engine has sent the first piece of its answer to a
 	// request that was sent to it at sent.
 	Ran(engine fleet.EndpointID, sent time.Time, k quarantine.Key)
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -109,7 +109,7 @@
 	offers        int
 	heldFor       map[quarantine.Key]time.Duration
 	mu            sync.Mutex // guards cuts and ran
-	cuts          []ends.Cut
+	cuts          []ends.Disconnect
 	ran           []quarantine.Key
 }
 
@@ -147,7 +147,7 @@
 
 func (f *fakeDeps) Held(k quarantine.Key) time.Duration { return f.heldFor[k] }
 
-func (f *fakeDeps) Cut(c ends.Cut) {
+func (f *fakeDeps) Cut(c ends.Disconnect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cuts = append(f.cuts, c)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -63,7 +63,7 @@
 // newBareRun returns a run whose life is still to be set.
 func (d *Dispatcher) newBareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
 	model := fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version}
-	blocks, tokens := prompt.Leading(model, c.Messages, nil)
+	blocks, tokens := prompt.LeadingBlocks(model, c.Messages, nil)
 	return &run{
 		d:          d,
 		ref:        ref,
--- a/internal/ends/log.go
+++ b/internal/ends/log.go
@@ -22,12 +22,12 @@
 	}
 }
 
-// named bounds the requests that a log line names.
-const named = 8
+// maxNamed bounds the requests that a log line names.
+const maxNamed = 8
 
 // names returns the suspects of a crash for a log line.
 func names(c *quarantine.Crash) []string {
-	all := c.Suspects[:min(len(c.Suspects), named)]
+	all := c.Suspects[:min(len(c.Suspects), maxNamed)]
 	out := make([]string, len(all))
 	for i, s := range all {
 		out[i] = s.Request.String()
--- a/internal/ends/watch_test.go
+++ b/internal/ends/watch_test.go
@@ -14,28 +14,28 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-// stage is a watch over endpoints that a test moves.
-type stage struct {
+// fixture is a watch over endpoints that a test moves.
+type fixture struct {
 	*Watch
-	mu      sync.Mutex
-	asked   int
-	there   bool
-	unknown error
-	listed  bool
-	leaving bool
+	mu        sync.Mutex
+	probes    int
+	listening bool
+	listenErr error
+	listed    bool
+	leaving   bool
 }
 
-func play(t *testing.T, f func(t *testing.T, s *stage)) {
+func runWatch(t *testing.T, f func(t *testing.T, s *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stage{listed: true}
+		s := &fixture{listed: true}
 		s.Watch = New(Options{
 			Table: quarantine.NewTable(1),
 			Now:   time.Now,
 			Listens: func(context.Context, string) (bool, error) {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.asked++
-				return s.there, s.unknown
+				s.probes++
+				return s.listening, s.listenErr
 			},
 			State: func(fleet.EndpointID) (bool, bool) {
 				s.mu.Lock()
@@ -54,15 +54,15 @@
 	})
 }
 
-func (s *stage) cut(e fleet.EndpointID, request string, begun bool) {
-	s.Cut(Cut{
+func (s *fixture) cut(e fleet.EndpointID, request string, begun bool) {
+	s.Disconnected(Disconnect{
 		Endpoint: e, Address: string(e), Request: quarantine.KeyOf("w", "", request, nil),
-		Sent: time.Now().Add(-50 * time.Millisecond), Begun: begun,
+		Sent: time.Now().Add(-50 * time.Millisecond), AnswerBegun: begun,
 	})
 }
 
-// told returns how many crashes are told, and of how many requests the first.
-func (s *stage) told() (crashes, suspects int, void bool) {
+// crashes returns how many crashes are crashes, and of how many requests the first.
+func (s *fixture) crashes() (crashes, suspects int, void bool) {
 	all, _ := s.o.Table.Since(quarantine.Position{})
 	if len(all) == 0 {
 		return 0, 0, false
@@ -72,58 +72,58 @@
 
 // An endpoint's end cuts many attempts, some before and some after it was found
 // out. It is asked for once, and those that had not begun are its suspects.
-func TestOneEndIsAskedForOnce(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+func TestEndpointIsProbedOncePerCrash(t *testing.T) {
+	runWatch(t, func(t *testing.T, s *fixture) {
 		s.cut("e", "a", false)
 		s.cut("e", "b", true)
-		time.Sleep(2 * askAfter)
+		time.Sleep(2 * probeDelay)
 		s.cut("e", "c", false)
 		synctest.Wait()
-		crashes, suspects, void := s.told()
+		crashes, suspects, void := s.crashes()
 		assert.Equal(t, crashes, 1)
 		assert.Equal(t, suspects, 2)
 		assert.Assert(t, !void)
-		assert.Equal(t, s.asked, 1)
+		assert.Equal(t, s.probes, 1)
 	})
 }
 
 // A connection is reset, and a moment later the endpoint ends.
-func TestEndAfterAResetIsAskedFor(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.there = true
+func TestCrashAfterAResetIsDetected(t *testing.T) {
+	runWatch(t, func(t *testing.T, s *fixture) {
+		s.listening = true
 		s.cut("e", "a", false)
-		time.Sleep(2 * askAfter)
+		time.Sleep(2 * probeDelay)
 		s.mu.Lock()
-		s.there = false
+		s.listening = false
 		s.mu.Unlock()
 		s.cut("e", "b", false)
-		time.Sleep(2 * askAfter)
-		crashes, suspects, _ := s.told()
+		time.Sleep(2 * probeDelay)
+		crashes, suspects, _ := s.crashes()
 		assert.Equal(t, crashes, 1)
 		assert.Equal(t, suspects, 1)
 	})
 }
 
 // It starts again and ends again. When it started isn't told.
-func TestLaterEndIsAnother(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+func TestSecondCrashIsReportedSeparately(t *testing.T) {
+	runWatch(t, func(t *testing.T, s *fixture) {
 		for range 2 {
 			s.cut("e", "a", false)
 			time.Sleep(5 * time.Second)
 		}
-		crashes, _, _ := s.told()
+		crashes, _, _ := s.crashes()
 		assert.Equal(t, crashes, 2)
 	})
 }
 
 // The connection was reset, or the endpoint is cut off: it hasn't ended.
-func TestNoEndWithoutARefusal(t *testing.T) {
+func TestNoCrashUnlessTheConnectionIsRefused(t *testing.T) {
 	for _, unknown := range []error{nil, errors.New("no answer")} {
-		play(t, func(t *testing.T, s *stage) {
-			s.there, s.unknown = unknown == nil, unknown
+		runWatch(t, func(t *testing.T, s *fixture) {
+			s.listening, s.listenErr = unknown == nil, unknown
 			s.cut("e", "a", false)
 			time.Sleep(time.Second)
-			crashes, _, _ := s.told()
+			crashes, _, _ := s.crashes()
 			assert.Equal(t, crashes, 0)
 		})
 	}
@@ -131,13 +131,13 @@
 
 // The endpoint had said that it leaves, or was gone from the list, or says so
 // within the time in which the word may still come.
-func TestEndOfLeavingEndpointIsVoid(t *testing.T) {
-	for _, before := range []func(s *stage){
-		func(s *stage) { s.leaving = true },
-		func(s *stage) { s.listed = false },
-		func(s *stage) {},
+func TestCrashOfALeavingEndpointIsVoid(t *testing.T) {
+	for _, before := range []func(s *fixture){
+		func(s *fixture) { s.leaving = true },
+		func(s *fixture) { s.listed = false },
+		func(s *fixture) {},
 	} {
-		play(t, func(t *testing.T, s *stage) {
+		runWatch(t, func(t *testing.T, s *fixture) {
 			before(s)
 			s.cut("e", "a", false)
 			time.Sleep(time.Second)
@@ -145,7 +145,7 @@
 			s.leaving = true
 			s.mu.Unlock()
 			time.Sleep(time.Second)
-			crashes, _, void := s.told()
+			crashes, _, void := s.crashes()
 			assert.Equal(t, crashes, 1)
 			assert.Assert(t, void)
 		})
@@ -153,15 +153,15 @@
 }
 
 // It is gone from the list because it ended: that takes nothing back.
-func TestEndThatTheListShowsCounts(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+func TestRemovalFromTheListDoesNotVoidACrash(t *testing.T) {
+	runWatch(t, func(t *testing.T, s *fixture) {
 		s.cut("e", "a", false)
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		s.listed = false
 		s.mu.Unlock()
 		time.Sleep(time.Second)
-		_, _, void := s.told()
+		_, _, void := s.crashes()
 		assert.Assert(t, !void)
 	})
 }
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -27,7 +27,7 @@
 // defaultBounds limit mainly the time in which no bytes arrive, not the length of a call:
 // otherwise a long list over a busy link would time out and start over without end. The
 // total keeps the content of a late answer from being older than 4 s.
-var defaultBounds = progress.Bounds{First: ReplyTimeout, Silence: ReplyTimeout, Total: 10 * ReplyTimeout}
+var defaultBounds = progress.Bounds{FirstByte: ReplyTimeout, Idle: ReplyTimeout, Total: 10 * ReplyTimeout}
 
 // Client sends reports to hubs and fetches configurations. It keeps one connection to an
 // address for each of the two, since a connection carries one call at a time and a report
@@ -101,7 +101,7 @@
 		return Error.Wrap(err)
 	}
 	b := c.boundsFor(key)
-	ctx, cancel := progress.Within(ctx, conn.received, b)
+	ctx, cancel := progress.WithBounds(ctx, conn.received, b)
 	defer cancel()
 	receivedBefore := conn.received.Bytes()
 	err = f(ctx, exchangepb.NewDRPCExchangeClient(conn))
@@ -109,7 +109,7 @@
 	c.adjustFirstWait(key, b, received)
 	if err != nil {
 		c.drop(key, conn)
-		return Error.New("after %d bytes of the answer: %w", received, progress.Ended(ctx, err))
+		return Error.New("after %d bytes of the answer: %w", received, progress.CauseOf(ctx, err))
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := defaultBounds
-	b.First = max(b.First, c.firstWaits[key])
+	b.FirstByte = max(b.FirstByte, c.firstWaits[key])
 	return b
 }
 
@@ -133,7 +133,7 @@
 		delete(c.firstWaits, key)
 		return
 	}
-	c.firstWaits[key] = min(2*b.First, b.Total)
+	c.firstWaits[key] = min(2*b.FirstByte, b.Total)
 }
 
 // KeepOnly closes the connections for reports to all but the given addresses.
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -216,7 +216,7 @@
 		out.Items = append(out.Items, feed.Item{Name: it.Name, Spec: it.Spec, Revision: it.Revision})
 	}
 	for _, k := range f.GetKeys() {
-		out.Keys = append(out.Keys, rendezvous.Short(k))
+		out.Keys = append(out.Keys, rendezvous.ShortKey(k))
 	}
 	return out
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -206,7 +206,7 @@
 		r.Soft.Spent[fleet.WorkspaceID(fmt.Sprint("workspace", w))] = 1e6
 	}
 	for e := range 24 {
-		r.Soft.Load[rendezvous.ShortOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, PendingPrefill: 800}
+		r.Soft.Load[rendezvous.ShortKeyOf(fmt.Sprintf("i-%010d", (i*7+e)%690))] = balance.Load{Requests: 1, PendingPrefill: 800}
 	}
 	for w := range uint64(benchWindows) {
 		r.Windows[w] = RequestCounts{"workspace1": 3, "workspace2": 5}
--- a/internal/exchange/hub_test.go
+++ b/internal/exchange/hub_test.go
@@ -21,7 +21,7 @@
 const reportInterval = 400 * time.Millisecond
 
 // testEndpoint is the endpoint at which all daemons have requests.
-var testEndpoint = rendezvous.ShortOf("e")
+var testEndpoint = rendezvous.ShortKeyOf("e")
 
 func newReport(id fleet.DaemonID, spent float64, requests int, started uint64) Report {
 	return Report{
@@ -87,7 +87,7 @@
 	reply := Reply{ConfigVersion: 4, Config: []byte("text"), ConfigRevision: 77, Soft: relay.SoftState{Spent: r.Soft.Spent, Levels: r.Soft.Spent}, FleetTime: start, Holder: Holder{Daemon: "a", Token: 7}}
 	reply.StoreAge, reply.RolloutUpdate = 300*time.Millisecond, r.RolloutUpdate
 	reply.Endpoints = feed.Update{
-		To: feed.Position{Epoch: 1, Seq: 2, Revision: 6}, Full: true, Keys: []rendezvous.Short{7, 8},
+		To: feed.Position{Epoch: 1, Seq: 2, Revision: 6}, Full: true, Keys: []rendezvous.ShortKey{7, 8},
 		Items: []feed.Item{{Name: "e", Spec: []byte("{}"), Revision: 5}}, Removed: []string{"f"},
 	}
 	assert.DeepEqual(t, decodeReply(encodeReply(&reply)), reply)
--- a/internal/exchange/loads.go
+++ b/internal/exchange/loads.go
@@ -55,7 +55,7 @@
 	n := min(len(p.GetEndpoints()), len(p.GetRequests()), len(p.GetUnread()))
 	out := make(balance.Loads, n)
 	for i := range n {
-		out[rendezvous.Short(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * prefillUnit}
+		out[rendezvous.ShortKey(p.Endpoints[i])] = balance.Load{Requests: int(p.Requests[i]), PendingPrefill: int(p.Unread[i]) * prefillUnit}
 	}
 	return out
 }
--- a/internal/exchange/loads_test.go
+++ b/internal/exchange/loads_test.go
@@ -16,12 +16,12 @@
 func TestOthersLoadsExcludeOwn(t *testing.T) {
 	h := NewHub(reportInterval)
 	a, b := newReport("a", 0, 2, 0), newReport("b", 0, 5, 0)
-	a.Soft.Load[rendezvous.ShortOf("only a's")] = balance.Load{Requests: 1, PendingPrefill: 640}
+	a.Soft.Load[rendezvous.ShortKeyOf("only a's")] = balance.Load{Requests: 1, PendingPrefill: 640}
 	h.Add(start, 0, a)
 	h.Add(start, 0, b)
 	assert.DeepEqual(t, h.Loads(start, "a").Others(), balance.Loads{testEndpoint: {Requests: 5}})
 	assert.DeepEqual(t, h.Loads(start, "b").Others(), balance.Loads{
-		testEndpoint: {Requests: 2}, rendezvous.ShortOf("only a's"): {Requests: 1, PendingPrefill: 640},
+		testEndpoint: {Requests: 2}, rendezvous.ShortKeyOf("only a's"): {Requests: 1, PendingPrefill: 640},
 	})
 	assert.Equal(t, len(h.Loads(start, "new").Others()), 2)
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -47,7 +47,7 @@
 	Removed []string
 	// Keys, unless empty, are the short keys of all names in the set: the reader must
 	// remove a name whose key is missing.
-	Keys []rendezvous.Short
+	Keys []rendezvous.ShortKey
 }
 
 // Empty reports whether the update changes nothing.
@@ -145,10 +145,10 @@
 // afterRevision returns the items set after a revision of the source, and the keys of all
 // names.
 func (l *Log) afterRevision(revision uint64) Update {
-	u := Update{To: l.position, Keys: make([]rendezvous.Short, 0, len(l.items))}
+	u := Update{To: l.position, Keys: make([]rendezvous.ShortKey, 0, len(l.items))}
 	for _, name := range slices.Sorted(maps.Keys(l.items)) {
 		e := l.items[name]
-		u.Keys = append(u.Keys, rendezvous.ShortOf(name))
+		u.Keys = append(u.Keys, rendezvous.ShortKeyOf(name))
 		if e.revision > revision || e.revision == 0 {
 			u.Items = append(u.Items, Item{Name: name, Spec: e.spec, Revision: e.revision})
 		}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -57,7 +57,7 @@
 				r.items = map[string]string{}
 			}
 			for name := range r.items {
-				if len(u.Keys) > 0 && !slices.Contains(u.Keys, rendezvous.ShortOf(name)) {
+				if len(u.Keys) > 0 && !slices.Contains(u.Keys, rendezvous.ShortKeyOf(name)) {
 					delete(r.items, name)
 				}
 			}
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -85,7 +85,7 @@
 		return
 	}
 	now := c.node.clock.Now()
-	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.Born), key))
+	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.StartedAt), key))
 }
 
 // state reports whether an endpoint is listed, and whether it has said that it
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -81,7 +81,7 @@
 		}
 		d.inEra(objects.EraOf(revision), len(list))
 		d.roster.Replace(now, list)
-		d.roster.Reached(revision)
+		d.roster.Applied(revision)
 		d.roster.CaughtUp()
 		d.listed = true
 	})
@@ -120,7 +120,7 @@
 				d.roster.Upsert(e)
 			}
 		}
-		d.roster.Reached(revision)
+		d.roster.Applied(revision)
 		d.roster.CaughtUp()
 	})
 }
@@ -155,7 +155,7 @@
 // Recovered implements follow.Handler.
 func (d *endpointDuty) Recovered(failed time.Time) {
 	d.node.say("endpoints").Info("store is back")
-	d.update(func(time.Time) { d.roster.Returned(failed) })
+	d.update(func(time.Time) { d.roster.OutageEnded(failed) })
 }
 
 // decode reads an entry. One that names no endpoint is said once, and ends the
@@ -219,7 +219,7 @@
 			d.removeOthers(now, u.Keys)
 		}
 		if !older {
-			d.roster.Reached(u.To.Revision)
+			d.roster.Applied(u.To.Revision)
 		}
 		d.listed = true
 	})
@@ -227,13 +227,13 @@
 
 // removeOthers removes the endpoints that have none of some keys. The lock is
 // held.
-func (d *endpointDuty) removeOthers(now time.Time, keys []rendezvous.Short) {
-	there := make(map[rendezvous.Short]bool, len(keys))
+func (d *endpointDuty) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
+	there := make(map[rendezvous.ShortKey]bool, len(keys))
 	for _, k := range keys {
 		there[k] = true
 	}
 	for _, e := range d.all {
-		if !there[rendezvous.ShortOf(string(e.ID))] {
+		if !there[rendezvous.ShortKeyOf(string(e.ID))] {
 			d.roster.Remove(now, e.ID)
 		}
 	}
@@ -260,7 +260,7 @@
 func (d *endpointDuty) upTo() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.roster.Complete()
+	return d.roster.CompleteRevision()
 }
 
 // since returns what leads another daemon to this one's list.
@@ -346,7 +346,7 @@
 		s := d.specs[d.all[i].ID]
 		items[i] = feed.Item{Name: string(d.all[i].ID), Spec: s.text, Revision: s.revision}
 	}
-	d.log.Set(d.roster.Complete(), items)
+	d.log.Set(d.roster.CompleteRevision(), items)
 }
 
 // pruneSpecs forgets the entries of endpoints that are gone, some at a time. The lock is
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -67,7 +67,7 @@
 	d.heard(&feed.Update{
 		To:    feed.Position{Epoch: 1, Seq: 4, Revision: 8},
 		Items: []feed.Item{{Name: "c", Spec: []byte(`"c"`), Revision: 7}},
-		Keys:  []rendezvous.Short{rendezvous.ShortOf("a"), rendezvous.ShortOf("c")},
+		Keys:  []rendezvous.ShortKey{rendezvous.ShortKeyOf("a"), rendezvous.ShortKeyOf("c")},
 	})
 	assert.DeepEqual(t, addresses(d), map[fleet.EndpointID]string{"a": "a", "c": "c"})
 	assert.Equal(t, d.upTo(), uint64(8))
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -17,7 +17,7 @@
 }
 
 // Cut implements relay.Observer.
-func (o *observer) Cut(c ends.Cut) { o.node.crashes.watch.Cut(c) }
+func (o *observer) Cut(c ends.Disconnect) { o.node.crashes.watch.Disconnected(c) }
 
 // Ended implements relay.Observer.
 func (o *observer) Ended(out *relay.Outcome) {
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -61,7 +61,7 @@
 	var e versionedEndpoint
 	err := json.Unmarshal(o.Spec, &e)
 	return roster.Endpoint{
-		ID: fleet.EndpointID(o.Name), Service: "s", Address: e.Address, Version: e.Version, Slots: 64, Born: time.UnixMilli(e.Born),
+		ID: fleet.EndpointID(o.Name), Service: "s", Address: e.Address, Version: e.Version, Slots: 64, StartedAt: time.UnixMilli(e.Born),
 	}, err
 }
 
--- a/internal/progress/within.go
+++ b/internal/progress/bounds.go
@@ -8,19 +8,19 @@
 
 // Bounds bound a transfer.
 type Bounds struct {
-	First   time.Duration // until its first byte
-	Silence time.Duration // between two looks at it, in which at least a byte must come
-	Total   time.Duration // for all of it
+	FirstByte time.Duration // until its first byte
+	Idle      time.Duration // between two looks at it, in which at least a byte must come
+	Total     time.Duration // for all of it
 }
 
-// Within returns a context for a transfer that a meter counts. It ends with
+// WithBounds returns a context for a transfer that a meter counts. It ends with
 // context.DeadlineExceeded as its cause where a bound is passed.
-func Within(ctx context.Context, m *Meter, b Bounds) (context.Context, context.CancelFunc) {
+func WithBounds(ctx context.Context, m *Meter, b Bounds) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, b.Total)
 	ctx, end := context.WithCancelCause(ctx)
-	w := &watchdog{meter: m, silence: b.Silence, end: end, bytes: m.Bytes()}
+	w := &watchdog{meter: m, idle: b.Idle, end: end, bytes: m.Bytes()}
 	w.mu.Lock()
-	w.timer = time.AfterFunc(b.First, w.look)
+	w.timer = time.AfterFunc(b.FirstByte, w.check)
 	w.mu.Unlock()
 	return ctx, func() {
 		w.stop()
@@ -29,9 +29,9 @@
 	}
 }
 
-// Ended returns why a call under a context ended: the cause of the context's end,
+// CauseOf returns why a call under a context ended: the cause of the context's end,
 // where there is one, and otherwise the call's own error.
-func Ended(ctx context.Context, err error) error {
+func CauseOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
@@ -40,9 +40,9 @@
 
 // watchdog ends a transfer that has come no further between two looks.
 type watchdog struct {
-	meter   *Meter
-	silence time.Duration
-	end     context.CancelCauseFunc
+	meter *Meter
+	idle  time.Duration
+	end   context.CancelCauseFunc
 
 	mu      sync.Mutex
 	timer   *time.Timer
@@ -50,7 +50,7 @@
 	stopped bool
 }
 
-func (w *watchdog) look() {
+func (w *watchdog) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	bytes := w.meter.Bytes()
@@ -58,7 +58,7 @@
 	case w.stopped:
 	case bytes > w.bytes:
 		w.bytes = bytes
-		w.timer.Reset(w.silence)
+		w.timer.Reset(w.idle)
 	default:
 		w.end(context.DeadlineExceeded)
 	}
--- a/internal/prompt/leading_test.go
+++ b/internal/prompt/leading_blocks_test.go
@@ -26,7 +26,7 @@
 		}
 		model := fleet.ModelRef{Model: "m", Adapter: "a", Version: "1"}
 		tokens := Tokens(Render(messages))
-		got, n := Leading(model, messages, nil)
+		got, n := LeadingBlocks(model, messages, nil)
 		assert.Equal(t, n, len(tokens))
 		assert.DeepEqual(t, append([]uint64{}, got...), Blocks(model, tokens))
 	})
@@ -41,7 +41,7 @@
 	dst := make([]uint64, 0, 256)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, n := Leading(fleet.ModelRef{Model: "m"}, messages, dst[:0])
+		_, n := LeadingBlocks(fleet.ModelRef{Model: "m"}, messages, dst[:0])
 		b.SetBytes(int64(n))
 	}
 }
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -33,7 +33,7 @@
 		return a, notRun(NoRoute, 0)
 	}
 	a.priority = a.route.Priority
-	if s.table.Closed() && !a.route.Public {
+	if s.table.RequiresCredential() && !a.route.Public {
 		a.workspace = s.table.Workspace(r.Key)
 		if a.workspace == nil {
 			return a, notRun(UnknownKey, 0)
--- a/internal/relay/cut.go
+++ b/internal/relay/cut.go
@@ -25,8 +25,8 @@
 func (f *inflight) reportCut(t *trackedAttempt) {
 	f.outcome.RequestKey = f.key()
 	e := &t.choice.Endpoint
-	f.relay.observer.Cut(ends.Cut{
-		Endpoint: e.ID, Born: e.Born, Address: e.Address, Request: f.outcome.RequestKey, Sent: t.sent, Begun: t.firstPieceSeen,
+	f.relay.observer.Cut(ends.Disconnect{
+		Endpoint: e.ID, StartedAt: e.StartedAt, Address: e.Address, Request: f.outcome.RequestKey, Sent: t.sent, AnswerBegun: t.firstPieceSeen,
 	})
 }
 
--- a/internal/relay/cut_test.go
+++ b/internal/relay/cut_test.go
@@ -19,7 +19,7 @@
 	cuts := s.recorder.cuts
 	assert.Equal(t, len(cuts), 6)
 	for _, c := range cuts {
-		assert.Assert(t, !c.Begun)
+		assert.Assert(t, !c.AnswerBegun)
 	}
 	assert.Equal(t, cuts[0].Request, cuts[3].Request)
 	assert.Assert(t, cuts[0].Request != cuts[4].Request)
@@ -32,7 +32,7 @@
 	s := newFixture(t, testRoutes(), alwaysAnswers(streamHead()+chunk("id: 1\ndata: a\n\nid: 2\ndata: cut")))
 	s.send(t.Context(), "/once/1")
 	assert.Equal(t, len(s.recorder.cuts), 1)
-	assert.Assert(t, s.recorder.cuts[0].Begun)
+	assert.Assert(t, s.recorder.cuts[0].AnswerBegun)
 }
 
 // A caller leaves, and the connection to the endpoint is closed for that reason. It
--- a/internal/relay/inflight_test.go
+++ b/internal/relay/inflight_test.go
@@ -86,7 +86,7 @@
 type recorder struct {
 	mu    sync.Mutex
 	begun int
-	cuts  []ends.Cut
+	cuts  []ends.Disconnect
 	last  Outcome
 	held  map[quarantine.Key]time.Duration
 	ran   []quarantine.Key
@@ -110,7 +110,7 @@
 	r.begun++
 }
 
-func (r *recorder) Cut(c ends.Cut) {
+func (r *recorder) Cut(c ends.Disconnect) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts = append(r.cuts, c)
@@ -446,7 +446,7 @@
 		}
 		s := newFixture(t, testRoutes(), &engine{script: script})
 		restart := func(born time.Time) {
-			s.state.SetEndpoints(time.Now(), []roster.Endpoint{{ID: "e0", Service: "s", Address: "e0", Slots: 8, DataCentre: "a", Born: born}})
+			s.state.SetEndpoints(time.Now(), []roster.Endpoint{{ID: "e0", Service: "s", Address: "e0", Slots: 8, DataCentre: "a", StartedAt: born}})
 		}
 		restart(time.Unix(1000, 0))
 		began := time.Now()
--- a/internal/relay/outcome.go
+++ b/internal/relay/outcome.go
@@ -88,6 +88,6 @@
 	// Began reports that an endpoint began to run a workspace's request.
 	Began(w fleet.WorkspaceID, at time.Time)
 	// Cut reports that an endpoint's connection ended during a request.
-	Cut(c ends.Cut)
+	Cut(c ends.Disconnect)
 	Ended(o *Outcome)
 }
--- a/internal/relay/rollouts.go
+++ b/internal/relay/rollouts.go
@@ -171,7 +171,7 @@
 		t.counter.AddRunning(-1)
 	}
 	failed := t.inflight.outcome.Failed
-	if !failed && o != balance.Answered || now.Before(t.choice.Endpoint.SlowUntil) {
+	if !failed && o != balance.Answered || now.Before(t.choice.Endpoint.WarmUpEnd) {
 		return // an incomplete answer or an endpoint that warms up is no evidence about a version
 	}
 	newEndpoint := ""
--- a/internal/relay/rollouts_test.go
+++ b/internal/relay/rollouts_test.go
@@ -24,7 +24,7 @@
 	var all []roster.Endpoint
 	for i, version := range []string{"v1", "v1", "v2", "v2"} {
 		id := fleet.EndpointID(rune('a' + i))
-		all = append(all, roster.Endpoint{ID: id, Service: "s", Address: string(id), Version: version, Slots: 4, Born: now.Add(time.Duration(i) * time.Second)})
+		all = append(all, roster.Endpoint{ID: id, Service: "s", Address: string(id), Version: version, Slots: 4, StartedAt: now.Add(time.Duration(i) * time.Second)})
 	}
 	s.SetEndpoints(now, all)
 	for range 100 {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -11,22 +11,22 @@
 
 // Score returns the weight of node for key; the greatest wins.
 func Score(key uint64, node string) uint64 {
-	return Mix(key, xxh3.HashString(node))
+	return ScoreHashed(key, xxh3.HashString(node))
 }
 
-// Mix is Score for a node whose name was hashed with Key before.
-func Mix(key, node uint64) uint64 { return mix(key ^ node) }
+// ScoreHashed is Score for a node whose name was hashed with Key before.
+func ScoreHashed(key, node uint64) uint64 { return mix(key ^ node) }
 
 // Key hashes a string key.
 func Key(key string) uint64 { return xxh3.HashString(key) }
 
-// Short is 32 bits of a key, for messages that name hundreds of things: four
+// ShortKey is 32 bits of a key, for messages that name hundreds of things: four
 // bytes in place of a name's dozen. Among 690 names, two have the same one time
 // in 18,000; who reads the message then takes them for one.
-type Short uint32
+type ShortKey uint32
 
-// ShortOf returns a name's short key.
-func ShortOf(name string) Short { return Short(Key(name)) }
+// ShortKeyOf returns a name's short key.
+func ShortKeyOf(name string) ShortKey { return ShortKey(Key(name)) }
 
 // mix is the finaliser of splitmix64: it spreads the XOR of two hashes.
 func mix(x uint64) uint64 {
--- a/internal/roster/endpoint.go
+++ b/internal/roster/endpoint.go
@@ -16,14 +16,14 @@
 	Slots      int    // requests at once
 	Draining   bool
 	Spot       bool // of the reclaimable class
-	// SlowUntil is when a started endpoint has its full speed.
-	SlowUntil time.Time
-	// Born is when it started, zero where it isn't told: a later one under the
+	// WarmUpEnd is when a started endpoint has its full speed.
+	WarmUpEnd time.Time
+	// StartedAt is when it started, zero where it isn't told: a later one under the
 	// same ID has started again and holds and knows nothing of before.
-	Born time.Time
+	StartedAt time.Time
 }
 
 // RestartedAs reports whether another entry under the same ID is of a later start.
 func (e *Endpoint) RestartedAs(other *Endpoint) bool {
-	return !e.Born.IsZero() && other.Born.After(e.Born)
+	return !e.StartedAt.IsZero() && other.StartedAt.After(e.StartedAt)
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -14,7 +14,7 @@
 	return len(all)
 }
 
-func TestRemovedAtOnceInQuietTimes(t *testing.T) {
+func TestRemovedAtOnceWithoutAnOutage(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
 	r.Remove(start, "a")
@@ -24,22 +24,22 @@
 // The registry was down for longer than entries last. When it answers again
 // its list is empty though every endpoint lives. Dropped at once, all requests
 // would be refused until the endpoints have registered again.
-func TestLapsedWithTheRegistryCountsUntilGraceIsOver(t *testing.T) {
+func TestExpiredInAnOutageIsKeptDuringTheGrace(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "lives"})
 	r.Upsert(Endpoint{ID: "died"})
 	r.Upsert(Endpoint{ID: "leaving", Draining: true})
-	r.Returned(start)
+	r.OutageEnded(start)
 	r.Replace(start, nil)
 	assert.Equal(t, count(r), 2)
 	r.Upsert(Endpoint{ID: "lives"})
-	r.Tick(start.Add(ReturnGrace))
+	r.Tick(start.Add(OutageGrace))
 	all, _ := r.Snapshot()
 	assert.Equal(t, len(all), 1)
 	assert.Equal(t, string(all[0].ID), "lives")
 }
 
-func TestSnapshotTellsOfChanges(t *testing.T) {
+func TestSnapshotReportsChanges(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
 	_, changed := r.Snapshot()
@@ -52,15 +52,15 @@
 // Seconds after its return an endpoint's entry is removed. Kept until the
 // grace is over, it would be sent requests for longer than a leaving endpoint
 // may be.
-func TestRemovalAfterTheReturnIsNotHeldForTheWholeGrace(t *testing.T) {
+func TestRemovalAfterTheOutageIsHeldShorterThanTheGrace(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
-	r.Returned(start)
+	r.OutageEnded(start)
 	r.CaughtUp()
 	removed := start.Add(300 * time.Millisecond)
 	r.Remove(removed, "a")
 	assert.Equal(t, count(r), 1)
-	r.Tick(removed.Add(LapseHold))
+	r.Tick(removed.Add(RemovalHold))
 	assert.Equal(t, count(r), 0)
 }
 
@@ -71,7 +71,7 @@
 func TestGraceCountsFromTheLastFailedCall(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
-	r.Returned(start.Add(12900 * time.Millisecond))
+	r.OutageEnded(start.Add(12900 * time.Millisecond))
 	r.Replace(start.Add(14100*time.Millisecond), nil)
 	assert.Equal(t, count(r), 1)
 	r.Tick(start.Add(15800 * time.Millisecond))
@@ -81,20 +81,20 @@
 // The registry returns from an outage, and an entry's end is held back since the
 // endpoint may have lapsed with the registry. Who goes on from this roster must
 // start before that end, or would never hear of it.
-func TestCompleteWaitsForWhatIsHeldBack(t *testing.T) {
+func TestCompleteRevisionWaitsForHeldRemovals(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
-	r.Reached(7)
-	assert.Equal(t, r.Complete(), uint64(7))
-	r.Returned(start)
+	r.Applied(7)
+	assert.Equal(t, r.CompleteRevision(), uint64(7))
+	r.OutageEnded(start)
 	r.CaughtUp()
 	r.Remove(start, "a")
-	r.Reached(9)
-	assert.Equal(t, r.Complete(), uint64(7))
-	r.Tick(start.Add(LapseHold - time.Millisecond))
-	assert.Equal(t, r.Complete(), uint64(7))
-	r.Tick(start.Add(LapseHold))
-	assert.Equal(t, r.Complete(), uint64(9))
+	r.Applied(9)
+	assert.Equal(t, r.CompleteRevision(), uint64(7))
+	r.Tick(start.Add(RemovalHold - time.Millisecond))
+	assert.Equal(t, r.CompleteRevision(), uint64(7))
+	r.Tick(start.Add(RemovalHold))
+	assert.Equal(t, r.CompleteRevision(), uint64(9))
 	assert.Equal(t, count(r), 0)
 }
 
@@ -103,10 +103,10 @@
 // away for what is gone.
 func TestEarlierStartNeverReplacesALaterOne(t *testing.T) {
 	r := New()
-	r.Upsert(Endpoint{ID: "a", Address: "old", Born: start})
-	r.Upsert(Endpoint{ID: "a", Address: "new", Born: start.Add(time.Minute)})
-	r.Upsert(Endpoint{ID: "a", Address: "old", Born: start})
-	r.Replace(start, []Endpoint{{ID: "a", Address: "old", Born: start, Draining: true}})
+	r.Upsert(Endpoint{ID: "a", Address: "old", StartedAt: start})
+	r.Upsert(Endpoint{ID: "a", Address: "new", StartedAt: start.Add(time.Minute)})
+	r.Upsert(Endpoint{ID: "a", Address: "old", StartedAt: start})
+	r.Replace(start, []Endpoint{{ID: "a", Address: "old", StartedAt: start, Draining: true}})
 	all, _ := r.Snapshot()
 	assert.Equal(t, all[0].Address, "new")
 	assert.Assert(t, !all[0].Draining)
@@ -115,19 +115,19 @@
 // An endpoint says that it leaves, and later it is gone. The registry comes back
 // from a copy some seconds old, in which it is there and doesn't leave. It must
 // get no requests; one that has started again under its name must.
-func TestEndpointThatHasLeftStaysSo(t *testing.T) {
+func TestAnnouncedLeaveIsFinal(t *testing.T) {
 	r := New()
 	born := start
 	for _, gone := range []bool{false, true} {
-		r.Upsert(Endpoint{ID: "a", Born: born, Draining: true})
+		r.Upsert(Endpoint{ID: "a", StartedAt: born, Draining: true})
 		if gone {
 			r.Remove(start, "a")
 		}
-		r.Upsert(Endpoint{ID: "a", Born: born})
+		r.Upsert(Endpoint{ID: "a", StartedAt: born})
 		all, _ := r.Snapshot()
 		assert.Assert(t, len(all) == 0 || all[0].Draining, "gone %v: %+v", gone, all)
 	}
-	r.Upsert(Endpoint{ID: "a", Born: born.Add(time.Second)})
+	r.Upsert(Endpoint{ID: "a", StartedAt: born.Add(time.Second)})
 	all, _ := r.Snapshot()
 	assert.Equal(t, len(all), 1)
 	assert.Assert(t, !all[0].Draining)
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -28,7 +28,7 @@
 
 // Scaling says how many endpoints a service may have and what they cost.
 type Scaling struct {
-	Min, Max   int // in each data centre, of both classes together
-	BootTime   time.Duration
-	DataCentre map[fleet.DataCentre]float64
+	Min, Max       int // in each data centre, of both classes together
+	BootTime       time.Duration
+	OnDemandPrices map[fleet.DataCentre]float64
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -69,5 +69,5 @@
 // Workspace returns the workspace that holds a key, nil where none does.
 func (t *Table) Workspace(key string) *Workspace { return t.byKey[key] }
 
-// Closed reports whether requests need a credential.
-func (t *Table) Closed() bool { return len(t.Workspaces) > 0 }
+// RequiresCredential reports whether requests need a credential.
+func (t *Table) RequiresCredential() bool { return len(t.Workspaces) > 0 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, r.Backend(0.9999999), "b")
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestRepeatableByKind(t *testing.T) {
 	assert.Assert(t, (&Route{Kind: Idempotent}).Repeatable())
 	assert.Assert(t, !(&Route{Kind: NonIdempotent, Resumable: true}).Repeatable())
 	assert.Assert(t, (&Route{Kind: Streaming, Resumable: true}).Repeatable())
--- a/internal/scale/directory_bench_test.go
+++ b/internal/scale/directory_bench_test.go
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			now := time.Unix(0, 0)
 			before := heapBytes()
-			d := directory.New(directory.Config{MaxEntries: entries, Running: time.Hour, Finished: time.Hour})
+			d := directory.New(directory.Config{MaxEntries: entries, RunningTTL: time.Hour, FinishedTTL: time.Hour})
 			n := 0
 			register := func() {
 				d.Register(now, directory.Holding{
@@ -49,7 +49,7 @@
 				serving = append(serving, fmt.Sprintf("entry-%d", i))
 			}
 			for b.Loop() {
-				directory.Owners("01a23812-59f2-7c0b-bbeb-341182c86a96", serving, directory.Copies)
+				directory.Owners("01a23812-59f2-7c0b-bbeb-341182c86a96", serving, directory.Replicas)
 			}
 		})
 	}
--- a/internal/scaling/excess_test.go
+++ b/internal/scaling/excess_test.go
@@ -28,7 +28,7 @@
 	return &oversizedFleet{
 		service: &route.Service{
 			Engine:  &route.Engine{Slots: 16},
-			Scaling: &route.Scaling{Min: least, Max: 2 * each, BootTime: simBootTime, DataCentre: prices},
+			Scaling: &route.Scaling{Min: least, Max: 2 * each, BootTime: simBootTime, OnDemandPrices: prices},
 		},
 		planner: New(), serving: serving, now: start,
 	}
--- a/internal/scaling/ondemand.go
+++ b/internal/scaling/ondemand.go
@@ -41,7 +41,7 @@
 // maxUtilisation, whichever is more.
 func (p *Planner) onDemandNeeded(now time.Time, s *Sample) int {
 	horizon := s.Service.Scaling.BootTime + bootSlack
-	covered := p.supply.hazard.lossesToCover(now, horizon, len(s.Service.Scaling.DataCentre))
+	covered := p.supply.hazard.lossesToCover(now, horizon, len(s.Service.Scaling.OnDemandPrices))
 	all := p.reclaimableAfter(now, s, 0, true)
 	remaining := p.reclaimableAfter(now, s, covered, true)
 	lost := float64(all-remaining) / float64(max(all+p.onDemandPresent(now, s), 1))
@@ -60,7 +60,7 @@
 // start count.
 func (p *Planner) reclaimableAfter(now time.Time, s *Sample, losses int, starting bool) int {
 	var counts []int
-	for dc := range s.Service.Scaling.DataCentre {
+	for dc := range s.Service.Scaling.OnDemandPrices {
 		place := Place{dc, true}
 		n := s.Serving[place]
 		if starting {
@@ -79,7 +79,7 @@
 // onDemandPresent returns the number of on-demand endpoints that serve or start.
 func (p *Planner) onDemandPresent(now time.Time, s *Sample) int {
 	n := 0
-	for dc := range s.Service.Scaling.DataCentre {
+	for dc := range s.Service.Scaling.OnDemandPrices {
 		place := Place{dc, false}
 		n += s.Serving[place] + p.supply.starting(now, s, place)
 	}
@@ -112,7 +112,7 @@
 
 // byPrice returns the data centres, the cheapest first.
 func byPrice(s *Sample) []fleet.DataCentre {
-	prices := s.Service.Scaling.DataCentre
+	prices := s.Service.Scaling.OnDemandPrices
 	return slices.SortedFunc(maps.Keys(prices), func(a, b fleet.DataCentre) int {
 		return cmp.Or(cmp.Compare(prices[a], prices[b]), cmp.Compare(a, b))
 	})
--- a/internal/scaling/planner.go
+++ b/internal/scaling/planner.go
@@ -37,7 +37,7 @@
 // It returns none before the endpoints found at the start are known, and none for a
 // service that isn't scaled.
 func (p *Planner) Plan(now time.Time, s *Sample) []Order {
-	if s.Service.Scaling == nil || len(s.Service.Scaling.DataCentre) == 0 {
+	if s.Service.Scaling == nil || len(s.Service.Scaling.OnDemandPrices) == 0 {
 		return nil
 	}
 	p.supply.observe(now, s)
@@ -47,7 +47,7 @@
 	p.updateLoad(now, s)
 	p.updateReclaimable(now, s)
 	wanted := map[Place]int{}
-	for dc := range s.Service.Scaling.DataCentre {
+	for dc := range s.Service.Scaling.OnDemandPrices {
 		wanted[Place{dc, true}] = min(p.perDataCentre, p.reclaimableRoom(s, dc))
 	}
 	p.addOnDemand(now, s, wanted)
@@ -157,7 +157,7 @@
 // rises at once. It falls only after scaleDownDelay, by half of the difference or to
 // maxExcess times the wanted number, whichever is less.
 func (p *Planner) updateReclaimable(now time.Time, s *Sample) {
-	dataCentres := len(s.Service.Scaling.DataCentre)
+	dataCentres := len(s.Service.Scaling.OnDemandPrices)
 	remaining := max(dataCentres-toleratedLosses, 1)
 	need := p.estimatedNeed()
 	want := int(math.Ceil(need / float64(remaining)))
@@ -197,7 +197,7 @@
 // yet, or whose endpoints are still missing after the boot time.
 func (p *Planner) dueOrders(now time.Time, s *Sample, wanted map[Place]int) []Order {
 	var out []Order
-	for _, dc := range slices.Sorted(maps.Keys(s.Service.Scaling.DataCentre)) {
+	for _, dc := range slices.Sorted(maps.Keys(s.Service.Scaling.OnDemandPrices)) {
 		for _, spot := range [...]bool{true, false} {
 			place := Place{dc, spot}
 			o := Order{place, wanted[place]}
--- a/internal/scaling/planner_test.go
+++ b/internal/scaling/planner_test.go
@@ -17,7 +17,7 @@
 		Engine: &route.Engine{Slots: 48},
 		Scaling: &route.Scaling{
 			Min: 1, Max: 10, BootTime: 4 * time.Second,
-			DataCentre: map[fleet.DataCentre]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
+			OnDemandPrices: map[fleet.DataCentre]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
 		},
 	}
 }
--- a/internal/scaling/simulation_test.go
+++ b/internal/scaling/simulation_test.go
@@ -103,7 +103,7 @@
 			Engine: &route.Engine{Slots: 10},
 			Scaling: &route.Scaling{
 				Min: 1, Max: 10, BootTime: simBootTime,
-				DataCentre: map[fleet.DataCentre]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
+				OnDemandPrices: map[fleet.DataCentre]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
 			},
 		},
 		Serving: map[Place]int{}, Leaving: map[Place]int{}, Seconds: simStep.Seconds(),
@@ -164,7 +164,7 @@
 
 // addCosts adds the shortfall and the cost of a step.
 func (p *simulation) addCosts() {
-	prices := p.sample().Service.Scaling.DataCentre
+	prices := p.sample().Service.Scaling.OnDemandPrices
 	serving := 0.0
 	kept := p.batches[:0]
 	for _, b := range p.batches {
--- a/internal/scaling/supply.go
+++ b/internal/scaling/supply.go
@@ -41,7 +41,7 @@
 // whose endpoints are all leaving counts too: the previous planner may have failed
 // during a wave.
 func (sup *supply) observe(now time.Time, s *Sample) {
-	for dc := range s.Service.Scaling.DataCentre {
+	for dc := range s.Service.Scaling.OnDemandPrices {
 		place := Place{dc, true}
 		st := sup.state(place)
 		serving, leaving := s.Serving[place], s.Leaving[place]
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -15,7 +15,7 @@
 
 func TestWindowIsFrozenThenSentOnce(t *testing.T) {
 	r := NewReporter(window)
-	now := time.Unix(5000, 0).Add(settle)
+	now := time.Unix(5000, 0).Add(settleDelay)
 	counts := func(id uint64) map[fleet.WorkspaceID]uint64 { return map[fleet.WorkspaceID]uint64{"w": id} }
 	assert.Equal(t, r.Next(now, now, counts).Kind, Read)
 	assert.Equal(t, r.Next(now, now, counts).Kind, Nothing) // one call at a time
@@ -41,7 +41,7 @@
 		var stored Record
 		reported := map[uint64]map[fleet.WorkspaceID]uint64{}
 		now := time.Unix(5000, 0)
-		seen := uint64(0)
+		count := uint64(0)
 		holders := []*Reporter{NewReporter(window), NewReporter(window)}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
@@ -50,9 +50,9 @@
 				holders[i] = NewReporter(window)
 			}
 			r := holders[i]
-			seen++
+			count++
 			a := r.Next(now, now, func(uint64) map[fleet.WorkspaceID]uint64 {
-				return map[fleet.WorkspaceID]uint64{"w": seen}
+				return map[fleet.WorkspaceID]uint64{"w": count}
 			})
 			lost := rapid.IntRange(0, 3).Draw(t, "lost") // 0: before the effect, 1: after it
 			switch a.Kind {
--- a/internal/usage/return_test.go
+++ b/internal/usage/rollback_test.go
@@ -12,8 +12,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// kept is the record as a store holds it.
-type kept struct {
+// storedRecord is the record as a store holds it.
+type storedRecord struct {
 	counter uint64
 	record  Record
 }
@@ -21,45 +21,45 @@
 // The store comes back from a copy some seconds old: a record that was frozen and
 // sent is gone. Whoever holds the duty then, the same one or another, must not
 // report that window with other counts.
-func TestNoWindowIsReportedWithTwoCountsThoughTheStoreForgets(t *testing.T) {
+func TestNoWindowIsReportedWithTwoCountsAfterAStoreRollback(t *testing.T) {
 	returns, reports := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		era := uint64(1)
-		var now kept
-		copied := now
+		var stored storedRecord
+		copied := stored
 		reported := map[uint64]map[fleet.WorkspaceID]uint64{}
 		clock := time.Unix(5000, 0)
 		r := NewReporter(window)
-		seen := uint64(0)
+		count := uint64(0)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			clock = clock.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 19).Draw(t, "event") {
 			case 0:
 				r = NewReporter(window) // another holder, or the same after it lost the lease
 			case 1, 2:
-				copied = now
+				copied = stored
 			case 3:
 				if copied.counter > 0 {
-					era, now = era+1, copied
+					era, stored = era+1, copied
 					returns++
 				}
 			}
-			seen++
-			revision := objects.RevisionIn(era, now.counter)
+			count++
+			revision := objects.RevisionIn(era, stored.counter)
 			a := r.Next(clock, clock, func(uint64) map[fleet.WorkspaceID]uint64 {
-				return map[fleet.WorkspaceID]uint64{"w": seen}
+				return map[fleet.WorkspaceID]uint64{"w": count}
 			})
 			switch a.Kind {
 			case Read:
-				r.Found(revision, Record{Window: now.record.Window, Begun: maps.Clone(now.record.Begun), Era: now.record.Era})
+				r.Found(revision, Record{Window: stored.record.Window, Begun: maps.Clone(stored.record.Begun), Era: stored.record.Era})
 			case Freeze:
 				if a.Revision != revision {
 					r.Unsure(clock)
 					continue
 				}
 				a.Record.Era = era
-				now = kept{now.counter + 1, a.Record}
-				r.Frozen(objects.RevisionIn(era, now.counter), a.Record)
+				stored = storedRecord{stored.counter + 1, a.Record}
+				r.Frozen(objects.RevisionIn(era, stored.counter), a.Record)
 			case Send:
 				if old, ok := reported[a.Record.Window]; ok {
 					assert.DeepEqual(t, old, a.Record.Begun)
@@ -76,9 +76,9 @@
 }
 
 // Nothing is left out where the store has not come back from a copy.
-func TestNewHolderGoesOnInTheSameEra(t *testing.T) {
+func TestNewHolderContinuesInTheSameEra(t *testing.T) {
 	r := NewReporter(window)
-	now := time.Unix(5000, 0).Add(settle)
+	now := time.Unix(5000, 0).Add(settleDelay)
 	r.Next(now, now, nil)
 	r.Found(objects.RevisionIn(3, 7), Record{Window: 998, Era: 3})
 	r.Next(now, now, nil)
