--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,7 +1,8 @@
-// Package directory remembers which daemon holds which request. Each request
-// has a few directory daemons, the first by rendezvous of its id, so finding a
-// request costs the same number of messages whatever the fleet's size. It is a
-// decision package: soft state, bounded, rebuilt by holders when it is lost.
+// Package directory records which instance holds a request. The entry of a request
+// is kept by a few daemons, selected by rendezvous hashing of its id, so a lookup
+// takes the same number of messages in a fleet of any size. The directory is soft
+// state of limited size: holders register their requests again if it is lost. The
+// package does no I/O.
 package directory
 
 import (
@@ -12,10 +13,10 @@
 )
 
 const (
-	// Replicas is how many daemons keep a request's entry: one may die.
+	// Replicas is how many daemons keep a request's entry, so that one may fail.
 	Replicas = 2
-	// LookupFanout is how many daemons a lookup asks: the owners of now, and the one
-	// that was an owner before the last daemon came or went.
+	// LookupFanout is how many daemons a lookup asks: the current owners, and the
+	// one that was an owner before the last daemon was added or removed.
 	LookupFanout = 3
 )
 
@@ -24,36 +25,37 @@
 	Request   fleet.RequestID
 	Workspace fleet.WorkspaceID
 	Holder    fleet.InstanceID
-	Transfer  uint64 // number of the transfer that gave it to Holder; the greater wins
+	Transfer  uint64 // number of the transfer to Holder; the highest wins
 	Finished  bool
 }
 
-// Config bounds the directory.
+// Config sets the limits of the directory.
 type Config struct {
-	MaxEntries  int           // the oldest are forgotten first
-	RunningTTL  time.Duration // an entry of a running request lives so long
-	FinishedTTL time.Duration // and of a finished one so long
+	MaxEntries  int           // the oldest are dropped first
+	RunningTTL  time.Duration // time to live of a running request's entry
+	FinishedTTL time.Duration // time to live of a finished request's entry
 }
 
-// entry is a holding with its end of life.
+// entry is a holding with its expiry.
 type entry struct {
 	holding Holding
 	expires time.Time
 }
 
-// registration is a place in the order of insertion. It is stale when its entry was
-// registered again later.
+// registration is an element of the insertion order. It is stale if its request
+// was registered again later.
 type registration struct {
 	request fleet.RequestID
 	expires time.Time
 }
 
-// Directory is one daemon's part of the directory. Not safe for concurrent use.
+// Directory is one daemon's part of the directory. It is not safe for concurrent
+// use.
 type Directory struct {
 	config  Config
 	entries map[fleet.RequestID]entry
-	order   []registration // by time of registration; head is the first in use
-	head    int
+	order   []registration // by time of registration
+	head    int            // index in order of the oldest one; those before it are unused
 }
 
 // New returns an empty directory.
@@ -61,7 +63,8 @@
 	return &Directory{config: c, entries: make(map[fleet.RequestID]entry)}
 }
 
-// Register records h unless a later transfer is known, and returns what is known then.
+// Register records h unless a newer holding is recorded, and returns the recorded
+// holding.
 func (d *Directory) Register(now time.Time, h Holding) Holding {
 	if old, ok := d.lookup(now, h.Request); ok && outdated(h, old) {
 		return old
@@ -70,8 +73,9 @@
 	return h
 }
 
-// Claim records h if no other holder is known, and returns the holder. Two
-// daemons that were sent the same key at once thus agree on one of them.
+// Claim records h if the request has no holder, and returns the recorded holding.
+// Two daemons that receive the same idempotency key at once thus agree on one of
+// them.
 func (d *Directory) Claim(now time.Time, h Holding) Holding {
 	if old, ok := d.lookup(now, h.Request); ok {
 		return old
@@ -85,9 +89,9 @@
 	return d.lookup(now, id)
 }
 
-// Forget drops the claims of an instance that died without handing over, so
-// that a caller's next try with the same key runs instead of waiting for it.
-// Finished requests go as well: their answers died with the instance.
+// Forget drops the entries of an instance that failed without a hand-over, so that
+// a caller's retry with the same key runs instead of waiting for that instance.
+// Finished requests are dropped as well, since their answers are lost.
 func (d *Directory) Forget(holder fleet.InstanceID) {
 	for id, e := range d.entries {
 		if e.holding.Holder == holder {
@@ -96,11 +100,12 @@
 	}
 }
 
-// Len returns the number of entries, expired ones not yet dropped included.
+// Len returns the number of entries, including expired ones that aren't dropped
+// yet.
 func (d *Directory) Len() int { return len(d.entries) }
 
-// outdated reports whether h says less than old: an earlier transfer, or the
-// start of a request whose end is known.
+// outdated reports whether h is older than old: it is of an earlier transfer, or
+// says that a finished request is running.
 func outdated(h, old Holding) bool {
 	if h.Transfer != old.Transfer {
 		return h.Transfer < old.Transfer
@@ -127,7 +132,8 @@
 	d.evict(now)
 }
 
-// evict drops stale places, expired entries, and the oldest while there are too many.
+// evict drops stale registrations, expired entries, and the oldest entries beyond
+// the limit.
 func (d *Directory) evict(now time.Time) {
 	for d.head < len(d.order) {
 		first := d.order[d.head]
@@ -147,8 +153,8 @@
 	}
 }
 
-// Owners returns the n directory instances of a request among those that
-// serve, best first.
+// Owners returns the n instances that keep the entry of a request, best first.
+// instances are those that are serving.
 func Owners(id fleet.RequestID, instances []string, n int) []string {
 	return rendezvous.Rank(rendezvous.Key(string(id)), instances, n)
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -26,8 +26,8 @@
 	assert.Equal(t, d.Claim(start.Add(time.Minute), holdingOf("b", 0)).Holder, fleet.InstanceID("b"))
 }
 
-// A transfer's registration overtakes the origin's, which arrives late. A
-// caller that looks the request up must find the successor: the origin has let go.
+// The registration of a transfer arrives before the one of the origin. A lookup
+// must return the successor, since the origin no longer holds the request.
 func TestLateRegistrationDoesNotUndoTransfer(t *testing.T) {
 	d := New(config)
 	d.Register(start, holdingOf("successor", 1))
@@ -47,8 +47,8 @@
 	assert.Assert(t, !ok)
 }
 
-// A daemon dies with requests that callers then send again, under the same
-// key, elsewhere. The claims of the dead one must not bind the new attempt.
+// A daemon fails, and callers retry its requests with the same keys at other
+// daemons. The claims of the failed one must not block the retries.
 func TestForgetFreesTheClaimsOfADeadInstance(t *testing.T) {
 	d := New(config)
 	d.Claim(start, holdingOf("dead", 0))
--- a/internal/ends/disconnect.go
+++ b/internal/ends/disconnect.go
@@ -7,15 +7,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-// Disconnect is an attempt whose connection was ended from the endpoint's side before
-// its answer was whole.
+// Disconnect is an attempt whose connection was closed or reset by the endpoint
+// before the answer was complete.
 type Disconnect struct {
 	Endpoint  fleet.EndpointID
-	StartedAt time.Time // of the endpoint, zero where that isn't told
+	StartedAt time.Time // start of the endpoint, zero if unknown
 	Address   string
 	Request   quarantine.Key
 	Sent      time.Time
-	// AnswerBegun says that a piece of the answer had come: the endpoint had run it
-	// for a while.
+	// AnswerBegun is true if a piece of the answer was received, so the endpoint
+	// had already been running the request for a while.
 	AnswerBegun bool
 }
--- a/internal/ends/log.go
+++ b/internal/ends/log.go
@@ -7,12 +7,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-// LogEnd says that an endpoint ended, and under which requests.
+// LogEnd logs the crash of an endpoint with the suspected requests.
 func LogEnd(log *logrus.Entry, id fleet.EndpointID, c *quarantine.Crash) {
 	log.WithFields(logrus.Fields{"endpoint": id, "requests": names(c), "leaving": c.Void}).Warn("endpoint ended under requests")
 }
 
-// LogChange says which requests are held from now on, and which no longer.
+// LogChange logs the requests that are put in quarantine or released from it.
 func LogChange(log *logrus.Entry, t *quarantine.Table, c quarantine.Change) {
 	for _, k := range c.Held {
 		log.WithFields(logrus.Fields{"request": k.String(), "crashes": t.SuspectedIn(k)}).Error("request held: it crashes the endpoints that run it")
@@ -22,10 +22,10 @@
 	}
 }
 
-// maxNamed bounds the requests that a log line names.
+// maxNamed limits the requests in a log line.
 const maxNamed = 8
 
-// names returns the suspects of a crash for a log line.
+// names returns the suspected requests of a crash, at most maxNamed of them.
 func names(c *quarantine.Crash) []string {
 	all := c.Suspects[:min(len(c.Suspects), maxNamed)]
 	out := make([]string, len(all))
--- a/internal/ends/watch.go
+++ b/internal/ends/watch.go
@@ -12,44 +12,46 @@
 )
 
 const (
-	// queueSize bounds the cuts that wait: an endpoint's end cuts all that run
-	// there, some dozens at each daemon.
+	// queueSize is the capacity of each queue. A crash ends all connections to the
+	// endpoint, which are some dozens from each daemon.
 	queueSize = 256
-	// probeDelay is how long after a cut the endpoint is asked for: the ends of
-	// its other connections are a few milliseconds apart.
+	// probeDelay is the time from a disconnect to the probe of the endpoint: its
+	// other connections end within a few milliseconds.
 	probeDelay = 20 * time.Millisecond
-	// probeAge is how long an endpoint that has ended isn't asked for again, and
-	// further cuts belong to the same end.
+	// probeAge is how long a probe is valid: further disconnects are attributed to
+	// the same crash and start no other probe.
 	probeAge = time.Second
-	// lateNotice is how long after an endpoint's end the word that it leaves may
-	// come: two reports of a large fleet.
+	// lateNotice is how long after an endpoint's end its notice that it leaves may
+	// arrive: two report intervals of a large fleet.
 	lateNotice = 3 * time.Second
-	// tick is how often that is looked for.
+	// tick is the interval of the checks for late notices.
 	tick = 250 * time.Millisecond
-	// timePrecision is what times are timePrecision to, so that all daemons have the same.
+	// timePrecision is the precision of times in messages. Times are truncated to
+	// it, so that all daemons have the same.
 	timePrecision = time.Millisecond
 )
 
-// Options are what a Watch is made of. The functions must return at once, but for
-// Listens.
+// Options are the dependencies of a Watch. All functions but Listens must return
+// at once.
 type Options struct {
 	Table *quarantine.Table
-	// Now is the time by which the table goes.
+	// Now returns the time for the table.
 	Now func() time.Time
-	// Listens reports whether somebody listens at an address, or why that isn't
-	// known.
+	// Listens reports whether a process listens at an address, or the error if that
+	// can't be determined.
 	Listens func(ctx context.Context, address string) (bool, error)
-	// State reports whether an endpoint is listed, and whether it has said that
-	// it leaves.
+	// State reports whether an endpoint is listed, and whether it has announced
+	// that it leaves.
 	State func(id fleet.EndpointID) (listed, leaving bool)
-	// Ended is told of an endpoint's end.
+	// Ended is called when an endpoint has ended, and again if the crash becomes
+	// void.
 	Ended func(id fleet.EndpointID, c *quarantine.Crash)
-	// Changed is told which requests are held and which no longer.
+	// Changed is called with changes to the requests in quarantine.
 	Changed func(quarantine.Change)
 }
 
-// Watch asks for the endpoints whose connections ended, and tells the table of
-// those that crashed. A goroutine of its own runs it.
+// Watch probes the endpoints whose connections ended, and adds crashes to the
+// table. Run must be called in a goroutine of its own.
 type Watch struct {
 	o           Options
 	disconnects *ring.Ring[Disconnect]
@@ -58,16 +60,16 @@
 	probing     sync.WaitGroup
 }
 
-// probe is the question whether an endpoint crashed.
+// probe is a check whether an endpoint's process has ended.
 type probe struct {
 	disconnect Disconnect
 	startedAt  time.Time
 	crash      quarantine.Crash
-	ended      bool // the answer, written before it is sent
-	crashed    bool // the answer was taken, and the table was told
+	ended      bool // the result, set before the probe is sent to answers
+	crashed    bool // the endpoint has ended, and the crash is in the table
 }
 
-// New returns a watch that isn't running.
+// New returns a Watch. Run starts it.
 func New(o Options) *Watch {
 	return &Watch{
 		o: o, disconnects: ring.New[Disconnect]("cuts", queueSize), answers: ring.New[*probe]("inquiries", queueSize),
@@ -75,10 +77,10 @@
 	}
 }
 
-// Disconnected takes an attempt that was cut off; it never waits.
+// Disconnected queues a disconnect. It never blocks.
 func (w *Watch) Disconnected(c Disconnect) { w.disconnects.Push(c) }
 
-// Run works until the context ends.
+// Run handles disconnects until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -97,8 +99,8 @@
 	}
 }
 
-// handleDisconnect notes a cut and asks whether the endpoint is there, once for all that its
-// end has cut.
+// handleDisconnect starts a probe of the endpoint, unless one is valid, and adds
+// the request to the crash's suspects.
 func (w *Watch) handleDisconnect(ctx context.Context, c Disconnect) {
 	q := w.probes[c.Endpoint]
 	if q == nil || time.Since(q.startedAt) > probeAge {
@@ -122,9 +124,9 @@
 	return q
 }
 
-// runProbe asks whether the endpoint's process is there. Only where nobody listens it
-// has ended: a connection can be reset by itself, and to an endpoint that is cut
-// off there is no answer.
+// runProbe finds out whether the endpoint's process has ended, which is so only if
+// nothing listens at its address: a single connection may be reset, and an endpoint
+// behind a network partition doesn't answer.
 func (w *Watch) runProbe(ctx context.Context, q *probe) {
 	if !pause.For(ctx, probeDelay) {
 		return
@@ -134,8 +136,8 @@
 	w.answers.Send(ctx.Done(), q)
 }
 
-// handleAnswer takes the answer. An endpoint that has not ended is asked for again at
-// the next cut, which may be its end.
+// handleAnswer handles the result of a probe. An endpoint that has not ended is
+// probed again at the next disconnect.
 func (w *Watch) handleAnswer(q *probe) {
 	if !q.ended {
 		delete(w.probes, q.disconnect.Endpoint)
@@ -147,8 +149,8 @@
 	w.o.Changed(w.o.Table.Add(w.o.Now(), q.crash))
 }
 
-// tick takes back the ends of endpoints that had said that they leave: the word
-// may come after the end.
+// tick voids the crashes of endpoints that had announced that they leave, since
+// that notice may arrive after the end.
 func (w *Watch) tick(now time.Time) {
 	for id, q := range w.probes {
 		if now.Sub(q.startedAt) > lateNotice {
--- a/internal/ends/watch_test.go
+++ b/internal/ends/watch_test.go
@@ -14,7 +14,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-// fixture is a watch over endpoints that a test moves.
+// fixture is a Watch with an endpoint whose state the test sets.
 type fixture struct {
 	*Watch
 	mu        sync.Mutex
@@ -61,7 +61,8 @@
 	})
 }
 
-// crashes returns how many crashes are crashes, and of how many requests the first.
+// crashes returns the number of recorded crashes, and the number of suspects of the
+// first one and whether it is void.
 func (s *fixture) crashes() (crashes, suspects int, void bool) {
 	all, _ := s.o.Table.Since(quarantine.Position{})
 	if len(all) == 0 {
@@ -70,8 +71,9 @@
 	return len(all), len(all[0].Suspects), all[0].Void
 }
 
-// An endpoint's end cuts many attempts, some before and some after it was found
-// out. It is asked for once, and those that had not begun are its suspects.
+// A crash ends many attempts, and some disconnects arrive after it was detected.
+// The endpoint must be probed once, and the requests without a piece of their
+// answer are the suspects.
 func TestEndpointIsProbedOncePerCrash(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
 		s.cut("e", "a", false)
@@ -87,7 +89,7 @@
 	})
 }
 
-// A connection is reset, and a moment later the endpoint ends.
+// A connection is reset, and shortly afterwards the endpoint crashes.
 func TestCrashAfterAResetIsDetected(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
 		s.listening = true
@@ -104,7 +106,7 @@
 	})
 }
 
-// It starts again and ends again. When it started isn't told.
+// An endpoint whose start time is unknown restarts and crashes again.
 func TestSecondCrashIsReportedSeparately(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
 		for range 2 {
@@ -116,7 +118,7 @@
 	})
 }
 
-// The connection was reset, or the endpoint is cut off: it hasn't ended.
+// Only a connection was reset, or the endpoint can't be reached: it has not ended.
 func TestNoCrashUnlessTheConnectionIsRefused(t *testing.T) {
 	for _, unknown := range []error{nil, errors.New("no answer")} {
 		runWatch(t, func(t *testing.T, s *fixture) {
@@ -129,8 +131,8 @@
 	}
 }
 
-// The endpoint had said that it leaves, or was gone from the list, or says so
-// within the time in which the word may still come.
+// The endpoint had announced that it leaves, was not listed any more, or its notice
+// arrives shortly after its end.
 func TestCrashOfALeavingEndpointIsVoid(t *testing.T) {
 	for _, before := range []func(s *fixture){
 		func(s *fixture) { s.leaving = true },
@@ -152,7 +154,7 @@
 	}
 }
 
-// It is gone from the list because it ended: that takes nothing back.
+// The endpoint is removed from the list because it crashed.
 func TestRemovalFromTheListDoesNotVoidACrash(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
 		s.cut("e", "a", false)
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,4 +1,3 @@
-// Package fleet holds the identities and plain descriptions that every other
-// package shares: data centres, regions, instances, workspaces and endpoints.
-// It has no behaviour beyond comparison and formatting.
+// Package fleet holds the identifiers and descriptions that all other packages
+// share: data centres, regions, instances, workspaces, endpoints and models.
 package fleet
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -1,12 +1,12 @@
 package fleet
 
-// EndpointKind tells a model engine from a plain service.
+// EndpointKind says whether an endpoint is a model engine or a plain service.
 type EndpointKind string
 
 // The kinds of endpoint.
 const (
 	EngineEndpoint  EndpointKind = "engine"
-	ServiceEndpoint EndpointKind = "service"
+	ServiceEndpoint EndpointKind = "service" // a replica of a service without models
 )
 
 // State is an instance's state in the instance list.
@@ -15,10 +15,10 @@
 // The states of an instance.
 const (
 	Live    State = "live"
-	Leaving State = "leaving"
+	Leaving State = "leaving" // its end was announced
 )
 
-// Endpoint describes one back end as the instance list gives it.
+// Endpoint is a back end in the instance list.
 type Endpoint struct {
 	ID         EndpointID   `json:"id"`
 	Instance   InstanceID   `json:"instance"`
@@ -26,11 +26,11 @@
 	DataCentre DataCentre   `json:"dataCentre"`
 	Region     Region       `json:"region"`
 	Kind       EndpointKind `json:"kind"`
-	Service    string       `json:"service,omitempty"`   // of a ServiceEndpoint
+	Service    string       `json:"service,omitempty"`   // name, for a ServiceEndpoint
 	Class      string       `json:"class,omitempty"`     // machine class
 	HourPrice  float64      `json:"hourPrice,omitempty"` // currency units an hour
-	Fences     bool         `json:"fences,omitempty"`    // refuses orders with an old fencing number
+	Fences     bool         `json:"fences,omitempty"`    // rejects orders with an old fencing number
 	State      State        `json:"state"`
-	LeaveAt    int64        `json:"leaveAtMillis,omitempty"` // Unix ms at which a leaving instance vanishes; 0 is unknown
-	Models     []ModelRef   `json:"models,omitempty"`        // loaded when the list was made
+	LeaveAt    int64        `json:"leaveAtMillis,omitempty"` // Unix ms at which a leaving instance ends; 0 is unknown
+	Models     []ModelRef   `json:"models,omitempty"`        // loaded at the time of the list
 }
--- a/internal/fleet/model.go
+++ b/internal/fleet/model.go
@@ -1,7 +1,7 @@
 package fleet
 
-// ModelRef names what an engine must hold to serve a request. Adapter may be
-// empty; an empty Version stands for any version.
+// ModelRef names the model that an engine must have loaded to serve a request.
+// Adapter may be empty; an empty Version matches any version.
 type ModelRef struct {
 	Model   string `json:"model" yaml:"model"`
 	Adapter string `json:"adapter,omitempty" yaml:"adapter,omitempty"`
--- a/internal/progress/bounds.go
+++ b/internal/progress/bounds.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Bounds bound a transfer.
+// Bounds are the timeouts of a transfer.
 type Bounds struct {
-	FirstByte time.Duration // until its first byte
-	Idle      time.Duration // between two looks at it, in which at least a byte must come
-	Total     time.Duration // for all of it
+	FirstByte time.Duration // until the first byte
+	Idle      time.Duration // interval of checks after that; each must find at least one new byte
+	Total     time.Duration // for the whole transfer
 }
 
-// WithBounds returns a context for a transfer that a meter counts. It ends with
-// context.DeadlineExceeded as its cause where a bound is passed.
+// WithBounds returns a context for a transfer whose bytes m counts. If a timeout
+// passes, the context ends with the cause context.DeadlineExceeded.
 func WithBounds(ctx context.Context, m *Meter, b Bounds) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, b.Total)
 	ctx, end := context.WithCancelCause(ctx)
@@ -29,8 +29,8 @@
 	}
 }
 
-// CauseOf returns why a call under a context ended: the cause of the context's end,
-// where there is one, and otherwise the call's own error.
+// CauseOf returns why a call with a context failed: the cause of the context's end
+// if it has ended, and otherwise the call's own error.
 func CauseOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -38,7 +38,7 @@
 	return err
 }
 
-// watchdog ends a transfer that has come no further between two looks.
+// watchdog ends a transfer that made no progress between two checks.
 type watchdog struct {
 	meter *Meter
 	idle  time.Duration
@@ -46,7 +46,7 @@
 
 	mu      sync.Mutex
 	timer   *time.Timer
-	bytes   int64 // at the last look
+	bytes   int64 // at the last check
 	stopped bool
 }
 
--- a/internal/progress/conn.go
+++ b/internal/progress/conn.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// Conn is a connection that counts what is received on it.
+// Conn is a connection that counts the bytes received on it.
 type Conn struct {
 	net.Conn
 	Meter Meter
--- a/internal/progress/doc.go
+++ b/internal/progress/doc.go
@@ -1,7 +1,8 @@
-// Package progress watches transfers while they run, and bounds them by their
-// silence in place of their length.
+// Package progress measures the progress of transfers, and ends a transfer that
+// makes none.
 //
-// Failure: a transfer is bounded by its length alone; its bytes grow, or its
-// link is shared, until it takes longer. Symptom: each try is cut and begins
-// again from nothing; the link is full and nothing ever arrives.
+// A timeout for the whole transfer alone is not enough: when the data grows, or
+// the link is shared, the transfer takes longer than the timeout. Every attempt is
+// then aborted and starts again from zero, so that the link is saturated and no
+// transfer ever completes.
 package progress
--- a/internal/progress/meter.go
+++ b/internal/progress/meter.go
@@ -9,5 +9,5 @@
 // Add counts n bytes.
 func (m *Meter) Add(n int) { m.bytes.Add(int64(n)) }
 
-// Bytes returns what has been counted.
+// Bytes returns the number of bytes counted.
 func (m *Meter) Bytes() int64 { return m.bytes.Load() }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -12,11 +12,12 @@
 
 var bounds = Bounds{FirstByte: 400 * time.Millisecond, Idle: 100 * time.Millisecond, Total: time.Second}
 
-// endOf returns when a transfer ends whose bytes come as said, and why.
+// endOf returns when and why the context of a transfer ends. come counts the
+// transfer's bytes as they arrive.
 func endOf(t *testing.T, come func(m *Meter)) (after time.Duration, cause error) {
 	synctest.Test(t, func(t *testing.T) {
 		var m Meter
-		m.Add(7) // by another transfer, before
+		m.Add(7) // of an earlier transfer on the connection
 		began := time.Now()
 		ctx, cancel := WithBounds(t.Context(), &m, bounds)
 		defer cancel()
@@ -44,12 +45,12 @@
 		come func(m *Meter)
 		ends time.Duration
 	}{
-		"nothing comes":          {func(*Meter) {}, bounds.FirstByte},
-		"it stops":               {bytesEvery(30*time.Millisecond, 5), bounds.FirstByte + bounds.Idle},
-		"it goes on":             {bytesEvery(30*time.Millisecond, 50), bounds.Total},
-		"it begins in time":      {bytesEvery(350*time.Millisecond, 1), bounds.FirstByte + bounds.Idle},
-		"it comes in long gaps":  {bytesEvery(260*time.Millisecond, 9), bounds.FirstByte + bounds.Idle},
-		"it stops a while later": {bytesEvery(51*time.Millisecond, 11), 700 * time.Millisecond},
+		"no bytes at all":       {func(*Meter) {}, bounds.FirstByte},
+		"soon stalled":          {bytesEvery(30*time.Millisecond, 5), bounds.FirstByte + bounds.Idle},
+		"steady until the end":  {bytesEvery(30*time.Millisecond, 50), bounds.Total},
+		"late first byte":       {bytesEvery(350*time.Millisecond, 1), bounds.FirstByte + bounds.Idle},
+		"long gaps":             {bytesEvery(260*time.Millisecond, 9), bounds.FirstByte + bounds.Idle},
+		"stalled after a while": {bytesEvery(51*time.Millisecond, 11), 700 * time.Millisecond},
 	} {
 		after, cause := endOf(t, c.come)
 		assert.Equal(t, after, c.ends, name)
@@ -57,7 +58,7 @@
 	}
 }
 
-// The caller gives up. That isn't the transfer's fault, and is told apart.
+// A caller's cancellation must be distinguishable from a stalled transfer.
 func TestCancelledTransferReportsItsOwnCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parent, cancel := context.WithCancel(t.Context())
--- a/internal/progress/reader.go
+++ b/internal/progress/reader.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// Reader counts what is read through it.
+// Reader counts the bytes read through it.
 type Reader struct {
 	R     io.Reader
 	Meter *Meter
--- a/internal/prompt/leading_blocks.go
+++ b/internal/prompt/leading_blocks.go
@@ -7,9 +7,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// LeadingBlocks appends to dst the hashes of a conversation's whole leading blocks,
-// as the engines name them, and returns it with the prompt's length in tokens.
-// It allocates nothing beyond dst.
+// LeadingBlocks appends to dst the hashes of a conversation's full blocks, as the
+// engines compute them, and returns dst and the prompt's length in tokens. It
+// allocates only to grow dst.
 func LeadingBlocks(model fleet.ModelRef, messages []engineapi.Message, dst []uint64) (blocks []uint64, tokens int) {
 	c := NewChain(model)
 	for i := range messages {
@@ -23,8 +23,8 @@
 	return dst, c.n
 }
 
-// addRole adds "addRole:", which Render puts before the first word of the content. A
-// addRole is one word in practice, and short enough to be joined on the stack.
+// addRole adds the tokens of "role:", which Render puts before the content. A role
+// is usually one word, short enough to be concatenated on the stack.
 func (c *Chain) addRole(role string, dst []uint64) []uint64 {
 	var last string
 	for word := range strings.FieldsSeq(role) {
--- a/internal/prompt/leading_blocks_test.go
+++ b/internal/prompt/leading_blocks_test.go
@@ -12,9 +12,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// A daemon that hashed a prompt in another way than the engine does would take
-// no cache event for its own, and send each turn of a conversation to an engine
-// that has never seen it.
+// If a daemon hashed a prompt differently from the engines, their cache events would
+// not match, and each turn of a conversation would go to an engine that hasn't
+// cached the earlier ones.
 func TestLeadingHashesAsEnginesDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.SampledFrom([]string{"a", "bc", "  chain ", "\n", "x:y", ""})
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,7 +1,6 @@
-// Package prompt renders a conversation the way the engines do, splits it into
-// tokens and hashes its leading blocks. Engines name cache blocks by these
-// hashes in their cache events, so whoever predicts cache hits computes them
-// here. The package is free of I/O.
+// Package prompt renders a conversation as the engines do, splits it into tokens
+// and hashes its blocks. Engines identify cache blocks by these hashes in their
+// cache events, so they are needed to predict cache hits. The package does no I/O.
 package prompt
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/engineapi"
 )
 
-// Render returns the text that an engine prefills: one "role: content" line a
+// Render returns the text that an engine prefills: one "role: content" line per
 // message.
 func Render(messages []engineapi.Message) string {
 	var b strings.Builder
@@ -23,7 +22,7 @@
 	return b.String()
 }
 
-// Tokens splits a rendered prompt into its tokens, without white space.
+// Tokens splits a rendered prompt into its tokens at white space.
 func Tokens(rendered string) []string {
 	return strings.Fields(rendered)
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,7 @@
-// Package rendezvous ranks nodes for a key by highest random weight, so that
-// daemons with the same view agree without talking, and a node that comes or
-// goes moves only the keys it wins (Thaler and Ravishankar, 1998).
+// Package rendezvous implements rendezvous hashing (highest random weight, Thaler
+// and Ravishankar, 1998): daemons with the same list of nodes agree on the node of
+// a key without communication, and a node that is added or removed moves only its
+// own keys.
 package rendezvous
 
 import (
@@ -9,26 +10,26 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Score returns the weight of node for key; the greatest wins.
+// Score returns the weight of node for key; the node with the highest one wins.
 func Score(key uint64, node string) uint64 {
 	return ScoreHashed(key, xxh3.HashString(node))
 }
 
-// ScoreHashed is Score for a node whose name was hashed with Key before.
+// ScoreHashed is Score for a node whose name has already been hashed with Key.
 func ScoreHashed(key, node uint64) uint64 { return mix(key ^ node) }
 
 // Key hashes a string key.
 func Key(key string) uint64 { return xxh3.HashString(key) }
 
-// ShortKey is 32 bits of a key, for messages that name hundreds of things: four
-// bytes in place of a name's dozen. Among 690 names, two have the same one time
-// in 18,000; who reads the message then takes them for one.
+// ShortKey is 32 bits of a key. It replaces names in messages that list hundreds of
+// them: four bytes instead of about a dozen. Among 690 names, the probability of a
+// collision is 1 in 18,000; receivers then treat the two names as one.
 type ShortKey uint32
 
-// ShortKeyOf returns a name's short key.
+// ShortKeyOf returns the short key of a name.
 func ShortKeyOf(name string) ShortKey { return ShortKey(Key(name)) }
 
-// mix is the finaliser of splitmix64: it spreads the XOR of two hashes.
+// mix is the finaliser of splitmix64. It makes the XOR of two hashes uniform.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -37,7 +38,7 @@
 	return x ^ x>>31
 }
 
-// Best returns the index of the winning node, -1 when there is none.
+// Best returns the index of the winning node, -1 if there are no nodes.
 func Best(key uint64, nodes []string) int {
 	best, at := uint64(0), -1
 	for i, n := range nodes {
@@ -48,7 +49,8 @@
 	return at
 }
 
-// Rank returns the n best nodes, best first, without changing nodes.
+// Rank returns the n nodes with the highest scores, best first. It doesn't change
+// nodes.
 func Rank(key uint64, nodes []string, n int) []string {
 	ranked := slices.Clone(nodes)
 	slices.SortFunc(ranked, func(a, b string) int {
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,11 +1,11 @@
-// Package ring joins duties by bounded queues. What happens on a full ring is
-// the sender's explicit choice: refuse the new value or drop the oldest.
+// Package ring provides bounded queues between goroutines. The sender selects what
+// happens when a queue is full: Offer refuses the new value, Push drops the oldest
+// one, Send waits.
 package ring
 
 import "sync/atomic"
 
-// Ring is a bounded queue of values between duties. Any number of goroutines
-// may send and receive.
+// Ring is a bounded queue of values. Any number of goroutines may send and receive.
 type Ring[T any] struct {
 	name    string
 	ch      chan T
@@ -13,13 +13,14 @@
 	refused atomic.Uint64
 }
 
-// New returns a ring for at most size values, size > 0. The name labels its metrics.
+// New returns a ring for at most size values, size > 0. The name is a label of its
+// metrics.
 func New[T any](name string, size int) *Ring[T] {
 	return &Ring[T]{name: name, ch: make(chan T, size)}
 }
 
-// Offer adds v, or reports false and counts a refusal when the ring is full.
-// For values whose sender can tell its caller that nothing was done.
+// Offer adds v, or returns false and counts a refusal if the ring is full. It is for
+// senders that can report to their caller that nothing was done.
 func (r *Ring[T]) Offer(v T) bool {
 	select {
 	case r.ch <- v:
@@ -30,8 +31,8 @@
 	}
 }
 
-// Push adds v and drops the oldest values while the ring is full. For hints,
-// of which the newest is worth the most.
+// Push adds v and drops the oldest values while the ring is full. It is for hints,
+// of which the newest is the most useful.
 func (r *Ring[T]) Push(v T) {
 	for {
 		select {
@@ -53,17 +54,18 @@
 // Name returns the ring's name.
 func (r *Ring[T]) Name() string { return r.name }
 
-// Depth returns how many values wait.
+// Depth returns the number of queued values.
 func (r *Ring[T]) Depth() int { return len(r.ch) }
 
-// Drops returns how many values Push has dropped.
+// Drops returns the number of values that Push has dropped.
 func (r *Ring[T]) Drops() uint64 { return r.drops.Load() }
 
-// Refused returns how many values Offer has refused.
+// Refused returns the number of values that Offer has refused.
 func (r *Ring[T]) Refused() uint64 { return r.refused.Load() }
 
-// Send adds v, waiting for room until done is closed, and reports whether it
-// did. For bookkeeping that must not be lost: its sender slows down instead.
+// Send adds v, waiting while the ring is full until done is closed, and reports
+// whether v was added. It is for records that must not be lost: the sender is
+// slowed down instead.
 func (r *Ring[T]) Send(done <-chan struct{}, v T) bool {
 	select {
 	case r.ch <- v:
--- a/internal/roster/doc.go
+++ b/internal/roster/doc.go
@@ -1,4 +1,5 @@
-// Package roster keeps the endpoints that the platform's registry lists, in
-// the order of its changes, through outages of the registry. It is a plain
-// decision: events and the time in, a snapshot out.
+// Package roster keeps the list of endpoints in the platform's registry. It applies
+// the registry's changes in order, and keeps endpoints through an outage of the
+// registry. It does no I/O: methods take events and the time, and Snapshot returns
+// the result.
 package roster
--- a/internal/roster/endpoint.go
+++ b/internal/roster/endpoint.go
@@ -10,20 +10,20 @@
 type Endpoint struct {
 	ID         fleet.EndpointID
 	Service    string
-	Address    string // host:port; may belong to another endpoint later
+	Address    string // host:port; may be reused by another endpoint later
 	DataCentre fleet.DataCentre
 	Version    string // of its software
-	Slots      int    // requests at once
+	Slots      int    // concurrent requests
 	Draining   bool
-	Spot       bool // of the reclaimable class
-	// WarmUpEnd is when a started endpoint has its full speed.
+	Spot       bool // on a reclaimable instance
+	// WarmUpEnd is when a started endpoint reaches its full speed.
 	WarmUpEnd time.Time
-	// StartedAt is when it started, zero where it isn't told: a later one under the
-	// same ID has started again and holds and knows nothing of before.
+	// StartedAt is zero if the registry doesn't give it. An endpoint with the same
+	// ID and a later StartedAt has restarted and lost its earlier state.
 	StartedAt time.Time
 }
 
-// RestartedAs reports whether another entry under the same ID is of a later start.
+// RestartedAs reports whether other, an entry with the same ID, has a later start.
 func (e *Endpoint) RestartedAs(other *Endpoint) bool {
 	return !e.StartedAt.IsZero() && other.StartedAt.After(e.StartedAt)
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -9,31 +9,32 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// OutageGrace is how long an endpoint whose entry has lapsed in an outage of
-// the registry still counts, from the beginning of the last call that failed:
-// an endpoint that lives is listed again within two seconds of the registry's
-// return (the platform's statement), which came after that. Where it was this
-// daemon that was cut off, an endpoint may have left in truth; three seconds
-// after the cut it must not get requests, and the cut lasted until after that
-// beginning as well.
+// OutageGrace is how long an endpoint whose entry expired in an outage of the
+// registry is kept, counted from the start of the last failed call. The platform
+// states that a live endpoint is listed again within two seconds of the registry's
+// return. If only this daemon was partitioned from the registry, the endpoint may
+// really have left, and must get no requests from three seconds after the end of
+// the partition on. Both the registry's return and the end of the partition are
+// after the start of the last failed call.
 const OutageGrace = 2800 * time.Millisecond
 
-// RemovalHold bounds that for a removal that is seen as it happens: an endpoint
-// that leaves without a word may be sent requests for two seconds more, of
-// which the rest is for the next tick and the request's way.
+// RemovalHold is the shorter limit for a removal that is received as it happens,
+// after the changes during the outage were applied. An endpoint that leaves
+// without notice may be sent requests for two more seconds; the difference allows
+// for the next tick and for a request's transmission.
 const RemovalHold = 1400 * time.Millisecond
 
-// Roster holds the endpoints of all services. It is not safe for concurrent
-// use; Snapshots are.
+// Roster holds the endpoints of all services. It is not safe for concurrent use,
+// but its snapshots are.
 type Roster struct {
 	endpoints  map[fleet.EndpointID]Endpoint
-	held       map[fleet.EndpointID]time.Time // removed, but kept until then
-	leaving    map[fleet.EndpointID]time.Time // when those were born that had said that they leave
-	graceEnd   time.Time                      // of the last outage
-	catchingUp bool                           // what happened in it is not known yet
+	held       map[fleet.EndpointID]time.Time // removed from the registry, but kept until then
+	leaving    map[fleet.EndpointID]time.Time // StartedAt of endpoints that announced their leave
+	graceEnd   time.Time                      // end of OutageGrace after the last outage
+	catchingUp bool                           // changes during the outage are not applied yet
 	changed    bool
-	applied    uint64 // the registry's revision that was taken in
-	complete   uint64 // the same, up to which nothing is held back
+	applied    uint64 // the newest applied revision of the registry
+	complete   uint64 // the newest revision up to which no removal is held back
 }
 
 // New returns an empty roster.
@@ -41,40 +42,42 @@
 	return &Roster{endpoints: map[fleet.EndpointID]Endpoint{}, held: map[fleet.EndpointID]time.Time{}, leaving: map[fleet.EndpointID]time.Time{}}
 }
 
-// OutageEnded notes that the registry answers again after an outage, in which
-// entries may have lapsed for want of a registry to renew them at. failed is
-// when the last call began that was not answered.
+// OutageEnded records that the registry answers again after an outage, in which
+// entries may have expired because they couldn't be renewed. failed is when the
+// last unanswered call started.
 func (r *Roster) OutageEnded(failed time.Time) {
 	r.graceEnd = failed.Add(OutageGrace)
 	r.catchingUp = true
 }
 
-// CaughtUp notes that all that happened in the outage was taken in.
+// CaughtUp records that all changes during the outage were applied.
 func (r *Roster) CaughtUp() { r.catchingUp = false }
 
-// Applied notes that all changes up to a revision of the registry were taken in.
+// Applied records that all changes up to a revision of the registry were applied.
 func (r *Roster) Applied(revision uint64) {
 	r.applied = revision
 	r.updateComplete()
 }
 
-// Revision returns the registry's revision up to which all was taken in.
+// Revision returns the registry's revision up to which all changes were applied.
 func (r *Roster) Revision() uint64 { return r.applied }
 
-// CompleteRevision returns the revision up to which everything took effect. Failure:
-// somebody goes on from this roster with the registry's changes after the
-// revision that it has reached, while an end is held back here. Symptom: they
-// never hear of that end, and send requests to an endpoint that is gone.
+// CompleteRevision returns the revision up to which all changes took effect: while
+// a removal is held back, it stays below Revision. A receiver of this roster's
+// snapshot must continue with the registry's changes after CompleteRevision: after
+// Revision, it would miss the held removal and send requests to an endpoint that
+// is gone.
 func (r *Roster) CompleteRevision() uint64 { return r.complete }
 
+// updateComplete advances the complete revision unless a removal is held back.
 func (r *Roster) updateComplete() {
 	if len(r.held) == 0 {
 		r.complete = r.applied
 	}
 }
 
-// Upsert takes an entry that is new or changed, but not one of an earlier start
-// than is known: that is a stale list's.
+// Upsert adds or replaces an entry. An entry with an earlier start than the present
+// one is from a stale list and is ignored.
 func (r *Roster) Upsert(e Endpoint) {
 	known, ok := r.endpoints[e.ID]
 	if ok && e.RestartedAs(&known) {
@@ -94,10 +97,9 @@
 	r.changed = true
 }
 
-// announcedLeave reports whether an endpoint of that life had said that it leaves, which
-// it doesn't take back. Failure: the registry comes back from a copy some seconds
-// old. Symptom: an endpoint that leaves, or has left, is listed as one that
-// doesn't, and gets requests.
+// announcedLeave reports whether the endpoint announced its leave since its start.
+// That is final: if the registry is restored from a copy some seconds old, it may
+// list a leaving or departed endpoint as serving, which must get no requests.
 func (r *Roster) announcedLeave(e *Endpoint) bool {
 	born, ok := r.leaving[e.ID]
 	return ok && !e.StartedAt.IsZero() && e.StartedAt.Equal(born)
@@ -110,12 +112,13 @@
 	r.leaving[e.ID] = e.StartedAt
 }
 
-// maxLeaving bounds the endpoints that are known to have left: those of some hours
-// of an ordinary day. They are forgotten all at once; copies are seconds old.
+// maxLeaving limits the recorded leaves, to those of several hours at the usual
+// rate. All are removed at once, since the registry's copies are only seconds old.
 const maxLeaving = 4096
 
-// Remove takes an entry's end. An endpoint that did not say that it leaves may
-// have lapsed with the registry, and counts until the grace is over.
+// Remove handles the removal of an entry from the registry. The entry of an
+// endpoint that did not announce its leave may have expired because of an outage;
+// within the grace period, it is kept for a while.
 func (r *Roster) Remove(now time.Time, id fleet.EndpointID) {
 	e, known := r.endpoints[id]
 	if !known {
@@ -128,14 +131,14 @@
 	r.drop(id)
 }
 
-// Withdraw ends an endpoint whose entry no longer names one.
+// Withdraw drops an endpoint whose entry no longer describes one.
 func (r *Roster) Withdraw(id fleet.EndpointID) {
 	if _, known := r.endpoints[id]; known {
 		r.drop(id)
 	}
 }
 
-// holdUntil returns when an endpoint whose entry has gone stops to count.
+// holdUntil returns until when an endpoint is kept whose entry was removed at now.
 func (r *Roster) holdUntil(now time.Time) time.Time {
 	if held := now.Add(RemovalHold); !r.catchingUp && held.Before(r.graceEnd) {
 		return held
@@ -143,7 +146,7 @@
 	return r.graceEnd
 }
 
-// Replace takes the whole list: what is not in it is removed.
+// Replace applies a complete list: endpoints that are not in it are removed.
 func (r *Roster) Replace(now time.Time, all []Endpoint) {
 	listed := make(map[fleet.EndpointID]bool, len(all))
 	for _, e := range all {
@@ -157,8 +160,8 @@
 	}
 }
 
-// Tick ends the endpoints whose grace is over. It should be called a few times
-// a second.
+// Tick drops the endpoints whose removal is no longer held back. It should be
+// called a few times a second.
 func (r *Roster) Tick(now time.Time) {
 	for id, until := range r.held {
 		if !now.Before(until) {
@@ -168,11 +171,11 @@
 	r.updateComplete()
 }
 
-// Changed reports whether the endpoints changed since the last snapshot.
+// Changed reports whether endpoints changed since the last snapshot.
 func (r *Roster) Changed() bool { return r.changed }
 
-// Snapshot returns the endpoints by id, and whether they changed since the
-// last call. It takes time that grows with them.
+// Snapshot returns the endpoints sorted by ID, and whether they changed since the
+// last call. It takes O(n log n) for n endpoints.
 func (r *Roster) Snapshot() ([]Endpoint, bool) {
 	changed := r.changed
 	r.changed = false
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -21,9 +21,9 @@
 	assert.Equal(t, count(r), 0)
 }
 
-// The registry was down for longer than entries last. When it answers again
-// its list is empty though every endpoint lives. Dropped at once, all requests
-// would be refused until the endpoints have registered again.
+// After an outage of the registry that was longer than the lifetime of entries, its
+// list is empty although all endpoints are alive. If they were dropped at once, all
+// requests would be refused until the endpoints have registered again.
 func TestExpiredInAnOutageIsKeptDuringTheGrace(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "lives"})
@@ -48,10 +48,9 @@
 	assert.Assert(t, !changed)
 }
 
-// This daemon alone was cut off from the registry, which was up all the while.
-// Seconds after its return an endpoint's entry is removed. Kept until the
-// grace is over, it would be sent requests for longer than a leaving endpoint
-// may be.
+// Only this daemon was partitioned from the registry. After the connection is back,
+// an endpoint's entry is removed. If the endpoint were kept until the end of the
+// grace period, it would be sent requests for longer than is allowed after a leave.
 func TestRemovalAfterTheOutageIsHeldShorterThanTheGrace(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
@@ -64,10 +63,10 @@
 	assert.Equal(t, count(r), 0)
 }
 
-// This daemon was cut off from 1 s to 13 s. Its last failed call began at
-// 12.9 s, the first that worked ended at 14.1 s and showed that an endpoint had
-// left at 14.0 s. Counted from the return, the grace would end after 16 s, when
-// the daemon is bound again.
+// This daemon was partitioned from the registry from 1 s to 13 s. Its last failed
+// call began at 12.9 s; the first successful one ended at 14.1 s and showed that an
+// endpoint had left. Counted from the end of the outage, the grace period would end
+// after 16 s, when the endpoint must get no more requests.
 func TestGraceCountsFromTheLastFailedCall(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
@@ -78,9 +77,9 @@
 	assert.Equal(t, count(r), 0)
 }
 
-// The registry returns from an outage, and an entry's end is held back since the
-// endpoint may have lapsed with the registry. Who goes on from this roster must
-// start before that end, or would never hear of it.
+// After an outage, the removal of an entry is held back, since the entry may have
+// expired because of the outage. A receiver of the snapshot must continue at a
+// revision before that removal, or it would miss it.
 func TestCompleteRevisionWaitsForHeldRemovals(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
@@ -98,9 +97,8 @@
 	assert.Equal(t, count(r), 0)
 }
 
-// An endpoint starts again under its ID. A list that is older than that comes
-// late: with its earlier start, what is known of the new one would be thrown
-// away for what is gone.
+// An endpoint restarts with the same ID, then a list from before the restart
+// arrives late. Its entry must not replace the one of the restarted endpoint.
 func TestEarlierStartNeverReplacesALaterOne(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a", Address: "old", StartedAt: start})
@@ -112,9 +110,9 @@
 	assert.Assert(t, !all[0].Draining)
 }
 
-// An endpoint says that it leaves, and later it is gone. The registry comes back
-// from a copy some seconds old, in which it is there and doesn't leave. It must
-// get no requests; one that has started again under its name must.
+// An endpoint announces its leave, and later it is removed. Then the registry is
+// restored from an older copy, which lists the endpoint as serving. It must get no
+// requests, unless it has restarted with the same ID.
 func TestAnnouncedLeaveIsFinal(t *testing.T) {
 	r := New()
 	born := start
--- a/internal/route/kind.go
+++ b/internal/route/kind.go
@@ -1,12 +1,12 @@
 package route
 
-// Kind says what may be done with a request of a route after an attempt that
-// may have run.
+// Kind says whether a request of a route may be retried after an attempt that may
+// have run.
 type Kind uint8
 
-// The kinds. The zero value is the cautious one.
+// The kinds. The zero value allows the least.
 const (
-	NonIdempotent Kind = iota // runs at most once
+	NonIdempotent Kind = iota // must run at most once
 	Idempotent                // may run again
 	Streaming                 // an event stream; see Route.Resumable
 )
--- a/internal/route/limits.go
+++ b/internal/route/limits.go
@@ -1,6 +1,6 @@
 package route
 
-// Limits bound what a caller may send.
+// Limits are limits on a caller's request.
 type Limits struct {
-	BodyBytes int
+	BodyBytes int // of the body
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Route says where requests of a host and path prefix go and what may be done
-// with them.
+// Route says which services get the requests of a host and path prefix, and how
+// these requests are handled.
 type Route struct {
 	Name   string
 	Host   string // without a port, in lower case
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest that a caller may be kept without the final
-	// answer; 0 leaves it to the caller's deadline.
+	// Timeout limits the time to the final answer; 0 leaves it to the caller's
+	// deadline.
 	Timeout time.Duration
-	// Target is the time to the whole answer, or to a stream's first event,
-	// within which it is worth most; 0 is none.
+	// Target is the latency target of the complete answer, or of a stream's first
+	// event; 0 is none.
 	Target time.Duration
-	// PauseTarget is the longest pause between a stream's events with which it
-	// is still in time; 0: none is stated.
+	// PauseTarget is the target for the longest pause between a stream's events; 0
+	// is none.
 	PauseTarget time.Duration
-	// Priority is 0 for the most important.
+	// Priority is 0 for the highest.
 	Priority int
 	Backends []Backend
-	// MaxAttempts is how many endpoints one request may be sent to.
+	// MaxAttempts limits the endpoints that one request is sent to.
 	MaxAttempts int
 	// Public routes need no credential.
 	Public bool
-	// Resumable streams may be continued after an event at another endpoint.
+	// Resumable streams can be continued at another endpoint, after the last
+	// received event.
 	Resumable bool
 }
 
-// Backend is a service that takes a share of a route's requests.
+// Backend is a service that gets a share of a route's requests.
 type Backend struct {
 	Service string
 	Weight  float64
@@ -40,7 +41,8 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Backend returns the service for a draw from [0, 1).
+// Backend returns the service for a random number in [0, 1), by weight; empty if
+// there is none.
 func (r *Route) Backend(draw float64) string {
 	total := 0.0
 	for _, b := range r.Backends {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -6,10 +6,9 @@
 	"strings"
 )
 
-// Table is one version of the configuration. Its fields are not changed after
-// New.
+// Table is one version of the configuration. It must not be changed after New.
 type Table struct {
-	// Version is the operator's number: higher is newer.
+	// Version is set by the operator: higher is newer.
 	Version    uint64
 	Routes     []Route
 	Services   []Service
@@ -18,10 +17,10 @@
 
 	byHost    map[string][]*Route // longest prefix first
 	byService map[string]*Service
-	byKey     map[string]*Workspace
+	byKey     map[string]*Workspace // by credential
 }
 
-// New returns the table with its indexes built.
+// New returns t with its indexes built.
 func New(t Table) *Table {
 	t.byHost = make(map[string][]*Route)
 	t.byService = make(map[string]*Service, len(t.Services))
@@ -44,8 +43,8 @@
 	return &t
 }
 
-// Match returns the route of the longest prefix for a request's host, with or
-// without a port, and path; nil where there is none.
+// Match returns the route with the longest prefix for a request's host, with or
+// without a port, and path; nil if there is none.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.byHost[strings.ToLower(withoutPort(host))] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -55,7 +54,8 @@
 	return nil
 }
 
-// withoutPort returns a Host header's name. An IPv6 address is in brackets.
+// withoutPort returns a Host header without its port. An IPv6 address is in
+// brackets.
 func withoutPort(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at > strings.LastIndexByte(host, ']') {
 		return host[:at]
@@ -63,11 +63,12 @@
 	return host
 }
 
-// Service returns a service by name, nil where there is none.
+// Service returns the service of a name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.byService[name] }
 
-// Workspace returns the workspace that holds a key, nil where none does.
+// Workspace returns the workspace that a key belongs to, nil if there is none.
 func (t *Table) Workspace(key string) *Workspace { return t.byKey[key] }
 
-// RequiresCredential reports whether requests need a credential.
+// RequiresCredential reports whether requests to routes that aren't public need a
+// credential.
 func (t *Table) RequiresCredential() bool { return len(t.Workspaces) > 0 }
--- a/internal/route/workspace.go
+++ b/internal/route/workspace.go
@@ -6,19 +6,20 @@
 type Workspace struct {
 	Name fleet.WorkspaceID
 	Keys []string
-	// Priority takes the place of the route's; nil leaves that.
+	// Priority overrides the route's unless it is nil.
 	Priority *int
-	// Rate, in tokens or requests a second, and Burst bound what is let in
-	// over all daemons; Rate 0 is no limit.
+	// Rate, in tokens or requests a second, and Burst limit the requests that all
+	// daemons together admit; a Rate of 0 is no limit.
 	Rate, Burst float64
-	// CountsTokens says that the limit is in tokens, not requests.
+	// CountsTokens is true if the limit is in tokens, not requests.
 	CountsTokens bool
-	// PlainTokens is what a request without a token count costs.
+	// PlainTokens is the cost, in tokens, of a request without a token count, such
+	// as one to a service without models.
 	PlainTokens int
 }
 
-// Cost returns what a request of that many tokens takes from the limit; 0
-// tokens is a request that tells none.
+// Cost returns the cost of a request in the limit's unit. tokens is 0 if the
+// request has no token count.
 func (w *Workspace) Cost(tokens int) float64 {
 	switch {
 	case !w.CountsTokens:
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -32,9 +32,9 @@
 	assert.Equal(t, r.Next(later, later, counts).Record.Window, uint64(1000))
 }
 
-// Holders come and go at any point, paused ones go on, the store and the
-// platform lose answers before or after the effect, and counts still change.
-// No window may ever reach the platform with two different counts.
+// Holders change at any time, paused ones continue, calls to the store and the
+// platform fail before or after they take effect, and counts keep changing. No
+// window may be reported with two different counts.
 func TestNoWindowIsReportedWithTwoCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var revision uint64
--- a/internal/usage/rollback_test.go
+++ b/internal/usage/rollback_test.go
@@ -12,15 +12,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// storedRecord is the record as a store holds it.
+// storedRecord is a record in the store, with its revision's counter.
 type storedRecord struct {
 	counter uint64
 	record  Record
 }
 
-// The store comes back from a copy some seconds old: a record that was frozen and
-// sent is gone. Whoever holds the duty then, the same one or another, must not
-// report that window with other counts.
+// The store is restored from a copy some seconds old, and a record that was frozen
+// and sent is lost. Neither the same holder nor a new one may report that window
+// with other counts.
 func TestNoWindowIsReportedWithTwoCountsAfterAStoreRollback(t *testing.T) {
 	returns, reports := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -35,7 +35,7 @@
 			clock = clock.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 19).Draw(t, "event") {
 			case 0:
-				r = NewReporter(window) // another holder, or the same after it lost the lease
+				r = NewReporter(window) // another holder, or the same one after it lost the lease
 			case 1, 2:
 				copied = stored
 			case 3:
@@ -75,7 +75,7 @@
 	}
 }
 
-// Nothing is left out where the store has not come back from a copy.
+// No window is skipped if the store was not restored from a copy.
 func TestNewHolderContinuesInTheSameEra(t *testing.T) {
 	r := NewReporter(window)
 	now := time.Unix(5000, 0).Add(settleDelay)
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict says whether a request may have run. Every failure that a
-// caller sees carries one, and every retry decision is made from one.
+// Package verdict defines whether a failed request may have run. Every failure
+// answer to a caller has a verdict, and retry decisions are based on it.
 package verdict
 
 import (
@@ -12,19 +12,19 @@
 // Verdict says whether a request may have had an effect on an endpoint.
 type Verdict uint8
 
-// The verdicts. The zero value is the cautious one.
+// The verdicts. The zero value is the safe assumption.
 const (
-	// MayHaveRun: bytes of the request left this process and nothing read
-	// since proves what became of them.
+	// MayHaveRun: bytes of the request were sent, and no answer proves whether the
+	// request ran.
 	MayHaveRun Verdict = iota
-	// NotRun: proof exists that no endpoint ran it: nothing was written, or
-	// the endpoint's stated contract says so.
+	// NotRun: no endpoint can have run the request: nothing was sent, or the
+	// contract of the endpoint's answer says so.
 	NotRun
 	// Ran: the endpoint's answer was read.
 	Ran
 )
 
-// Header carries the verdict on every failure answer.
+// Header is the HTTP header with the verdict in every failure answer.
 const Header = "Cyclamenbeam-Verdict"
 
 // Error is the class of errors made by this package.
@@ -35,7 +35,8 @@
 	_ encoding.TextUnmarshaler = (*Verdict)(nil)
 )
 
-// String returns the form that callers see: "not-run", "may-have-run" or "ran".
+// String returns the form in answers to callers: "not-run", "may-have-run" or
+// "ran".
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -47,10 +48,11 @@
 	}
 }
 
-// MarshalText returns String.
+// MarshalText implements encoding.TextMarshaler with the form of String.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// UnmarshalText accepts the three forms of String and nothing else.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts only the three
+// forms of String.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case "not-run":
@@ -71,7 +73,7 @@
 	Err     error
 }
 
-// Wrap gives err a verdict. A nil err stays nil.
+// Wrap returns err with a verdict, or nil if err is nil.
 func Wrap(v Verdict, err error) error {
 	if err == nil {
 		return nil
@@ -81,11 +83,11 @@
 
 func (f *Failure) Error() string { return f.Verdict.String() + ": " + f.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Of returns the verdict of the outermost Failure in err's chain. An error
-// without one is MayHaveRun: absence of proof proves nothing.
+// Of returns the verdict of the outermost Failure in err's chain. Without one it is
+// MayHaveRun, since nothing proves that the request did not run.
 func Of(err error) Verdict {
 	var f *Failure
 	if errors.As(err, &f) {
