--- a/internal/request/handover.go
+++ b/internal/request/handover.go
@@ -45,11 +45,11 @@
 // Add adds a request unless it was added before or this daemon doesn't hold it.
 // The latter happens when a request has been released but its Lifecycle hasn't
 // ended yet; a second offer would create a second holder.
-func (h *Handover) Add(c Candidate, custody *Ownership) {
-	if h.items[c.Ref] != nil || custody.State() != Holding {
+func (h *Handover) Add(c Candidate, ownership *Ownership) {
+	if h.items[c.Ref] != nil || ownership.State() != Holding {
 		return
 	}
-	i := &item{candidate: c, ownership: custody}
+	i := &item{candidate: c, ownership: ownership}
 	h.items[c.Ref] = i
 	h.enqueue(i)
 }
--- a/internal/request/handover_machine_test.go
+++ b/internal/request/handover_machine_test.go
@@ -13,12 +13,12 @@
 )
 
 // requestState is the state of one request on one daemon.
-type requestState struct{ alive, held, dispatched, finished, gaveUp bool }
+type requestState struct{ alive, frozen, dispatched, finished, gaveUp bool }
 
 // node is a simulated daemon.
 type node struct {
 	id       fleet.DaemonID
-	holdings *OwnershipTable
+	ownership *OwnershipTable
 	handover *Handover
 	states   map[Ref]*requestState
 }
@@ -69,8 +69,8 @@
 	return out
 }
 
-func (w *network) do(t *rapid.T, n *node, orders []HandoverAction) {
-	for _, o := range orders {
+func (w *network) do(t *rapid.T, n *node, actions []HandoverAction) {
+	for _, o := range actions {
 		switch o := o.(type) {
 		case Prepare:
 			w.prepare(t, n, o)
@@ -81,22 +81,22 @@
 		case Release:
 			n.state(o.Ref).alive = false
 		case Keep:
-			n.state(o.Ref).held = false
+			n.state(o.Ref).frozen = false
 		case GiveUp:
-			p := n.state(o.Ref)
-			p.alive, p.gaveUp = false, true
+			s := n.state(o.Ref)
+			s.alive, s.gaveUp = false, true
 		}
 	}
 }
 
 func (w *network) prepare(t *rapid.T, n *node, o Prepare) {
-	p := n.state(o.Ref)
+	s := n.state(o.Ref)
 	if w.lossy && rapid.IntRange(0, 3).Draw(t, "not ready") == 0 {
 		n.handover.NotReady(w.now, o.Ref)
 		return
 	}
-	p.held = true
-	w.do(t, n, n.handover.Ready(w.now, o.Ref, w.idempotent[o.Ref] || p.dispatched))
+	s.frozen = true
+	w.do(t, n, n.handover.Ready(w.now, o.Ref, w.idempotent[o.Ref] || s.dispatched))
 }
 
 func (w *network) send(t *rapid.T, n *node, o Offer) {
@@ -113,17 +113,17 @@
 	switch {
 	case m.offer != nil:
 		can := n.handover == nil && (!w.lossy || rapid.IntRange(0, 3).Draw(t, "full") > 0)
-		r, fresh := n.holdings.Take(w.now, *m.offer, netDeadline, can)
+		r, fresh := n.ownership.Take(w.now, *m.offer, netDeadline, can)
 		if fresh {
-			p := n.state(m.offer.Ref)
-			p.alive, p.held = true, false
-			p.dispatched = p.dispatched || m.dispatched
+			s := n.state(m.offer.Ref)
+			s.alive, s.frozen = true, false
+			s.dispatched = s.dispatched || m.dispatched
 		}
 		w.inTransit = append(w.inTransit, message{to: m.offer.From, reply: &r})
 	case m.reply != nil && n.handover != nil:
 		w.do(t, n, n.handover.Replied(w.now, *m.reply))
 	case m.withdraw != nil:
-		before, lost := n.holdings.Withdraw(w.now, m.withdraw.Ref, m.withdraw.Rank, netDeadline)
+		before, lost := n.ownership.Withdraw(w.now, m.withdraw.Ref, m.withdraw.Rank, netDeadline)
 		if lost {
 			n.state(m.withdraw.Ref).alive = false
 		}
@@ -141,9 +141,9 @@
 		at := slices.Index(w.nodes, n)
 		n.handover = NewHandover(w.members()[at], DefaultHandoverPolicy())
 	}
-	for ref, p := range n.states {
-		if p.alive && !p.finished {
-			n.handover.Add(Candidate{Ref: ref, Cost: len(ref.ID), Remaining: time.Minute}, n.holdings.Get(ref))
+	for ref, s := range n.states {
+		if s.alive && !s.finished {
+			n.handover.Add(Candidate{Ref: ref, Cost: len(ref.ID), Remaining: time.Minute}, n.ownership.Get(ref))
 		}
 	}
 	n.handover.Leave(w.now.Add(time.Minute))
@@ -159,15 +159,15 @@
 
 // dispatch makes a new attempt if the daemon's ownership allows it.
 func (w *network) dispatch(n *node, ref Ref) {
-	p := n.state(ref)
-	c := n.holdings.Get(ref)
-	if c == nil || !p.alive || p.finished || !c.MayDispatch() {
+	s := n.state(ref)
+	own := n.ownership.Get(ref)
+	if own == nil || !s.alive || s.finished || !own.MayDispatch() {
 		return
 	}
-	if p.dispatched && !w.idempotent[ref] {
+	if s.dispatched && !w.idempotent[ref] {
 		return
 	}
-	p.dispatched = true
+	s.dispatched = true
 	w.dispatches[ref]++
 }
 
@@ -183,8 +183,8 @@
 func (w *network) undispatchedHolders(ref Ref) int {
 	count := 0
 	for _, n := range w.nodes {
-		c, p := n.holdings.Get(ref), n.state(ref)
-		if c != nil && c.MayDispatch() && p.alive && !p.dispatched && !p.finished {
+		own, s := n.ownership.Get(ref), n.state(ref)
+		if own != nil && own.MayDispatch() && s.alive && !s.dispatched && !s.finished {
 			count++
 		}
 	}
@@ -201,7 +201,7 @@
 		w := &network{now: t0, idempotent: map[Ref]bool{}, dispatches: map[Ref]int{}, copies: map[Offer]int{}, lossy: true}
 		for i := range 4 {
 			id := fleet.DaemonID(fmt.Sprint("d", i))
-			w.nodes = append(w.nodes, &node{id: id, holdings: NewOwnershipTable(id), states: map[Ref]*requestState{}})
+			w.nodes = append(w.nodes, &node{id: id, ownership: NewOwnershipTable(id), states: map[Ref]*requestState{}})
 		}
 		var refs []Ref
 		for i := range 2 {
@@ -209,7 +209,7 @@
 			refs = append(refs, r)
 			w.idempotent[r] = rapid.Bool().Draw(t, "idempotent")
 			n := w.nodes[i]
-			n.holdings.Accept(r, netDeadline)
+			n.ownership.Accept(r, netDeadline)
 			n.state(r).alive = true
 		}
 		node := rapid.SampledFrom(w.nodes)
@@ -231,8 +231,8 @@
 			},
 			"finish": func(t *rapid.T) {
 				n, r := node.Draw(t, "node"), rapid.SampledFrom(refs).Draw(t, "ref")
-				if p := n.state(r); p.alive && p.dispatched {
-					p.finished = true
+				if s := n.state(r); s.alive && s.dispatched {
+					s.finished = true
 					if n.handover != nil {
 						n.handover.Finished(r)
 					}
@@ -281,9 +281,9 @@
 func (w *network) checkEnd(t *rapid.T, r Ref) {
 	holders, over := 0, false
 	for _, n := range w.nodes {
-		p := n.state(r)
-		over = over || p.finished || p.gaveUp
-		if c := n.holdings.Get(r); c != nil && c.MayDispatch() && p.alive {
+		s := n.state(r)
+		over = over || s.finished || s.gaveUp
+		if c := n.ownership.Get(r); c != nil && c.MayDispatch() && s.alive {
 			holders++
 			assert.Assert(t, over || n.handover == nil, "%v is still with leaving %v", r, n.id)
 		}
--- a/internal/request/handover_test.go
+++ b/internal/request/handover_test.go
@@ -49,8 +49,8 @@
 	assert.DeepEqual(t, h.Tick(t0), []HandoverAction{Prepare{Ref: ref("0")}})
 	h.Leave(t0.Add(4 * time.Second))
 	h.Leave(t0.Add(time.Minute))
-	orders := h.Replied(t0, Reply{Offer: send.Offer, Answer: Taken})
-	assert.DeepEqual(t, orders, []HandoverAction{Release{Ref: ref("1"), To: Rank{Number: 1, Holder: "far"}}})
+	actions := h.Replied(t0, Reply{Offer: send.Offer, Answer: Taken})
+	assert.DeepEqual(t, actions, []HandoverAction{Release{Ref: ref("1"), To: Rank{Number: 1, Holder: "far"}}})
 	assert.DeepEqual(t, h.Tick(t0), []HandoverAction{Prepare{Ref: ref("short"), Urgent: true}})
 }
 
--- a/internal/request/ownership.go
+++ b/internal/request/ownership.go
@@ -42,49 +42,49 @@
 func Accept(self fleet.DaemonID) *Ownership { return &Ownership{self: self, state: Holding} }
 
 // State returns the ownership's state.
-func (c *Ownership) State() OwnershipState { return c.state }
+func (own *Ownership) State() OwnershipState { return own.state }
 
 // MayDispatch reports whether this daemon may start a new attempt.
-func (c *Ownership) MayDispatch() bool { return c.state == Holding }
+func (own *Ownership) MayDispatch() bool { return own.state == Holding }
 
 // Rank returns the rank with which this daemon holds or held the request.
-func (c *Ownership) Rank() Rank { return Rank{Number: c.number, Holder: c.self} }
+func (own *Ownership) Rank() Rank { return Rank{Number: own.number, Holder: own.self} }
 
 // Holder returns the highest known rank, which may be this daemon's own.
-func (c *Ownership) Holder() Rank {
-	if c.state == Holding || c.state == Offering || c.highestOther.Less(c.Rank()) {
-		return c.Rank()
+func (own *Ownership) Holder() Rank {
+	if own.state == Holding || own.state == Offering || own.highestOther.Less(own.Rank()) {
+		return own.Rank()
 	}
-	return c.highestOther
+	return own.highestOther
 }
 
 // Offer starts an offer to daemon to and returns its number, which is higher
 // than all numbers known here. It returns 0 if this daemon doesn't hold the
 // request.
-func (c *Ownership) Offer(to fleet.DaemonID) uint64 {
-	if c.state != Holding && c.state != Offering {
+func (own *Ownership) Offer(to fleet.DaemonID) uint64 {
+	if own.state != Holding && own.state != Offering {
 		return 0
 	}
-	c.state = Offering
-	c.to = to
-	c.offered = max(c.number, c.offered, c.highestOther.Number) + 1
-	return c.offered
+	own.state = Offering
+	own.to = to
+	own.offered = max(own.number, own.offered, own.highestOther.Number) + 1
+	return own.offered
 }
 
 // Answered applies the reply to the current offer and reports whether it did.
 // Replies to older offers are ignored here; if such a reply is Taken, the caller
 // must withdraw that holder once a holder of a higher rank is confirmed.
-func (c *Ownership) Answered(r Reply) bool {
-	if c.state != Offering || r.Offer.Number != c.offered || r.Offer.To != c.to {
+func (own *Ownership) Answered(r Reply) bool {
+	if own.state != Offering || r.Offer.Number != own.offered || r.Offer.To != own.to {
 		return false
 	}
 	switch r.Answer {
 	case Taken:
-		c.release(Rank{Number: c.offered, Holder: c.to})
+		own.release(Rank{Number: own.offered, Holder: own.to})
 	case NotTaken:
-		c.state = Holding
+		own.state = Holding
 	case Superseded:
-		c.release(r.Known)
+		own.release(r.Known)
 	default:
 		return false
 	}
@@ -92,40 +92,40 @@
 }
 
 // Unsent ends an offer of which nothing was sent.
-func (c *Ownership) Unsent(number uint64) bool {
-	if c.state != Offering || number != c.offered {
+func (own *Ownership) Unsent(number uint64) bool {
+	if own.state != Offering || number != own.offered {
 		return false
 	}
-	c.state = Holding
+	own.state = Holding
 	return true
 }
 
 // TakeBack makes this daemon the holder again, under a higher number, without an
 // answer to its offer. That is allowed only if two holders can't run the request
 // twice. The addressee of the offer must be withdrawn.
-func (c *Ownership) TakeBack() Rank {
-	c.number = max(c.number, c.offered, c.highestOther.Number) + 1
-	c.state = Holding
-	return c.Rank()
+func (own *Ownership) TakeBack() Rank {
+	own.number = max(own.number, own.offered, own.highestOther.Number) + 1
+	own.state = Holding
+	return own.Rank()
 }
 
 // Take answers a received offer. canTake is false if the daemon is leaving or at
 // its limit of requests.
-func (c *Ownership) Take(o Offer, canTake bool) Reply {
-	offered := Rank{Number: o.Number, Holder: c.self}
+func (own *Ownership) Take(o Offer, canTake bool) Reply {
+	offered := Rank{Number: o.Number, Holder: own.self}
 	switch {
-	case o.To != c.self:
+	case o.To != own.self:
 		return Reply{Offer: o, Answer: NotAddressee}
-	case c.state != Absent && o.Number == c.number:
+	case own.state != Absent && o.Number == own.number:
 		return Reply{Offer: o, Answer: Taken}
-	case offered.Less(c.Holder()):
-		return Reply{Offer: o, Answer: Superseded, Known: c.Holder()}
-	case o.Number <= c.refused || !canTake || c.state == Offering:
-		c.refused = max(c.refused, o.Number)
+	case offered.Less(own.Holder()):
+		return Reply{Offer: o, Answer: Superseded, Known: own.Holder()}
+	case o.Number <= own.refused || !canTake || own.state == Offering:
+		own.refused = max(own.refused, o.Number)
 		return Reply{Offer: o, Answer: NotTaken}
 	}
-	c.state = Holding
-	c.number = o.Number
+	own.state = Holding
+	own.number = o.Number
 	return Reply{Offer: o, Answer: Taken}
 }
 
@@ -133,17 +133,17 @@
 // the transfer or from the directory, and reports whether this daemon lost the
 // request to it. The rank is recorded even if this daemon doesn't hold the
 // request, so that a delayed offer with a lower number is superseded.
-func (c *Ownership) Learn(r Rank) bool {
-	if r.Holder == c.self {
+func (own *Ownership) Learn(r Rank) bool {
+	if r.Holder == own.self {
 		return false
 	}
-	held := c.state == Holding || c.state == Offering
-	if held && c.Rank().Less(r) {
-		c.release(r)
+	held := own.state == Holding || own.state == Offering
+	if held && own.Rank().Less(r) {
+		own.release(r)
 		return true
 	}
-	if c.highestOther.Less(r) {
-		c.highestOther = r
+	if own.highestOther.Less(r) {
+		own.highestOther = r
 	}
 	return false
 }
@@ -151,14 +151,14 @@
 // Withdraw is Learn for a withdrawal sent by the daemon that made a transfer of
 // higher rank. It also returns the previously known holder, which the sender has
 // to withdraw as well if it is neither this daemon nor r's holder.
-func (c *Ownership) Withdraw(r Rank) (before Rank, lost bool) {
-	before = c.Holder()
-	return before, c.Learn(r)
+func (own *Ownership) Withdraw(r Rank) (before Rank, lost bool) {
+	before = own.Holder()
+	return before, own.Learn(r)
 }
 
-func (c *Ownership) release(to Rank) {
-	c.state = Released
-	if c.highestOther.Less(to) {
-		c.highestOther = to
+func (own *Ownership) release(to Rank) {
+	own.state = Released
+	if own.highestOther.Less(to) {
+		own.highestOther = to
 	}
 }
--- a/internal/request/ownership_table.go
+++ b/internal/request/ownership_table.go
@@ -30,17 +30,17 @@
 }
 
 // Accept adds a request that this daemon accepted from its caller.
-func (h *OwnershipTable) Accept(ref Ref, deadline time.Time) *Ownership {
-	c := h.getOrCreate(ref, deadline)
-	if c.state == Absent && c.highestOther == (Rank{}) {
-		c.state = Holding
+func (t *OwnershipTable) Accept(ref Ref, deadline time.Time) *Ownership {
+	own := t.getOrCreate(ref, deadline)
+	if own.state == Absent && own.highestOther == (Rank{}) {
+		own.state = Holding
 	}
-	return c
+	return own
 }
 
 // Get returns the ownership of ref, or nil if there is none.
-func (h *OwnershipTable) Get(ref Ref) *Ownership {
-	if e := h.byRef[ref]; e != nil {
+func (t *OwnershipTable) Get(ref Ref) *Ownership {
+	if e := t.byRef[ref]; e != nil {
 		return e.ownership
 	}
 	return nil
@@ -48,23 +48,23 @@
 
 // Take answers an offer. fresh is true for the first copy of an offer that is
 // Taken, so that its request is adopted only once.
-func (h *OwnershipTable) Take(now time.Time, o Offer, deadline time.Time, canTake bool) (r Reply, fresh bool) {
+func (t *OwnershipTable) Take(now time.Time, o Offer, deadline time.Time, canTake bool) (r Reply, fresh bool) {
 	if !now.Before(deadline) {
-		return h.takeAfterDeadline(o), false
+		return t.takeAfterDeadline(o), false
 	}
-	c := h.getOrCreate(o.Ref, deadline)
-	held := c.state == Holding
-	r = c.Take(o, canTake)
-	return r, r.Answer == Taken && !held && c.state == Holding
+	own := t.getOrCreate(o.Ref, deadline)
+	held := own.state == Holding
+	r = own.Take(o, canTake)
+	return r, r.Answer == Taken && !held && own.state == Holding
 }
 
 // takeAfterDeadline answers an offer that arrives after its request's deadline.
 // Such an offer is not taken.
-func (h *OwnershipTable) takeAfterDeadline(o Offer) Reply {
-	if e := h.byRef[o.Ref]; e != nil {
+func (t *OwnershipTable) takeAfterDeadline(o Offer) Reply {
+	if e := t.byRef[o.Ref]; e != nil {
 		return e.ownership.Take(o, false)
 	}
-	if o.To != h.self {
+	if o.To != t.self {
 		return Reply{Offer: o, Answer: NotAddressee}
 	}
 	return Reply{Offer: o, Answer: NotTaken}
@@ -73,29 +73,29 @@
 // Withdraw records the holder in a withdrawal. It returns the previously known
 // holder, and lost as true if this daemon held the request and must stop acting
 // for it.
-func (h *OwnershipTable) Withdraw(now time.Time, ref Ref, r Rank, deadline time.Time) (before Rank, lost bool) {
-	if !now.Before(deadline) && h.byRef[ref] == nil {
+func (t *OwnershipTable) Withdraw(now time.Time, ref Ref, r Rank, deadline time.Time) (before Rank, lost bool) {
+	if !now.Before(deadline) && t.byRef[ref] == nil {
 		return Rank{}, false
 	}
-	return h.getOrCreate(ref, deadline).Withdraw(r)
+	return t.getOrCreate(ref, deadline).Withdraw(r)
 }
 
-func (h *OwnershipTable) getOrCreate(ref Ref, deadline time.Time) *Ownership {
-	e := h.byRef[ref]
+func (t *OwnershipTable) getOrCreate(ref Ref, deadline time.Time) *Ownership {
+	e := t.byRef[ref]
 	if e == nil {
-		e = &ownershipEntry{ownership: &Ownership{self: h.self}, deadline: deadline}
-		h.byRef[ref] = e
+		e = &ownershipEntry{ownership: &Ownership{self: t.self}, deadline: deadline}
+		t.byRef[ref] = e
 	}
 	return e.ownership
 }
 
 // Expire removes requests whose deadline passed at least clockSlack ago, and
 // returns how many.
-func (h *OwnershipTable) Expire(now time.Time) int {
+func (t *OwnershipTable) Expire(now time.Time) int {
 	dropped := 0
-	for ref, e := range h.byRef {
+	for ref, e := range t.byRef {
 		if now.Sub(e.deadline) >= clockSlack {
-			delete(h.byRef, ref)
+			delete(t.byRef, ref)
 			dropped++
 		}
 	}
@@ -103,4 +103,4 @@
 }
 
 // Len returns the number of requests in the table.
-func (h *OwnershipTable) Len() int { return len(h.byRef) }
+func (t *OwnershipTable) Len() int { return len(t.byRef) }
