--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -122,11 +122,11 @@
 }
 
 func (d *Directory) put(now time.Time, h Holding) {
-	life := d.config.RunningTTL
+	ttl := d.config.RunningTTL
 	if h.Finished {
-		life = d.config.FinishedTTL
+		ttl = d.config.FinishedTTL
 	}
-	e := entry{holding: h, expires: now.Add(life)}
+	e := entry{holding: h, expires: now.Add(ttl)}
 	d.entries[h.Request] = e
 	d.order = append(d.order, registration{request: h.Request, expires: e.expires})
 	d.evict(now)
--- a/internal/ends/watch.go
+++ b/internal/ends/watch.go
@@ -18,9 +18,9 @@
 	// probeDelay is the time from a disconnect to the probe of the endpoint: its
 	// other connections end within a few milliseconds.
 	probeDelay = 20 * time.Millisecond
-	// probeAge is how long a probe is valid: further disconnects are attributed to
+	// probeValidity is how long a probe is valid: further disconnects are attributed to
 	// the same crash and start no other probe.
-	probeAge = time.Second
+	probeValidity = time.Second
 	// lateNotice is how long after an endpoint's end its notice that it leaves may
 	// arrive: two report intervals of a large fleet.
 	lateNotice = 3 * time.Second
@@ -57,7 +57,7 @@
 	disconnects *ring.Ring[Disconnect]
 	answers     *ring.Ring[*probe]
 	probes      map[fleet.EndpointID]*probe
-	probing     sync.WaitGroup
+	probeGroup  sync.WaitGroup
 }
 
 // probe is a check whether an endpoint's process has ended.
@@ -78,21 +78,21 @@
 }
 
 // Disconnected queues a disconnect. It never blocks.
-func (w *Watch) Disconnected(c Disconnect) { w.disconnects.Push(c) }
+func (w *Watch) Disconnected(d Disconnect) { w.disconnects.Push(d) }
 
 // Run handles disconnects until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	defer w.probing.Wait()
+	defer w.probeGroup.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-w.disconnects.C():
-			w.handleDisconnect(ctx, c)
-		case q := <-w.answers.C():
-			w.handleAnswer(q)
+		case d := <-w.disconnects.C():
+			w.handleDisconnect(ctx, d)
+		case p := <-w.answers.C():
+			w.handleAnswer(p)
 		case now := <-ticker.C:
 			w.tick(now)
 		}
@@ -101,66 +101,66 @@
 
 // handleDisconnect starts a probe of the endpoint, unless one is valid, and adds
 // the request to the crash's suspects.
-func (w *Watch) handleDisconnect(ctx context.Context, c Disconnect) {
-	q := w.probes[c.Endpoint]
-	if q == nil || time.Since(q.startedAt) > probeAge {
-		q = w.startProbe(ctx, c)
+func (w *Watch) handleDisconnect(ctx context.Context, d Disconnect) {
+	p := w.probes[d.Endpoint]
+	if p == nil || time.Since(p.startedAt) > probeValidity {
+		p = w.startProbe(ctx, d)
 	}
-	if c.AnswerBegun {
+	if d.AnswerBegun {
 		return
 	}
-	sent := w.o.Now().Add(-time.Since(c.Sent)).Truncate(timePrecision)
-	q.crash.AddSuspect(quarantine.Suspect{Request: c.Request, Sent: sent})
-	if q.crashed {
-		w.o.Changed(w.o.Table.Add(w.o.Now(), q.crash))
+	sent := w.o.Now().Add(-time.Since(d.Sent)).Truncate(timePrecision)
+	p.crash.AddSuspect(quarantine.Suspect{Request: d.Request, Sent: sent})
+	if p.crashed {
+		w.o.Changed(w.o.Table.Add(w.o.Now(), p.crash))
 	}
 }
 
-func (w *Watch) startProbe(ctx context.Context, c Disconnect) *probe {
-	q := &probe{disconnect: c, startedAt: time.Now()}
-	q.crash = quarantine.Crash{Endpoint: quarantine.IncarnationOf(c.Endpoint, c.StartedAt), At: w.o.Now().Truncate(timePrecision)}
-	w.probes[c.Endpoint] = q
-	w.probing.Go(func() { w.runProbe(ctx, q) })
-	return q
+func (w *Watch) startProbe(ctx context.Context, d Disconnect) *probe {
+	p := &probe{disconnect: d, startedAt: time.Now()}
+	p.crash = quarantine.Crash{Endpoint: quarantine.IncarnationOf(d.Endpoint, d.StartedAt), At: w.o.Now().Truncate(timePrecision)}
+	w.probes[d.Endpoint] = p
+	w.probeGroup.Go(func() { w.runProbe(ctx, p) })
+	return p
 }
 
 // runProbe finds out whether the endpoint's process has ended, which is so only if
 // nothing listens at its address: a single connection may be reset, and an endpoint
 // behind a network partition doesn't answer.
-func (w *Watch) runProbe(ctx context.Context, q *probe) {
+func (w *Watch) runProbe(ctx context.Context, p *probe) {
 	if !pause.For(ctx, probeDelay) {
 		return
 	}
-	there, err := w.o.Listens(ctx, q.disconnect.Address)
-	q.ended = !there && err == nil
-	w.answers.Send(ctx.Done(), q)
+	listening, err := w.o.Listens(ctx, p.disconnect.Address)
+	p.ended = !listening && err == nil
+	w.answers.Send(ctx.Done(), p)
 }
 
 // handleAnswer handles the result of a probe. An endpoint that has not ended is
 // probed again at the next disconnect.
-func (w *Watch) handleAnswer(q *probe) {
-	if !q.ended {
-		delete(w.probes, q.disconnect.Endpoint)
+func (w *Watch) handleAnswer(p *probe) {
+	if !p.ended {
+		delete(w.probes, p.disconnect.Endpoint)
 		return
 	}
-	listed, leaving := w.o.State(q.disconnect.Endpoint)
-	q.crashed, q.crash.Void = true, !listed || leaving
-	w.o.Ended(q.disconnect.Endpoint, &q.crash)
-	w.o.Changed(w.o.Table.Add(w.o.Now(), q.crash))
+	listed, leaving := w.o.State(p.disconnect.Endpoint)
+	p.crashed, p.crash.Void = true, !listed || leaving
+	w.o.Ended(p.disconnect.Endpoint, &p.crash)
+	w.o.Changed(w.o.Table.Add(w.o.Now(), p.crash))
 }
 
 // tick voids the crashes of endpoints that had announced that they leave, since
 // that notice may arrive after the end.
 func (w *Watch) tick(now time.Time) {
-	for id, q := range w.probes {
-		if now.Sub(q.startedAt) > lateNotice {
+	for id, p := range w.probes {
+		if now.Sub(p.startedAt) > lateNotice {
 			delete(w.probes, id)
 			continue
 		}
-		if _, leaving := w.o.State(id); leaving && q.crashed && !q.crash.Void {
-			q.crash.Void = true
-			w.o.Ended(id, &q.crash)
-			w.o.Changed(w.o.Table.Void(w.o.Now(), q.crash.Endpoint, q.crash.At))
+		if _, leaving := w.o.State(id); leaving && p.crashed && !p.crash.Void {
+			p.crash.Void = true
+			w.o.Ended(id, &p.crash)
+			w.o.Changed(w.o.Table.Void(w.o.Now(), p.crash.Endpoint, p.crash.At))
 		}
 	}
 	w.o.Changed(w.o.Table.Tick(w.o.Now()))
--- a/internal/ends/watch_test.go
+++ b/internal/ends/watch_test.go
@@ -54,10 +54,10 @@
 	})
 }
 
-func (s *fixture) cut(e fleet.EndpointID, request string, begun bool) {
+func (s *fixture) disconnect(e fleet.EndpointID, request string, answerBegun bool) {
 	s.Disconnected(Disconnect{
 		Endpoint: e, Address: string(e), Request: quarantine.KeyOf("w", "", request, nil),
-		Sent: time.Now().Add(-50 * time.Millisecond), AnswerBegun: begun,
+		Sent: time.Now().Add(-50 * time.Millisecond), AnswerBegun: answerBegun,
 	})
 }
 
@@ -76,10 +76,10 @@
 // answer are the suspects.
 func TestEndpointIsProbedOncePerCrash(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
-		s.cut("e", "a", false)
-		s.cut("e", "b", true)
+		s.disconnect("e", "a", false)
+		s.disconnect("e", "b", true)
 		time.Sleep(2 * probeDelay)
-		s.cut("e", "c", false)
+		s.disconnect("e", "c", false)
 		synctest.Wait()
 		crashes, suspects, void := s.crashes()
 		assert.Equal(t, crashes, 1)
@@ -93,12 +93,12 @@
 func TestCrashAfterAResetIsDetected(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
 		s.listening = true
-		s.cut("e", "a", false)
+		s.disconnect("e", "a", false)
 		time.Sleep(2 * probeDelay)
 		s.mu.Lock()
 		s.listening = false
 		s.mu.Unlock()
-		s.cut("e", "b", false)
+		s.disconnect("e", "b", false)
 		time.Sleep(2 * probeDelay)
 		crashes, suspects, _ := s.crashes()
 		assert.Equal(t, crashes, 1)
@@ -110,7 +110,7 @@
 func TestSecondCrashIsReportedSeparately(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
 		for range 2 {
-			s.cut("e", "a", false)
+			s.disconnect("e", "a", false)
 			time.Sleep(5 * time.Second)
 		}
 		crashes, _, _ := s.crashes()
@@ -120,10 +120,10 @@
 
 // Only a connection was reset, or the endpoint can't be reached: it has not ended.
 func TestNoCrashUnlessTheConnectionIsRefused(t *testing.T) {
-	for _, unknown := range []error{nil, errors.New("no answer")} {
+	for _, err := range []error{nil, errors.New("no answer")} {
 		runWatch(t, func(t *testing.T, s *fixture) {
-			s.listening, s.listenErr = unknown == nil, unknown
-			s.cut("e", "a", false)
+			s.listening, s.listenErr = err == nil, err
+			s.disconnect("e", "a", false)
 			time.Sleep(time.Second)
 			crashes, _, _ := s.crashes()
 			assert.Equal(t, crashes, 0)
@@ -134,14 +134,14 @@
 // The endpoint had announced that it leaves, was not listed any more, or its notice
 // arrives shortly after its end.
 func TestCrashOfALeavingEndpointIsVoid(t *testing.T) {
-	for _, before := range []func(s *fixture){
+	for _, prepare := range []func(s *fixture){
 		func(s *fixture) { s.leaving = true },
 		func(s *fixture) { s.listed = false },
 		func(s *fixture) {},
 	} {
 		runWatch(t, func(t *testing.T, s *fixture) {
-			before(s)
-			s.cut("e", "a", false)
+			prepare(s)
+			s.disconnect("e", "a", false)
 			time.Sleep(time.Second)
 			s.mu.Lock()
 			s.leaving = true
@@ -157,7 +157,7 @@
 // The endpoint is removed from the list because it crashed.
 func TestRemovalFromTheListDoesNotVoidACrash(t *testing.T) {
 	runWatch(t, func(t *testing.T, s *fixture) {
-		s.cut("e", "a", false)
+		s.disconnect("e", "a", false)
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		s.listed = false
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -12,20 +12,20 @@
 
 var bounds = Bounds{FirstByte: 400 * time.Millisecond, Idle: 100 * time.Millisecond, Total: time.Second}
 
-// endOf returns when and why the context of a transfer ends. come counts the
+// endOf returns when and why the context of a transfer ends. arrive counts the
 // transfer's bytes as they arrive.
-func endOf(t *testing.T, come func(m *Meter)) (after time.Duration, cause error) {
+func endOf(t *testing.T, arrive func(m *Meter)) (after time.Duration, cause error) {
 	synctest.Test(t, func(t *testing.T) {
 		var m Meter
 		m.Add(7) // of an earlier transfer on the connection
 		began := time.Now()
 		ctx, cancel := WithBounds(t.Context(), &m, bounds)
 		defer cancel()
-		var coming sync.WaitGroup
-		coming.Go(func() { come(&m) })
+		var arrivals sync.WaitGroup
+		arrivals.Go(func() { arrive(&m) })
 		<-ctx.Done()
 		after, cause = time.Since(began), context.Cause(ctx)
-		coming.Wait()
+		arrivals.Wait()
 	})
 	return after, cause
 }
--- a/internal/request/handover_action.go
+++ b/internal/request/handover_action.go
@@ -10,7 +10,7 @@
 // Handover.NotReady.
 type Prepare struct {
 	Ref    Ref
-	Urgent bool
+	Urgent bool // the argument of Freeze
 }
 
 // Send sends or resends an offer with the request's snapshot. Its result is passed
--- a/internal/request/handover_machine_test.go
+++ b/internal/request/handover_machine_test.go
@@ -17,10 +17,10 @@
 
 // node is a simulated daemon.
 type node struct {
-	id       fleet.DaemonID
+	id        fleet.DaemonID
 	ownership *OwnershipTable
-	handover *Handover
-	states   map[Ref]*requestState
+	handover  *Handover
+	states    map[Ref]*requestState
 }
 
 func (n *node) state(r Ref) *requestState {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -101,8 +101,8 @@
 // That is final: if the registry is restored from a copy some seconds old, it may
 // list a leaving or departed endpoint as serving, which must get no requests.
 func (r *Roster) announcedLeave(e *Endpoint) bool {
-	born, ok := r.leaving[e.ID]
-	return ok && !e.StartedAt.IsZero() && e.StartedAt.Equal(born)
+	startedAt, ok := r.leaving[e.ID]
+	return ok && !e.StartedAt.IsZero() && e.StartedAt.Equal(startedAt)
 }
 
 func (r *Roster) recordLeave(e *Endpoint) {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -115,17 +115,17 @@
 // requests, unless it has restarted with the same ID.
 func TestAnnouncedLeaveIsFinal(t *testing.T) {
 	r := New()
-	born := start
+	startedAt := start
 	for _, gone := range []bool{false, true} {
-		r.Upsert(Endpoint{ID: "a", StartedAt: born, Draining: true})
+		r.Upsert(Endpoint{ID: "a", StartedAt: startedAt, Draining: true})
 		if gone {
 			r.Remove(start, "a")
 		}
-		r.Upsert(Endpoint{ID: "a", StartedAt: born})
+		r.Upsert(Endpoint{ID: "a", StartedAt: startedAt})
 		all, _ := r.Snapshot()
 		assert.Assert(t, len(all) == 0 || all[0].Draining, "gone %v: %+v", gone, all)
 	}
-	r.Upsert(Endpoint{ID: "a", StartedAt: born.Add(time.Second)})
+	r.Upsert(Endpoint{ID: "a", StartedAt: startedAt.Add(time.Second)})
 	all, _ := r.Snapshot()
 	assert.Equal(t, len(all), 1)
 	assert.Assert(t, !all[0].Draining)
--- a/internal/route/limits.go
+++ b/internal/route/limits.go
@@ -1,6 +1,6 @@
 package route
 
-// Limits are limits on a caller's request.
+// Limits restrict the requests of callers.
 type Limits struct {
-	BodyBytes int // of the body
+	BodyBytes int // longest request body
 }
--- a/internal/usage/rollback_test.go
+++ b/internal/usage/rollback_test.go
@@ -22,11 +22,11 @@
 // and sent is lost. Neither the same holder nor a new one may report that window
 // with other counts.
 func TestNoWindowIsReportedWithTwoCountsAfterAStoreRollback(t *testing.T) {
-	returns, reports := 0, 0
+	rollbacks, reports := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		era := uint64(1)
 		var stored storedRecord
-		copied := stored
+		backup := stored
 		reported := map[uint64]map[fleet.WorkspaceID]uint64{}
 		clock := time.Unix(5000, 0)
 		r := NewReporter(window)
@@ -37,11 +37,11 @@
 			case 0:
 				r = NewReporter(window) // another holder, or the same one after it lost the lease
 			case 1, 2:
-				copied = stored
+				backup = stored
 			case 3:
-				if copied.counter > 0 {
-					era, stored = era+1, copied
-					returns++
+				if backup.counter > 0 {
+					era, stored = era+1, backup
+					rollbacks++
 				}
 			}
 			count++
@@ -70,7 +70,7 @@
 			}
 		}
 	})
-	if returns == 0 || reports == 0 {
+	if rollbacks == 0 || reports == 0 {
 		t.Fatal("nothing was checked")
 	}
 }
