--- a/internal/daemon/engines.go
+++ b/internal/daemon/engines.go
@@ -75,7 +75,7 @@
 	return p, nil
 }
 
-// attemptError says in the life's terms how an attempt failed.
+// attemptError says in the lifecycle's terms how an attempt failed.
 func attemptError(err error) error {
 	out := &dispatch.AttemptError{Kind: request.Reset, Verdict: verdict.Of(err), Err: err}
 	var silent *endpoint.StallError
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -43,8 +43,8 @@
 	return dispatch.Options{
 		Instance: s.Instance,
 		Daemon:   d.run,
-		// The life watches each stream's progress; the client's own deadlines
-		// are the second line, for what never reaches the life.
+		// The lifecycle watches each stream's progress; the client's own deadlines
+		// are the second line, for what never reaches the lifecycle.
 		Engines:    &engines{client: client, first: 2 * policy.DispatchTimeout, between: 2 * policy.ProgressTimeout},
 		Router:     d.routing,
 		Quarantine: d.crashes,
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -245,7 +245,7 @@
 }
 
 // attemptFailed reports a failed attempt to the router, the observer and the
-// life. An attempt that was cancelled is ignored: another one has superseded it,
+// lifecycle. An attempt that was cancelled is ignored: another one has superseded it,
 // and its endpoint may be healthy.
 func (r *run) attemptFailed(ctx context.Context, number uint32, endpoint fleet.EndpointID, err error) {
 	if ctx.Err() != nil {
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -234,7 +234,7 @@
 }
 
 // endTransfer removes the transfer of a frozen run and applies an event to its
-// life.
+// lifecycle.
 func (d *Dispatcher) endTransfer(ref request.Ref, f func(*request.Lifecycle, time.Time) []request.Action) {
 	d.handover.mu.Lock()
 	delete(d.handover.transfers, ref)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -60,7 +60,7 @@
 	return r
 }
 
-// newBareRun returns a run whose life is still to be set.
+// newBareRun returns a run whose lifecycle is still to be set.
 func (d *Dispatcher) newBareRun(ref request.Ref, digest request.Digest, c engineapi.CompletionRequest, body []byte) *run {
 	model := fleet.ModelRef{Model: c.Model, Adapter: c.Adapter, Version: c.Version}
 	blocks, tokens := prompt.LeadingBlocks(model, c.Messages, nil)
@@ -92,14 +92,14 @@
 	return string(daemon) + "/" + uuid.Must(uuid.NewV7()).String()
 }
 
-// apply applies an event to the life and performs the resulting actions.
+// apply applies an event to the lifecycle and performs the resulting actions.
 func (r *run) apply(event func(now time.Time) []request.Action) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perform(event(time.Now()))
 }
 
-// perform performs actions of the life. Called with r.mu held.
+// perform performs actions of the lifecycle. Called with r.mu held.
 func (r *run) perform(actions []request.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -134,7 +134,7 @@
 	return u
 }
 
-// arm sets the timer for the life's next deadline. A timer that fires no later
+// arm sets the timer for the lifecycle's next deadline. A timer that fires no later
 // than that is left as it is: each token postpones the deadline, and must not
 // cost a timer operation. Called with r.mu held.
 func (r *run) arm() {
