--- a/internal/request/assembly_test.go
+++ b/internal/request/assembly_test.go
@@ -47,7 +47,7 @@
 	f.Add([]byte{5, 0, 4, 0, 5, 0, 5, 1, 5, 255})
 	f.Fuzz(func(t *testing.T, ops []byte) {
 		const length = 40
-		truth := func(i int) string { return fmt.Sprint(i, ".") }
+		want := func(i int) string { return fmt.Sprint(i, ".") }
 		var a Assembly
 		a.Begin(1)
 		for ; len(ops) >= 2; ops = ops[2:] {
@@ -65,11 +65,11 @@
 				continue
 			}
 			before := a.Len()
-			r := a.Add(attempt, offset, truth(offset))
+			r := a.Add(attempt, offset, want(offset))
 			assert.Equal(t, r == Appended, a.Len() == before+1)
 		}
 		for i, token := range a.From(0) {
-			assert.Equal(t, token, truth(i))
+			assert.Equal(t, token, want(i))
 		}
 	})
 }
--- a/internal/request/failure.go
+++ b/internal/request/failure.go
@@ -15,7 +15,7 @@
 	Reset FailureKind = iota
 	// Dial: no connection could be made; nothing was written.
 	Dial
-	// Silent: no piece arrived within Policy's timeout.
+	// Silent: no piece arrived within the timeouts of Policy.
 	Silent
 	// NotFound: the engine has no such stream.
 	NotFound
@@ -26,7 +26,7 @@
 	// NoEndpoint: routing found no endpoint; nothing was written.
 	NoEndpoint
 	// Quarantined: the request crashes the engines that run it; nothing was
-	// written.
+	// written. Logs and metrics call it held.
 	Quarantined
 	// Contradiction: the attempt's pieces contradict the answer so far.
 	Contradiction
--- a/internal/request/handover.go
+++ b/internal/request/handover.go
@@ -152,12 +152,12 @@
 	return out
 }
 
-// settle ends the hand-over of a request with action o.
-func (h *Handover) settle(i *item, o HandoverAction) []HandoverAction {
+// settle ends the hand-over of a request with a last action.
+func (h *Handover) settle(i *item, action HandoverAction) []HandoverAction {
 	h.removeInFlight(i)
 	i.state = itemSettled
 	delete(h.items, i.candidate.Ref)
-	return []HandoverAction{o}
+	return []HandoverAction{action}
 }
 
 // removeInFlight removes an item from those in flight.
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -37,9 +37,9 @@
 	return &Table{limits: limits, entries: make(map[Ref]*Entry)}
 }
 
-// Begin returns the entry of request ref, or adds one for life. The entry is nil
-// if the result is Full.
-func (t *Table) Begin(now time.Time, ref Ref, d Digest, life *Lifecycle) (*Entry, BeginResult) {
+// Begin returns the entry of request ref, or adds one with lifecycle. The entry is
+// nil if the result is Full.
+func (t *Table) Begin(now time.Time, ref Ref, d Digest, lifecycle *Lifecycle) (*Entry, BeginResult) {
 	t.Expire(now)
 	if e := t.entries[ref]; e != nil {
 		if e.Digest != d {
@@ -50,7 +50,7 @@
 	if t.live >= t.limits.Live {
 		return nil, Full
 	}
-	e := &Entry{Ref: ref, Digest: d, Lifecycle: life}
+	e := &Entry{Ref: ref, Digest: d, Lifecycle: lifecycle}
 	t.entries[ref] = e
 	t.live++
 	return e, Created
