--- a/internal/request/ownership.go
+++ b/internal/request/ownership.go
@@ -31,7 +31,7 @@
 type Ownership struct {
 	self         fleet.DaemonID
 	state        OwnershipState
-	number       uint64         // of the transfer to this daemon; 0 if it accepted the request itself
+	number       uint64         // of the transfer to this daemon or its newest TakeBack; 0 if it accepted the request itself
 	offered      uint64         // number of the newest offer from this daemon
 	to           fleet.DaemonID // addressee of that offer
 	refused      uint64         // the highest number that this daemon has refused
