--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -36,7 +36,7 @@
 	if left <= 0 {
 		return nil
 	}
-	return &AttemptError{Kind: request.Held, Verdict: verdict.NotRun, RetryAfter: left, Err: errCrashes}
+	return &AttemptError{Kind: request.Quarantined, Verdict: verdict.NotRun, RetryAfter: left, Err: errCrashes}
 }
 
 var errCrashes = errors.New("the request crashes the engines that run it")
@@ -47,5 +47,5 @@
 	if ctx.Err() != nil || failureOf(s.number, err).Kind != request.Reset {
 		return
 	}
-	r.d.opts.Quarantine.Cut(ends.Cut{Endpoint: s.endpoint, Address: s.address, Request: r.quarantineKey(), Sent: s.at, Begun: s.begun})
+	r.d.opts.Quarantine.Cut(ends.Disconnect{Endpoint: s.endpoint, Address: s.address, Request: r.quarantineKey(), Sent: s.at, AnswerBegun: s.begun})
 }
--- a/internal/ends/watch.go
+++ b/internal/ends/watch.go
@@ -12,153 +12,155 @@
 )
 
 const (
-	// cutRing bounds the cuts that wait: an endpoint's end cuts all that run
-	// there, some dozens at each daemon.
-	cutRing = 256
-	// askAfter is how long after a cut the endpoint is asked for: the ends of
-	// its other connections are a few milliseconds apart.
-	askAfter = 20 * time.Millisecond
-	// inquiryAge is how long an endpoint that has ended isn't asked for again, and
-	// further cuts belong to the same end.
-	inquiryAge = time.Second
-	// lateWord is how long after an endpoint's end the word that it leaves may
-	// come: two reports of a large fleet.
-	lateWord = 3 * time.Second
-	// tick is how often that is looked for.
+	// queueSize is the capacity of each queue. A crash ends all connections to the
+	// endpoint, which are some dozens from each daemon.
+	queueSize = 256
+	// probeDelay is the time from a disconnect to the probe of the endpoint: its
+	// other connections end within a few milliseconds.
+	probeDelay = 20 * time.Millisecond
+	// probeValidity is how long a probe is valid: further disconnects are attributed to
+	// the same crash and start no other probe.
+	probeValidity = time.Second
+	// lateNotice is how long after an endpoint's end its notice that it leaves may
+	// arrive: two report intervals of a large fleet.
+	lateNotice = 3 * time.Second
+	// tick is the interval of the checks for late notices.
 	tick = 250 * time.Millisecond
-	// told is what times are told to, so that all daemons have the same.
-	told = time.Millisecond
+	// timePrecision is the precision of times in messages. Times are truncated to
+	// it, so that all daemons have the same.
+	timePrecision = time.Millisecond
 )
 
-// Options are what a Watch is made of. The functions must return at once, but for
-// Listens.
+// Options are the dependencies of a Watch. All functions but Listens must return
+// at once.
 type Options struct {
 	Table *quarantine.Table
-	// Now is the time by which the table goes.
+	// Now returns the time for the table.
 	Now func() time.Time
-	// Listens reports whether somebody listens at an address, or why that isn't
-	// known.
+	// Listens reports whether a process listens at an address, or the error if that
+	// can't be determined.
 	Listens func(ctx context.Context, address string) (bool, error)
-	// State reports whether an endpoint is listed, and whether it has said that
-	// it leaves.
+	// State reports whether an endpoint is listed, and whether it has announced
+	// that it leaves.
 	State func(id fleet.EndpointID) (listed, leaving bool)
-	// Ended is told of an endpoint's end.
+	// Ended is called when an endpoint has ended, and again if the crash becomes
+	// void.
 	Ended func(id fleet.EndpointID, c *quarantine.Crash)
-	// Changed is told which requests are held and which no longer.
+	// Changed is called with changes to the requests in quarantine.
 	Changed func(quarantine.Change)
 }
 
-// Watch asks for the endpoints whose connections ended, and tells the table of
-// those that crashed. A goroutine of its own runs it.
+// Watch probes the endpoints whose connections ended, and adds crashes to the
+// table. Run must be called in a goroutine of its own.
 type Watch struct {
-	o         Options
-	cuts      *ring.Ring[Cut]
-	answers   *ring.Ring[*inquiry]
-	inquiries map[fleet.EndpointID]*inquiry
-	asking    sync.WaitGroup
+	o           Options
+	disconnects *ring.Ring[Disconnect]
+	answers     *ring.Ring[*probe]
+	probes      map[fleet.EndpointID]*probe
+	probeGroup  sync.WaitGroup
 }
 
-// inquiry is the question whether an endpoint crashed.
-type inquiry struct {
-	cut     Cut
-	asked   time.Time
-	crash   quarantine.Crash
-	ended   bool // the answer, written before it is sent
-	crashed bool // the answer was taken, and the table was told
+// probe is a check whether an endpoint's process has ended.
+type probe struct {
+	disconnect Disconnect
+	startedAt  time.Time
+	crash      quarantine.Crash
+	ended      bool // the result, set before the probe is sent to answers
+	crashed    bool // the endpoint has ended, and the crash is in the table
 }
 
-// New returns a watch that isn't running.
+// New returns a Watch. Run starts it.
 func New(o Options) *Watch {
 	return &Watch{
-		o: o, cuts: ring.New[Cut]("cuts", cutRing), answers: ring.New[*inquiry]("inquiries", cutRing),
-		inquiries: map[fleet.EndpointID]*inquiry{},
+		o: o, disconnects: ring.New[Disconnect]("cuts", queueSize), answers: ring.New[*probe]("inquiries", queueSize),
+		probes: map[fleet.EndpointID]*probe{},
 	}
 }
 
-// Cut takes an attempt that was cut off; it never waits.
-func (w *Watch) Cut(c Cut) { w.cuts.Push(c) }
+// Disconnected queues a disconnect. It never blocks.
+func (w *Watch) Disconnected(d Disconnect) { w.disconnects.Push(d) }
 
-// Run works until the context ends.
+// Run handles disconnects until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	defer w.asking.Wait()
+	defer w.probeGroup.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-w.cuts.C():
-			w.take(ctx, c)
-		case q := <-w.answers.C():
-			w.answered(q)
+		case d := <-w.disconnects.C():
+			w.handleDisconnect(ctx, d)
+		case p := <-w.answers.C():
+			w.handleAnswer(p)
 		case now := <-ticker.C:
 			w.tick(now)
 		}
 	}
 }
 
-// take notes a cut and asks whether the endpoint is there, once for all that its
-// end has cut.
-func (w *Watch) take(ctx context.Context, c Cut) {
-	q := w.inquiries[c.Endpoint]
-	if q == nil || time.Since(q.asked) > inquiryAge {
-		q = w.inquire(ctx, c)
+// handleDisconnect starts a probe of the endpoint, unless one is valid, and adds
+// the request to the crash's suspects.
+func (w *Watch) handleDisconnect(ctx context.Context, d Disconnect) {
+	p := w.probes[d.Endpoint]
+	if p == nil || time.Since(p.startedAt) > probeValidity {
+		p = w.startProbe(ctx, d)
 	}
-	if c.Begun {
+	if d.AnswerBegun {
 		return
 	}
-	sent := w.o.Now().Add(-time.Since(c.Sent)).Truncate(told)
-	q.crash.AddSuspect(quarantine.Suspect{Request: c.Request, Sent: sent})
-	if q.crashed {
-		w.o.Changed(w.o.Table.Add(w.o.Now(), q.crash))
+	sent := w.o.Now().Add(-time.Since(d.Sent)).Truncate(timePrecision)
+	p.crash.AddSuspect(quarantine.Suspect{Request: d.Request, Sent: sent})
+	if p.crashed {
+		w.o.Changed(w.o.Table.Add(w.o.Now(), p.crash))
 	}
 }
 
-func (w *Watch) inquire(ctx context.Context, c Cut) *inquiry {
-	q := &inquiry{cut: c, asked: time.Now()}
-	q.crash = quarantine.Crash{Endpoint: quarantine.IncarnationOf(c.Endpoint, c.Born), At: w.o.Now().Truncate(told)}
-	w.inquiries[c.Endpoint] = q
-	w.asking.Go(func() { w.ask(ctx, q) })
-	return q
+func (w *Watch) startProbe(ctx context.Context, d Disconnect) *probe {
+	p := &probe{disconnect: d, startedAt: time.Now()}
+	p.crash = quarantine.Crash{Endpoint: quarantine.IncarnationOf(d.Endpoint, d.StartedAt), At: w.o.Now().Truncate(timePrecision)}
+	w.probes[d.Endpoint] = p
+	w.probeGroup.Go(func() { w.runProbe(ctx, p) })
+	return p
 }
 
-// ask asks whether the endpoint's process is there. Only where nobody listens it
-// has ended: a connection can be reset by itself, and to an endpoint that is cut
-// off there is no answer.
-func (w *Watch) ask(ctx context.Context, q *inquiry) {
-	if !pause.For(ctx, askAfter) {
+// runProbe finds out whether the endpoint's process has ended, which is so only if
+// nothing listens at its address: a single connection may be reset, and an endpoint
+// behind a network partition doesn't answer.
+func (w *Watch) runProbe(ctx context.Context, p *probe) {
+	if !pause.For(ctx, probeDelay) {
 		return
 	}
-	there, err := w.o.Listens(ctx, q.cut.Address)
-	q.ended = !there && err == nil
-	w.answers.Send(ctx.Done(), q)
+	listening, err := w.o.Listens(ctx, p.disconnect.Address)
+	p.ended = !listening && err == nil
+	w.answers.Send(ctx.Done(), p)
 }
 
-// answered takes the answer. An endpoint that has not ended is asked for again at
-// the next cut, which may be its end.
-func (w *Watch) answered(q *inquiry) {
-	if !q.ended {
-		delete(w.inquiries, q.cut.Endpoint)
+// handleAnswer handles the result of a probe. An endpoint that has not ended is
+// probed again at the next disconnect.
+func (w *Watch) handleAnswer(p *probe) {
+	if !p.ended {
+		delete(w.probes, p.disconnect.Endpoint)
 		return
 	}
-	listed, leaving := w.o.State(q.cut.Endpoint)
-	q.crashed, q.crash.Void = true, !listed || leaving
-	w.o.Ended(q.cut.Endpoint, &q.crash)
-	w.o.Changed(w.o.Table.Add(w.o.Now(), q.crash))
+	listed, leaving := w.o.State(p.disconnect.Endpoint)
+	p.crashed, p.crash.Void = true, !listed || leaving
+	w.o.Ended(p.disconnect.Endpoint, &p.crash)
+	w.o.Changed(w.o.Table.Add(w.o.Now(), p.crash))
 }
 
-// tick takes back the ends of endpoints that had said that they leave: the word
-// may come after the end.
+// tick voids the crashes of endpoints that had announced that they leave, since
+// that notice may arrive after the end.
 func (w *Watch) tick(now time.Time) {
-	for id, q := range w.inquiries {
-		if now.Sub(q.asked) > lateWord {
-			delete(w.inquiries, id)
+	for id, p := range w.probes {
+		if now.Sub(p.startedAt) > lateNotice {
+			delete(w.probes, id)
 			continue
 		}
-		if _, leaving := w.o.State(id); leaving && q.crashed && !q.crash.Void {
-			q.crash.Void = true
-			w.o.Ended(id, &q.crash)
-			w.o.Changed(w.o.Table.Void(w.o.Now(), q.crash.Endpoint, q.crash.At))
+		if _, leaving := w.o.State(id); leaving && p.crashed && !p.crash.Void {
+			p.crash.Void = true
+			w.o.Ended(id, &p.crash)
+			w.o.Changed(w.o.Table.Void(w.o.Now(), p.crash.Endpoint, p.crash.At))
 		}
 	}
 	w.o.Changed(w.o.Table.Tick(w.o.Now()))
--- a/internal/prompt/leading_test.go
+++ b/internal/prompt/leading_blocks_test.go
@@ -12,9 +12,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// A daemon that hashed a prompt in another way than the engine does would take
-// no cache event for its own, and send each turn of a conversation to an engine
-// that has never seen it.
+// If a daemon hashed a prompt differently from the engines, their cache events would
+// not match, and each turn of a conversation would go to an engine that hasn't
+// cached the earlier ones.
 func TestLeadingHashesAsEnginesDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.SampledFrom([]string{"a", "bc", "  chain ", "\n", "x:y", ""})
@@ -26,7 +26,7 @@
 		}
 		model := fleet.ModelRef{Model: "m", Adapter: "a", Version: "1"}
 		tokens := Tokens(Render(messages))
-		got, n := Leading(model, messages, nil)
+		got, n := LeadingBlocks(model, messages, nil)
 		assert.Equal(t, n, len(tokens))
 		assert.DeepEqual(t, append([]uint64{}, got...), Blocks(model, tokens))
 	})
@@ -41,7 +41,7 @@
 	dst := make([]uint64, 0, 256)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, n := Leading(fleet.ModelRef{Model: "m"}, messages, dst[:0])
+		_, n := LeadingBlocks(fleet.ModelRef{Model: "m"}, messages, dst[:0])
 		b.SetBytes(int64(n))
 	}
 }
--- a/internal/request/handover.go
+++ b/internal/request/handover.go
@@ -6,48 +6,50 @@
 	"time"
 )
 
-// Handover decides in which order a leaving daemon hands its requests over, to
-// whom, and what becomes of those whose offer is refused or unanswered.
+// Handover is the hand-over of all requests of a daemon that is shutting down. It
+// decides in which order they are offered, to which successors, and what happens
+// if an offer is refused or unanswered.
 //
-// What costs most to recompute goes first: if the daemon dies early, the least
-// is lost. A refused request goes to the next successor. An unanswered one is
-// offered to the same successor again; it goes elsewhere under a higher number
-// only when two holders could not run it twice.
+// Requests that are the most expensive to recompute go first, so that the least
+// is lost if the daemon ends early. A refused request is offered to the next
+// successor. An unanswered offer is resent to the same successor; the request is
+// offered to another one, under a higher number, only if two holders can't run it
+// twice.
 type Handover struct {
-	policy  HandoverPolicy
-	self    Member
-	members []Member
-	by      time.Time // when this daemon ends, zero until Leave
-	items   map[Ref]*item
-	queue   []*item // most expensive first
-	flying  []*item // offering or preparing
-	pending []withdrawal
+	policy      HandoverPolicy
+	self        Member
+	members     []Member
+	endsAt      time.Time // when this daemon has to end; zero before Leave
+	items       map[Ref]*item
+	queue       []*item // the most expensive first
+	inFlight    []*item // being prepared or offered
+	withdrawals []withdrawal
 }
 
-// NewHandover returns the hand-over of daemon self, which has not begun.
+// NewHandover returns a hand-over for daemon self. Leave starts it.
 func NewHandover(self Member, policy HandoverPolicy) *Handover {
 	return &Handover{policy: policy, self: self, items: make(map[Ref]*item)}
 }
 
-// Leave begins the hand-over, to be over by then. A second notice can only
-// bring the end forward.
+// Leave starts the hand-over, which has to be complete at time by. Another call
+// can only make that earlier.
 func (h *Handover) Leave(by time.Time) {
-	if h.by.IsZero() || by.Before(h.by) {
-		h.by = by
+	if h.endsAt.IsZero() || by.Before(h.endsAt) {
+		h.endsAt = by
 	}
 }
 
-// SetMembers replaces the daemons that may be successors.
+// SetMembers replaces the list of daemons that may be successors.
 func (h *Handover) SetMembers(members []Member) { h.members = members }
 
-// Add enters a request. One that is known is left as it is, and one that this
-// daemon does not hold is not entered: its life may not have heard yet that it
-// was released, and a second offer would make a second holder.
-func (h *Handover) Add(c Candidate, custody *Custody) {
-	if h.items[c.Ref] != nil || custody.State() != Holding {
+// Add adds a request unless it was added before or this daemon doesn't hold it.
+// The latter happens when a request has been released but its Lifecycle hasn't
+// ended yet; a second offer would create a second holder.
+func (h *Handover) Add(c Candidate, ownership *Ownership) {
+	if h.items[c.Ref] != nil || ownership.State() != Holding {
 		return
 	}
-	i := &item{candidate: c, custody: custody}
+	i := &item{candidate: c, ownership: ownership}
 	h.items[c.Ref] = i
 	h.enqueue(i)
 }
@@ -60,103 +62,107 @@
 	h.queue = slices.Insert(h.queue, at, i)
 }
 
-// Open returns how many requests are still to be settled or finished.
+// Open returns the number of requests that are neither settled nor finished.
 func (h *Handover) Open() int { return len(h.items) }
 
-// Settled reports whether every request is settled and every withdrawal answered.
-func (h *Handover) Settled() bool { return len(h.items) == 0 && len(h.pending) == 0 }
+// Settled reports whether all requests are settled and no withdrawal is pending.
+func (h *Handover) Settled() bool { return len(h.items) == 0 && len(h.withdrawals) == 0 }
 
-// Tick starts and repeats what is due. Call it every Repeat at the least.
-func (h *Handover) Tick(now time.Time) []Order {
-	if h.by.IsZero() {
+// Tick starts offers, and resends offers and withdrawals that are due. It must be
+// called at least every HandoverPolicy.ResendInterval.
+func (h *Handover) Tick(now time.Time) []HandoverAction {
+	if h.endsAt.IsZero() {
 		return nil
 	}
-	var out []Order
-	for _, i := range slices.Clone(h.flying) {
-		out = append(out, h.repeat(now, i)...)
+	var out []HandoverAction
+	for _, i := range slices.Clone(h.inFlight) {
+		out = append(out, h.checkOffer(now, i)...)
 	}
 	out = append(out, h.start(now)...)
-	return append(out, h.withdrawDue(now)...)
+	return append(out, h.resendWithdrawals(now)...)
 }
 
-// start prepares queued requests while there is room.
-func (h *Handover) start(now time.Time) []Order {
-	var out []Order
-	urgent := h.by.Sub(now) <= h.policy.Urgent
-	for at := 0; at < len(h.queue) && len(h.flying) < h.policy.InFlight; {
+// start prepares queued requests, up to the limit of requests in flight.
+func (h *Handover) start(now time.Time) []HandoverAction {
+	var out []HandoverAction
+	urgent := h.endsAt.Sub(now) <= h.policy.UrgentBefore
+	for at := 0; at < len(h.queue) && len(h.inFlight) < h.policy.MaxInFlight; {
 		i := h.queue[at]
-		if now.Before(i.notBefore) || (i.candidate.Remaining <= h.policy.Short && !urgent) {
+		if now.Before(i.notBefore) || (i.candidate.Remaining <= h.policy.ShortRemaining && !urgent) {
 			at++
 			continue
 		}
 		h.queue = slices.Delete(h.queue, at, at+1)
-		h.flying = append(h.flying, i)
+		h.inFlight = append(h.inFlight, i)
 		i.state = itemPreparing
 		out = append(out, Prepare{Ref: i.candidate.Ref, Urgent: urgent})
 	}
 	return out
 }
 
-// repeat sends an unanswered offer again, or loses patience with it.
-func (h *Handover) repeat(now time.Time, i *item) []Order {
+// checkOffer handles an unanswered offer: it is resent, replaced by an offer to
+// the next successor after the timeout, or ended when time is up.
+func (h *Handover) checkOffer(now time.Time, i *item) []HandoverAction {
 	switch {
 	case i.state != itemOffering:
 		return nil
-	case !now.Before(h.by):
+	case !now.Before(h.endsAt):
 		return h.settle(i, GiveUp{Ref: i.candidate.Ref})
-	case i.repeatable && now.Sub(i.firstSent) >= h.policy.Patience:
-		return h.goOn(now, i)
-	case now.Sub(i.lastSent) >= h.policy.Repeat:
+	case i.safeToDuplicate && now.Sub(i.firstSent) >= h.policy.ReplyTimeout:
+		return h.offerNext(now, i)
+	case now.Sub(i.lastSent) >= h.policy.ResendInterval:
 		i.lastSent = now
-		return []Order{Send{Offer: i.offer}}
+		return []HandoverAction{Send{Offer: i.offer}}
 	}
 	return nil
 }
 
-// goOn leaves an addressee that doesn't answer behind and goes on.
-func (h *Handover) goOn(now time.Time, i *item) []Order {
+// offerNext replaces the offer to an addressee that doesn't answer.
+func (h *Handover) offerNext(now time.Time, i *item) []HandoverAction {
 	i.unanswered = append(i.unanswered, i.offer.To)
 	return h.offer(now, i)
 }
 
-// offer sends the request to the next successor. When the round is over, the
-// request is kept for a while; if an earlier addressee may hold it, this daemon
-// must hold it under a higher number.
-func (h *Handover) offer(now time.Time, i *item) []Order {
+// offer offers the request to the next successor. If all have been tried, the
+// request is kept until the next round.
+func (h *Handover) offer(now time.Time, i *item) []HandoverAction {
 	to, ok := i.successor(Successors(i.candidate.Ref.ID, h.self, h.members))
 	if !ok {
 		return h.keep(now, i)
 	}
 	i.tried = append(i.tried, to)
 	i.state = itemOffering
-	i.offer = Offer{Ref: i.candidate.Ref, Number: i.custody.Offer(to), From: h.self.Daemon, To: to}
+	i.offer = Offer{Ref: i.candidate.Ref, Number: i.ownership.Offer(to), From: h.self.Daemon, To: to}
 	i.firstSent, i.lastSent = now, now
-	return []Order{Send{Offer: i.offer}}
+	return []HandoverAction{Send{Offer: i.offer}}
 }
 
-func (h *Handover) keep(now time.Time, i *item) []Order {
-	out := []Order{Keep{Ref: i.candidate.Ref}}
+// keep queues a request again for the next round of offers. If an addressee that
+// did not answer may hold the request, this daemon takes it back under a higher
+// number.
+func (h *Handover) keep(now time.Time, i *item) []HandoverAction {
+	out := []HandoverAction{Keep{Ref: i.candidate.Ref}}
 	if len(i.unanswered) > 0 {
-		out = append(out, h.withdraw(now, i, i.custody.TakeBack())...)
+		out = append(out, h.withdraw(now, i, i.ownership.TakeBack())...)
 	}
-	h.land(i)
+	h.removeInFlight(i)
 	i.tried = nil
-	i.notBefore = now.Add(h.policy.Pause)
+	i.notBefore = now.Add(h.policy.RetryPause)
 	h.enqueue(i)
 	return out
 }
 
-// settle ends a request's part in the hand-over.
-func (h *Handover) settle(i *item, o Order) []Order {
-	h.land(i)
+// settle ends the hand-over of a request with a last action.
+func (h *Handover) settle(i *item, action HandoverAction) []HandoverAction {
+	h.removeInFlight(i)
 	i.state = itemSettled
 	delete(h.items, i.candidate.Ref)
-	return []Order{o}
+	return []HandoverAction{action}
 }
 
-// land takes an item out of those in flight.
-func (h *Handover) land(i *item) {
-	if at := slices.Index(h.flying, i); at >= 0 {
-		h.flying = slices.Delete(h.flying, at, at+1)
+// removeInFlight removes an item from those in flight.
+func (h *Handover) removeInFlight(i *item) {
+	if at := slices.Index(h.inFlight, i); at >= 0 {
+		h.inFlight = slices.Delete(h.inFlight, at, at+1)
 	}
 }
--- a/internal/request/handover_machine_test.go
+++ b/internal/request/handover_machine_test.go
@@ -12,44 +12,44 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// part is what one daemon has of one request.
-type part struct{ alive, held, dispatched, finished, gaveUp bool }
+// requestState is the state of one request on one daemon.
+type requestState struct{ alive, frozen, dispatched, finished, gaveUp bool }
 
-// node is one daemon.
+// node is a simulated daemon.
 type node struct {
-	id       fleet.DaemonID
-	holdings *Holdings
-	handover *Handover
-	parts    map[Ref]*part
+	id        fleet.DaemonID
+	ownership *OwnershipTable
+	handover  *Handover
+	states    map[Ref]*requestState
 }
 
-func (n *node) part(r Ref) *part {
-	if n.parts[r] == nil {
-		n.parts[r] = &part{}
+func (n *node) state(r Ref) *requestState {
+	if n.states[r] == nil {
+		n.states[r] = &requestState{}
 	}
-	return n.parts[r]
+	return n.states[r]
 }
 
-// message is on its way; exactly one of the pointers is set.
+// message is a message in transit; exactly one of the pointers is set.
 type message struct {
 	to         fleet.DaemonID
 	offer      *Offer
-	dispatched bool // of the snapshot
+	dispatched bool // the offered snapshot says that the request was dispatched
 	reply      *Reply
 	withdraw   *Withdraw
-	by         fleet.DaemonID // who withdraws
+	from       fleet.DaemonID // sender of withdraw
 	withdrawn  *Withdraw
 	before     Rank
 }
 
-// network is daemons, requests and the messages between them.
+// network simulates daemons, their requests and the messages between them.
 type network struct {
 	now        time.Time
 	nodes      []*node
 	idempotent map[Ref]bool
 	dispatches map[Ref]int
-	wire       []message
-	copies     map[Offer]int // that may arrive
+	inTransit  []message
+	copies     map[Offer]int // copies of each offer that were sent
 	lossy      bool
 }
 
@@ -69,34 +69,34 @@
 	return out
 }
 
-func (w *network) do(t *rapid.T, n *node, orders []Order) {
-	for _, o := range orders {
+func (w *network) do(t *rapid.T, n *node, actions []HandoverAction) {
+	for _, o := range actions {
 		switch o := o.(type) {
 		case Prepare:
 			w.prepare(t, n, o)
 		case Send:
 			w.send(t, n, o.Offer)
 		case Withdraw:
-			w.wire = append(w.wire, message{to: o.To, withdraw: &o, by: n.id})
+			w.inTransit = append(w.inTransit, message{to: o.To, withdraw: &o, from: n.id})
 		case Release:
-			n.part(o.Ref).alive = false
+			n.state(o.Ref).alive = false
 		case Keep:
-			n.part(o.Ref).held = false
+			n.state(o.Ref).frozen = false
 		case GiveUp:
-			p := n.part(o.Ref)
-			p.alive, p.gaveUp = false, true
+			s := n.state(o.Ref)
+			s.alive, s.gaveUp = false, true
 		}
 	}
 }
 
 func (w *network) prepare(t *rapid.T, n *node, o Prepare) {
-	p := n.part(o.Ref)
+	s := n.state(o.Ref)
 	if w.lossy && rapid.IntRange(0, 3).Draw(t, "not ready") == 0 {
 		n.handover.NotReady(w.now, o.Ref)
 		return
 	}
-	p.held = true
-	w.do(t, n, n.handover.Ready(w.now, o.Ref, w.idempotent[o.Ref] || p.dispatched))
+	s.frozen = true
+	w.do(t, n, n.handover.Ready(w.now, o.Ref, w.idempotent[o.Ref] || s.dispatched))
 }
 
 func (w *network) send(t *rapid.T, n *node, o Offer) {
@@ -105,7 +105,7 @@
 		return
 	}
 	w.copies[o]++
-	w.wire = append(w.wire, message{to: o.To, offer: &o, dispatched: n.part(o.Ref).dispatched})
+	w.inTransit = append(w.inTransit, message{to: o.To, offer: &o, dispatched: n.state(o.Ref).dispatched})
 }
 
 func (w *network) deliver(t *rapid.T, m message) {
@@ -113,24 +113,24 @@
 	switch {
 	case m.offer != nil:
 		can := n.handover == nil && (!w.lossy || rapid.IntRange(0, 3).Draw(t, "full") > 0)
-		r, fresh := n.holdings.Take(w.now, *m.offer, netDeadline, can)
+		r, fresh := n.ownership.Take(w.now, *m.offer, netDeadline, can)
 		if fresh {
-			p := n.part(m.offer.Ref)
-			p.alive, p.held = true, false
-			p.dispatched = p.dispatched || m.dispatched
+			s := n.state(m.offer.Ref)
+			s.alive, s.frozen = true, false
+			s.dispatched = s.dispatched || m.dispatched
 		}
-		w.wire = append(w.wire, message{to: m.offer.From, reply: &r})
+		w.inTransit = append(w.inTransit, message{to: m.offer.From, reply: &r})
 	case m.reply != nil && n.handover != nil:
 		w.do(t, n, n.handover.Replied(w.now, *m.reply))
 	case m.withdraw != nil:
-		before, lost := n.holdings.Withdraw(w.now, m.withdraw.Ref, m.withdraw.Rank, netDeadline)
+		before, lost := n.ownership.Withdraw(w.now, m.withdraw.Ref, m.withdraw.Rank, netDeadline)
 		if lost {
-			n.part(m.withdraw.Ref).alive = false
+			n.state(m.withdraw.Ref).alive = false
 		}
 		if n.handover != nil {
 			w.do(t, n, n.handover.Learned(w.now, m.withdraw.Ref, m.withdraw.Rank))
 		}
-		w.wire = append(w.wire, message{to: m.by, withdrawn: m.withdraw, before: before})
+		w.inTransit = append(w.inTransit, message{to: m.from, withdrawn: m.withdraw, before: before})
 	case m.withdrawn != nil && n.handover != nil:
 		w.do(t, n, n.handover.Withdrawn(w.now, *m.withdrawn, m.before))
 	}
@@ -141,9 +141,9 @@
 		at := slices.Index(w.nodes, n)
 		n.handover = NewHandover(w.members()[at], DefaultHandoverPolicy())
 	}
-	for ref, p := range n.parts {
-		if p.alive && !p.finished {
-			n.handover.Add(Candidate{Ref: ref, Cost: len(ref.ID), Remaining: time.Minute}, n.holdings.Get(ref))
+	for ref, s := range n.states {
+		if s.alive && !s.finished {
+			n.handover.Add(Candidate{Ref: ref, Cost: len(ref.ID), Remaining: time.Minute}, n.ownership.Get(ref))
 		}
 	}
 	n.handover.Leave(w.now.Add(time.Minute))
@@ -157,50 +157,51 @@
 	}
 }
 
-// dispatch makes a new attempt where the daemon believes that it may.
+// dispatch makes a new attempt if the daemon's ownership allows it.
 func (w *network) dispatch(n *node, ref Ref) {
-	p := n.part(ref)
-	c := n.holdings.Get(ref)
-	if c == nil || !p.alive || p.finished || !c.MayDispatch() {
+	s := n.state(ref)
+	own := n.ownership.Get(ref)
+	if own == nil || !s.alive || s.finished || !own.MayDispatch() {
 		return
 	}
-	if p.dispatched && !w.idempotent[ref] {
+	if s.dispatched && !w.idempotent[ref] {
 		return
 	}
-	p.dispatched = true
+	s.dispatched = true
 	w.dispatches[ref]++
 }
 
 func (w *network) check(t *rapid.T) {
 	for ref, idempotent := range w.idempotent {
 		assert.Assert(t, idempotent || w.dispatches[ref] <= 1, "%v dispatched %d times", ref, w.dispatches[ref])
-		assert.Assert(t, idempotent || w.free(ref) <= 1, "%d daemons may dispatch %v", w.free(ref), ref)
+		assert.Assert(t, idempotent || w.undispatchedHolders(ref) <= 1, "%d daemons may dispatch %v", w.undispatchedHolders(ref), ref)
 	}
 }
 
-// free counts the daemons that might dispatch the request for the first time.
-func (w *network) free(ref Ref) int {
+// undispatchedHolders counts the daemons that may dispatch the request for the
+// first time.
+func (w *network) undispatchedHolders(ref Ref) int {
 	count := 0
 	for _, n := range w.nodes {
-		c, p := n.holdings.Get(ref), n.part(ref)
-		if c != nil && c.MayDispatch() && p.alive && !p.dispatched && !p.finished {
+		own, s := n.ownership.Get(ref), n.state(ref)
+		if own != nil && own.MayDispatch() && s.alive && !s.dispatched && !s.finished {
 			count++
 		}
 	}
 	return count
 }
 
-// Daemons hand requests over while offers, answers and withdrawals get lost,
-// doubled and delayed at will, successors are full or leave as well, and
-// notices come twice. A non-idempotent request is never dispatched twice. Once
-// the network works again, each request has ended with a verdict or an answer,
-// or exactly one daemon holds it, which is not a leaving one.
-func TestHandoverUnderAnyNetwork(t *testing.T) {
+// Daemons hand requests over while offers, replies and withdrawals are lost,
+// duplicated and delayed, successors are full or leave as well, and notices are
+// repeated. A non-idempotent request must never be dispatched twice. Once the
+// network is reliable, each request must have ended with an answer or a verdict,
+// or be held by exactly one daemon that is not leaving.
+func TestHandoverOverAnUnreliableNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &network{now: t0, idempotent: map[Ref]bool{}, dispatches: map[Ref]int{}, copies: map[Offer]int{}, lossy: true}
 		for i := range 4 {
 			id := fleet.DaemonID(fmt.Sprint("d", i))
-			w.nodes = append(w.nodes, &node{id: id, holdings: NewHoldings(id), parts: map[Ref]*part{}})
+			w.nodes = append(w.nodes, &node{id: id, ownership: NewOwnershipTable(id), states: map[Ref]*requestState{}})
 		}
 		var refs []Ref
 		for i := range 2 {
@@ -208,8 +209,8 @@
 			refs = append(refs, r)
 			w.idempotent[r] = rapid.Bool().Draw(t, "idempotent")
 			n := w.nodes[i]
-			n.holdings.Accept(r, netDeadline)
-			n.part(r).alive = true
+			n.ownership.Accept(r, netDeadline)
+			n.state(r).alive = true
 		}
 		node := rapid.SampledFrom(w.nodes)
 		t.Repeat(map[string]func(*rapid.T){
@@ -230,8 +231,8 @@
 			},
 			"finish": func(t *rapid.T) {
 				n, r := node.Draw(t, "node"), rapid.SampledFrom(refs).Draw(t, "ref")
-				if p := n.part(r); p.alive && p.dispatched {
-					p.finished = true
+				if s := n.state(r); s.alive && s.dispatched {
+					s.finished = true
 					if n.handover != nil {
 						n.handover.Finished(r)
 					}
@@ -239,7 +240,7 @@
 			},
 			"": w.check,
 		})
-		w.calm(t)
+		w.settle(t)
 		for _, r := range refs {
 			w.checkEnd(t, r)
 		}
@@ -247,30 +248,30 @@
 }
 
 func (w *network) pick(t *rapid.T, deliver, remove bool) {
-	if len(w.wire) == 0 {
+	if len(w.inTransit) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(w.wire)-1).Draw(t, "message")
-	m := w.wire[at]
+	at := rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "message")
+	m := w.inTransit[at]
 	if remove {
-		w.wire = slices.Delete(w.wire, at, at+1)
+		w.inTransit = slices.Delete(w.inTransit, at, at+1)
 	}
 	if deliver {
 		w.deliver(t, m)
 	}
 }
 
-// calm lets the network work until everything is settled.
-func (w *network) calm(t *rapid.T) {
+// settle runs a reliable network for 75 s, in which every hand-over ends.
+func (w *network) settle(t *rapid.T) {
 	w.lossy = false
 	for range 300 {
 		w.now = w.now.Add(250 * time.Millisecond)
 		for _, n := range w.nodes {
 			w.tick(t, n)
 		}
-		for len(w.wire) > 0 {
-			m := w.wire[0]
-			w.wire = w.wire[1:]
+		for len(w.inTransit) > 0 {
+			m := w.inTransit[0]
+			w.inTransit = w.inTransit[1:]
 			w.deliver(t, m)
 		}
 		w.check(t)
@@ -280,9 +281,9 @@
 func (w *network) checkEnd(t *rapid.T, r Ref) {
 	holders, over := 0, false
 	for _, n := range w.nodes {
-		p := n.part(r)
-		over = over || p.finished || p.gaveUp
-		if c := n.holdings.Get(r); c != nil && c.MayDispatch() && p.alive {
+		s := n.state(r)
+		over = over || s.finished || s.gaveUp
+		if c := n.ownership.Get(r); c != nil && c.MayDispatch() && s.alive {
 			holders++
 			assert.Assert(t, over || n.handover == nil, "%v is still with leaving %v", r, n.id)
 		}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -14,32 +14,32 @@
 	return len(all)
 }
 
-func TestRemovedAtOnceInQuietTimes(t *testing.T) {
+func TestRemovedAtOnceWithoutAnOutage(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
 	r.Remove(start, "a")
 	assert.Equal(t, count(r), 0)
 }
 
-// The registry was down for longer than entries last. When it answers again
-// its list is empty though every endpoint lives. Dropped at once, all requests
-// would be refused until the endpoints have registered again.
-func TestLapsedWithTheRegistryCountsUntilGraceIsOver(t *testing.T) {
+// After an outage of the registry that was longer than the lifetime of entries, its
+// list is empty although all endpoints are alive. If they were dropped at once, all
+// requests would be refused until the endpoints have registered again.
+func TestExpiredInAnOutageIsKeptDuringTheGrace(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "lives"})
 	r.Upsert(Endpoint{ID: "died"})
 	r.Upsert(Endpoint{ID: "leaving", Draining: true})
-	r.Returned(start)
+	r.OutageEnded(start)
 	r.Replace(start, nil)
 	assert.Equal(t, count(r), 2)
 	r.Upsert(Endpoint{ID: "lives"})
-	r.Tick(start.Add(ReturnGrace))
+	r.Tick(start.Add(OutageGrace))
 	all, _ := r.Snapshot()
 	assert.Equal(t, len(all), 1)
 	assert.Equal(t, string(all[0].ID), "lives")
 }
 
-func TestSnapshotTellsOfChanges(t *testing.T) {
+func TestSnapshotReportsChanges(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
 	_, changed := r.Snapshot()
@@ -48,86 +48,84 @@
 	assert.Assert(t, !changed)
 }
 
-// This daemon alone was cut off from the registry, which was up all the while.
-// Seconds after its return an endpoint's entry is removed. Kept until the
-// grace is over, it would be sent requests for longer than a leaving endpoint
-// may be.
-func TestRemovalAfterTheReturnIsNotHeldForTheWholeGrace(t *testing.T) {
+// Only this daemon was partitioned from the registry. After the connection is back,
+// an endpoint's entry is removed. If the endpoint were kept until the end of the
+// grace period, it would be sent requests for longer than is allowed after a leave.
+func TestRemovalAfterTheOutageIsHeldShorterThanTheGrace(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
-	r.Returned(start)
+	r.OutageEnded(start)
 	r.CaughtUp()
 	removed := start.Add(300 * time.Millisecond)
 	r.Remove(removed, "a")
 	assert.Equal(t, count(r), 1)
-	r.Tick(removed.Add(LapseHold))
+	r.Tick(removed.Add(RemovalHold))
 	assert.Equal(t, count(r), 0)
 }
 
-// This daemon was cut off from 1 s to 13 s. Its last failed call began at
-// 12.9 s, the first that worked ended at 14.1 s and showed that an endpoint had
-// left at 14.0 s. Counted from the return, the grace would end after 16 s, when
-// the daemon is bound again.
+// This daemon was partitioned from the registry from 1 s to 13 s. Its last failed
+// call began at 12.9 s; the first successful one ended at 14.1 s and showed that an
+// endpoint had left. Counted from the end of the outage, the grace period would end
+// after 16 s, when the endpoint must get no more requests.
 func TestGraceCountsFromTheLastFailedCall(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
-	r.Returned(start.Add(12900 * time.Millisecond))
+	r.OutageEnded(start.Add(12900 * time.Millisecond))
 	r.Replace(start.Add(14100*time.Millisecond), nil)
 	assert.Equal(t, count(r), 1)
 	r.Tick(start.Add(15800 * time.Millisecond))
 	assert.Equal(t, count(r), 0)
 }
 
-// The registry returns from an outage, and an entry's end is held back since the
-// endpoint may have lapsed with the registry. Who goes on from this roster must
-// start before that end, or would never hear of it.
-func TestCompleteWaitsForWhatIsHeldBack(t *testing.T) {
+// After an outage, the removal of an entry is held back, since the entry may have
+// expired because of the outage. A receiver of the snapshot must continue at a
+// revision before that removal, or it would miss it.
+func TestCompleteRevisionWaitsForHeldRemovals(t *testing.T) {
 	r := New()
 	r.Upsert(Endpoint{ID: "a"})
-	r.Reached(7)
-	assert.Equal(t, r.Complete(), uint64(7))
-	r.Returned(start)
+	r.Applied(7)
+	assert.Equal(t, r.CompleteRevision(), uint64(7))
+	r.OutageEnded(start)
 	r.CaughtUp()
 	r.Remove(start, "a")
-	r.Reached(9)
-	assert.Equal(t, r.Complete(), uint64(7))
-	r.Tick(start.Add(LapseHold - time.Millisecond))
-	assert.Equal(t, r.Complete(), uint64(7))
-	r.Tick(start.Add(LapseHold))
-	assert.Equal(t, r.Complete(), uint64(9))
+	r.Applied(9)
+	assert.Equal(t, r.CompleteRevision(), uint64(7))
+	r.Tick(start.Add(RemovalHold - time.Millisecond))
+	assert.Equal(t, r.CompleteRevision(), uint64(7))
+	r.Tick(start.Add(RemovalHold))
+	assert.Equal(t, r.CompleteRevision(), uint64(9))
 	assert.Equal(t, count(r), 0)
 }
 
-// An endpoint starts again under its ID. A list that is older than that comes
-// late: with its earlier start, what is known of the new one would be thrown
-// away for what is gone.
+// An endpoint restarts with the same ID, then a list from before the restart
+// arrives late. Its entry must not replace the one of the restarted endpoint.
 func TestEarlierStartNeverReplacesALaterOne(t *testing.T) {
 	r := New()
-	r.Upsert(Endpoint{ID: "a", Address: "old", Born: start})
-	r.Upsert(Endpoint{ID: "a", Address: "new", Born: start.Add(time.Minute)})
-	r.Upsert(Endpoint{ID: "a", Address: "old", Born: start})
-	r.Replace(start, []Endpoint{{ID: "a", Address: "old", Born: start, Draining: true}})
+	r.Upsert(Endpoint{ID: "a", Address: "old", StartedAt: start})
+	r.Upsert(Endpoint{ID: "a", Address: "new", StartedAt: start.Add(time.Minute)})
+	r.Upsert(Endpoint{ID: "a", Address: "old", StartedAt: start})
+	r.Replace(start, []Endpoint{{ID: "a", Address: "old", StartedAt: start, Draining: true}})
 	all, _ := r.Snapshot()
 	assert.Equal(t, all[0].Address, "new")
 	assert.Assert(t, !all[0].Draining)
 }
 
-// An endpoint says that it leaves, and later it is gone. The registry comes back
-// from a copy some seconds old, in which it is there and doesn't leave. It must
-// get no requests; one that has started again under its name must.
-func TestEndpointThatHasLeftStaysSo(t *testing.T) {
+// An endpoint announces its leave, and later it is removed. Then the registry is
+// restored from an older copy, which lists the endpoint as serving. It must get no
+// requests, unless it has restarted with the same ID.
+func TestAnnouncedLeaveIsFinal(t *testing.T) {
 	r := New()
-	born := start
+	startedAt := start
 	for _, gone := range []bool{false, true} {
-		r.Upsert(Endpoint{ID: "a", Born: born, Draining: true})
+		r.Upsert(Endpoint{ID: "a", StartedAt: startedAt, Draining: true})
 		if gone {
 			r.Remove(start, "a")
 		}
-		r.Upsert(Endpoint{ID: "a", Born: born})
+		r.Upsert(Endpoint{ID: "a", StartedAt: startedAt})
 		all, _ := r.Snapshot()
 		assert.Assert(t, len(all) == 0 || all[0].Draining, "gone %v: %+v", gone, all)
 	}
-	r.Upsert(Endpoint{ID: "a", Born: born.Add(time.Second)})
+	r.Upsert(Endpoint{ID: "a", StartedAt: startedAt.Add(time.Second)})
 	all, _ := r.Snapshot()
 	assert.Equal(t, len(all), 1)
 	assert.Assert(t, !all[0].Draining)
--- a/internal/route/limits.go
+++ b/internal/route/limits.go
@@ -1,6 +1,6 @@
 package route
 
-// Limits bound what a caller may send.
+// Limits restrict the requests of callers.
 type Limits struct {
-	BodyBytes int
+	BodyBytes int // longest request body
 }
