--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -377,7 +377,7 @@
 		e := &d.all[i]
 		again := current[e.ID] != nil && e.RestartedAs(current[e.ID])
 		if again || !kept[e.Address] {
-			d.node.pool.Forget(e.Address)
+			d.node.pool.CloseIdle(e.Address)
 		}
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -59,7 +59,7 @@
 
 func (echo) Header(r *relay.Request, _ *relay.Attempt) http.Header { return http.Header{"Id": {r.ID}} }
 func (echo) Owns(*relay.Request) func(http.Header) upstream.Ownership {
-	return func(http.Header) upstream.Ownership { return upstream.Ours }
+	return func(http.Header) upstream.Ownership { return upstream.ThisRequest }
 }
 func (echo) Classify(status int, _ http.Header) relay.Class {
 	if status == http.StatusOK {
--- a/internal/relay/inflight.go
+++ b/internal/relay/inflight.go
@@ -224,7 +224,7 @@
 		Owns: f.relay.protocol.Owns(f.request),
 	}
 	canRetry := f.route.Repeatable() && f.tally.ran+1 < f.route.MaxAttempts
-	c.Patience = stallTimeout(canRetry, f.outcome.Predicted)
+	c.SilenceTimeout = stallTimeout(canRetry, f.outcome.Predicted)
 	if canRetry && f.route.Kind == route.Idempotent {
 		c.HeadTimeout = max(time.Until(f.deadline)/2, f.route.Target)
 	}
--- a/internal/relay/inflight_test.go
+++ b/internal/relay/inflight_test.go
@@ -39,11 +39,11 @@
 	return func(h http.Header) upstream.Ownership {
 		switch h.Get("Id") {
 		case r.ID:
-			return upstream.Ours
+			return upstream.ThisRequest
 		case "":
-			return upstream.Unnamed
+			return upstream.NoRequest
 		}
-		return upstream.Foreign
+		return upstream.OtherRequest
 	}
 }
 
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -21,9 +21,9 @@
 	// HeadTimeout bounds the wait for the answer's head; 0 leaves it to the
 	// context.
 	HeadTimeout time.Duration
-	// Patience bounds how long the endpoint may be silent on all connections of
+	// SilenceTimeout bounds how long the endpoint may be silent on all connections of
 	// this pool while the call waits; 0 leaves it to the context.
-	Patience time.Duration
+	SilenceTimeout time.Duration
 }
 
 // Ownership says whose answer a head is.
@@ -31,7 +31,7 @@
 
 // The kinds of ownership.
 const (
-	Ours    Ownership = iota // names this request
-	Foreign                  // names another request
-	Unnamed                  // names none
+	ThisRequest  Ownership = iota // names this request
+	OtherRequest                  // names another request
+	NoRequest                     // names none
 )
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,32 +19,32 @@
 
 // conn is a connection to an endpoint, used by one request at a time.
 type conn struct {
-	address string
-	pool    *Pool
-	host    *host
-	dialled time.Time
-	heard   *clock.Moment // when bytes came last
-	nc      net.Conn
-	r       *bufio.Reader // of conn itself
-	wait    wait
-	kept    time.Time // kept until then
-	used    bool      // served a request before
+	address  string
+	pool     *Pool
+	host     *host
+	dialled  time.Time
+	received *clock.Moment // when bytes came last
+	nc       net.Conn
+	r        *bufio.Reader // of conn itself
+	wait     readWait
+	expires  time.Time // kept until then
+	reused   bool      // served a request before
 }
 
 func newConn(p *Pool, h *host, address string, nc net.Conn) *conn {
-	c := &conn{address: address, pool: p, host: h, dialled: time.Now(), heard: clock.NewMoment(), nc: nc}
+	c := &conn{address: address, pool: p, host: h, dialled: time.Now(), received: clock.NewMoment(), nc: nc}
 	c.r = bufio.NewReaderSize(c, readBuffer)
 	return c
 }
 
 func (c *conn) close() { _ = c.nc.Close() }
 
-// quiet reports whether an idle connection is open and has no bytes to read.
+// reusable reports whether an idle connection is open and has no bytes to read.
 // Failure: the endpoint closed it, or sent an answer that nobody waits for.
 // Symptom: a request that must run once is sent into a closed connection and
 // can't be repeated, or gets another request's answer. The kernel's view is
 // asked without waiting; what is still on its way is found by Owns.
-func (c *conn) quiet() bool {
+func (c *conn) reusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -65,9 +65,9 @@
 	return err == nil && open
 }
 
-// keepUntil returns how long the endpoint will keep the connection after this
+// expiry returns how long the endpoint will keep the connection after this
 // answer; zero where it closes it.
-func keepUntil(now time.Time, resp *http.Response) time.Time {
+func expiry(now time.Time, resp *http.Response) time.Time {
 	if resp.Close {
 		return time.Time{}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,8 +16,8 @@
 // Error is the class of errors made by this package.
 var Error = errs.Class("upstream")
 
-// ErrNoRoom says that this daemon's share of an endpoint's connections is in use.
-var ErrNoRoom = Error.New("no connection to the endpoint is free")
+// ErrPoolExhausted says that this daemon's share of an endpoint's connections is in use.
+var ErrPoolExhausted = Error.New("no connection to the endpoint is free")
 
 const (
 	// dialTimeout bounds a new connection's set-up: data centres are a few
@@ -53,8 +53,8 @@
 	conns map[*conn]struct{}
 }
 
-// lose forgets a connection, nil for the room of one that wasn't set up.
-func (h *host) lose(c *conn) {
+// remove forgets a connection, nil for the room of one that wasn't set up.
+func (h *host) remove(c *conn) {
 	delete(h.conns, c)
 	h.open--
 }
@@ -89,8 +89,8 @@
 	return p.stats
 }
 
-// Forget closes the idle connections to an address whose endpoint is gone.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address whose endpoint is gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	h := p.hosts[address]
 	var idle []*conn
@@ -98,7 +98,7 @@
 		idle, h.idle = h.idle, nil
 	}
 	for _, c := range idle {
-		h.lose(c)
+		h.remove(c)
 	}
 	p.mu.Unlock()
 	for _, c := range idle {
@@ -110,14 +110,14 @@
 // are NotRun.
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
-		c, h, err := p.take(address)
+		c, h, err := p.acquire(address)
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
 			return p.open(ctx, address, h)
 		}
-		if c.quiet() {
+		if c.reusable() {
 			return c, nil
 		}
 		p.drop(c)
@@ -135,8 +135,8 @@
 	if err != nil {
 		return false, err
 	}
-	if c.kept.IsZero() {
-		c.kept = time.Now().Add(idleDefault)
+	if c.expires.IsZero() {
+		c.expires = time.Now().Add(idleDefault)
 	}
 	p.put(c)
 	return true, nil
@@ -159,8 +159,8 @@
 	return c, nil
 }
 
-// take returns an idle connection, or nil after it has reserved room for a new one.
-func (p *Pool) take(address string) (*conn, *host, error) {
+// acquire returns an idle connection, or nil after it has reserved room for a new one.
+func (p *Pool) acquire(address string) (*conn, *host, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
@@ -172,15 +172,15 @@
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		c := h.idle[n-1]
 		h.idle = h.idle[:n-1]
-		if now.Before(c.kept) {
+		if now.Before(c.expires) {
 			p.stats.Reused++
 			return c, h, nil
 		}
-		h.lose(c)
+		h.remove(c)
 		c.close()
 	}
 	if h.open >= p.share {
-		return nil, nil, verdict.Wrap(verdict.NotRun, ErrNoRoom)
+		return nil, nil, verdict.Wrap(verdict.NotRun, ErrPoolExhausted)
 	}
 	h.open++
 	return nil, h, nil
@@ -194,14 +194,14 @@
 	p.mu.Unlock()
 }
 
-// lastHeard returns when bytes came last on any connection that was set up
+// lastReceived returns when bytes came last on any connection that was set up
 // by a time.
-func (p *Pool) lastHeard(h *host, by time.Time) time.Time {
+func (p *Pool) lastReceived(h *host, by time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var last time.Time
 	for c := range h.conns {
-		if at := c.lastHeard(); !c.dialled.After(by) && at.After(last) {
+		if at := c.lastReceived(); !c.dialled.After(by) && at.After(last) {
 			last = at
 		}
 	}
@@ -219,7 +219,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
-	h.lose(c)
+	h.remove(c)
 	if h.open == 0 && len(h.idle) == 0 {
 		delete(p.hosts, address)
 	}
@@ -233,12 +233,12 @@
 	for address, h := range p.hosts {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if now.Before(c.kept) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 				continue
 			}
 			old = append(old, c)
-			h.lose(c)
+			h.remove(c)
 		}
 		h.idle = kept
 		if h.open == 0 {
--- a/internal/upstream/heard_test.go
+++ b/internal/upstream/received_test.go
@@ -8,7 +8,7 @@
 )
 
 // A step of the time of day makes a live connection look silent, or a silent one alive.
-func TestWhenAnEndpointWasHeardDoesNotDependOnTheTimeOfDay(t *testing.T) {
+func TestReceiveTimeIsMonotonic(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	c := newConn(NewPool(1, nil), nil, "a", near)
@@ -16,6 +16,6 @@
 	go func() { _, _ = far.Write([]byte("x")) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	heard := c.lastHeard()
+	heard := c.lastReceived()
 	assert.Assert(t, heard.String() != heard.Round(0).String(), "%v has no monotonic reading", heard)
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -18,11 +18,11 @@
 	// maxSkipped bounds the late answers of others that are passed over on
 	// one connection: an endpoint sends one extra answer to a request.
 	maxSkipped = 2
-	// skipBytes bounds such an answer's body.
-	skipBytes = 1 << 20
-	// writeRest is how long the rest of a body may take after the endpoint
+	// maxSkippedBytes bounds such an answer's body.
+	maxSkippedBytes = 1 << 20
+	// bodyWriteTimeout is how long the rest of a body may take after the endpoint
 	// has answered; the connection can't be kept before.
-	writeRest = time.Second
+	bodyWriteTimeout = time.Second
 )
 
 // Answer is an endpoint's answer. The body is read from Body, to io.EOF where
@@ -32,12 +32,12 @@
 	Header http.Header
 	Body   io.Reader
 
-	pool    *Pool
-	conn    *conn
-	resp    *http.Response
-	written chan error // the body's writer, nil where it is done
-	stop    func() bool
-	whole   bool
+	pool      *Pool
+	conn      *conn
+	resp      *http.Response
+	writeDone chan error // the body's writer, nil where it is done
+	stop      func() bool
+	complete  bool
 }
 
 // Send sends a call and returns the head of its answer. Its errors carry a
@@ -48,8 +48,8 @@
 		return nil, err
 	}
 	a := &Answer{pool: p, conn: c}
-	c.start(time.Now(), call)
-	a.stop = context.AfterFunc(ctx, c.end)
+	c.startWait(time.Now(), call)
+	a.stop = context.AfterFunc(ctx, c.cancel)
 	if err := a.write(call); err != nil {
 		a.abandon()
 		return nil, verdict.Wrap(verdict.MayHaveRun, Error.Wrap(err))
@@ -82,10 +82,10 @@
 	if _, err := a.conn.nc.Write(head.Bytes()); err != nil {
 		return err
 	}
-	a.written = make(chan error, 1)
+	a.writeDone = make(chan error, 1)
 	go func() {
 		_, err := a.conn.nc.Write(call.Body)
-		a.written <- err
+		a.writeDone <- err
 	}()
 	return nil
 }
@@ -102,10 +102,10 @@
 			continue
 		}
 		switch owner := call.Owns(resp.Header); {
-		case owner == Ours, owner == Unnamed && !a.conn.used:
-			a.take(resp)
+		case owner == ThisRequest, owner == NoRequest && !a.conn.reused:
+			a.setHead(resp)
 			return nil
-		case owner == Unnamed:
+		case owner == NoRequest:
 			return Error.New("an answer without a name on a kept connection")
 		case skipped == maxSkipped:
 			return Error.New("%d answers to other requests", skipped+1)
@@ -119,18 +119,18 @@
 
 // skip reads an answer that belongs to another request.
 func skip(resp *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, skipBytes))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
 	if err != nil {
 		return err
 	}
-	if n == skipBytes || resp.Close {
+	if n == maxSkippedBytes || resp.Close {
 		return Error.New("the answer to another request doesn't end")
 	}
 	return nil
 }
 
-func (a *Answer) take(resp *http.Response) {
-	a.conn.headCame()
+func (a *Answer) setHead(resp *http.Response) {
+	a.conn.headReceived()
 	a.resp = resp
 	a.Status, a.Header = resp.StatusCode, resp.Header
 	a.Body = (*body)(a)
@@ -142,7 +142,7 @@
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
@@ -154,23 +154,23 @@
 		a.pool.drop(a.conn)
 		return
 	}
-	a.conn.finish()
-	until := keepUntil(time.Now(), a.resp)
-	if !a.whole || until.IsZero() || a.conn.r.Buffered() > 0 || !a.bodyOut() {
+	a.conn.endWait()
+	until := expiry(time.Now(), a.resp)
+	if !a.complete || until.IsZero() || a.conn.r.Buffered() > 0 || !a.bodyWritten() {
 		a.pool.drop(a.conn)
 		return
 	}
-	a.conn.kept, a.conn.used = until, true
+	a.conn.expires, a.conn.reused = until, true
 	a.pool.put(a.conn)
 }
 
-// bodyOut reports whether the request's body was written to its end.
-func (a *Answer) bodyOut() bool {
-	if a.written == nil {
+// bodyWritten reports whether the request's body was written to its end.
+func (a *Answer) bodyWritten() bool {
+	if a.writeDone == nil {
 		return true
 	}
-	_ = a.conn.nc.SetWriteDeadline(time.Now().Add(writeRest))
-	err := <-a.written
+	_ = a.conn.nc.SetWriteDeadline(time.Now().Add(bodyWriteTimeout))
+	err := <-a.writeDone
 	_ = a.conn.nc.SetWriteDeadline(time.Time{})
 	return err == nil
 }
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -15,9 +15,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// script answers each request on each connection with what f returns for its
+// serveScript answers each request on each connection with what f returns for its
 // number on the connection; an empty answer closes the connection.
-func script(t *testing.T, f func(n int, r *http.Request) string) string {
+func serveScript(t *testing.T, f func(n int, r *http.Request) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -49,27 +49,27 @@
 	return l.Addr().String()
 }
 
-func call(address, id string) *Call {
+func newCall(address, id string) *Call {
 	return &Call{
 		Address: address, Method: "POST", Target: "/a%2Fb?q=1", Host: "h.example",
 		Header: func() http.Header { return http.Header{"Id": {id}} }, Body: []byte("body"),
 		Owns: func(h http.Header) Ownership {
 			switch h.Get("Id") {
 			case id:
-				return Ours
+				return ThisRequest
 			case "":
-				return Unnamed
+				return NoRequest
 			}
-			return Foreign
+			return OtherRequest
 		},
 	}
 }
 
-func answer(id, text string) string {
+func answerText(id, text string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(text))) + "\r\n\r\n" + text
 }
 
-func read(t *testing.T, p *Pool, c *Call) (string, error) {
+func sendAndRead(t *testing.T, p *Pool, c *Call) (string, error) {
 	t.Helper()
 	a, err := p.Send(t.Context(), c)
 	if err != nil {
@@ -80,13 +80,13 @@
 	return string(b), err
 }
 
-func TestRequestLeavesAsItCame(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	var got string
-	address := script(t, func(_ int, r *http.Request) string {
+	address := serveScript(t, func(_ int, r *http.Request) string {
 		got = r.Method + " " + r.RequestURI + " " + r.Host + " " + r.Header.Get("User-Agent")
-		return answer("1", "one")
+		return answerText("1", "one")
 	})
-	body, err := read(t, NewPool(1, DialTCP), call(address, "1"))
+	body, err := sendAndRead(t, NewPool(1, DialTCP), newCall(address, "1"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "one")
 	assert.Equal(t, got, "POST /a%2Fb?q=1 h.example ")
@@ -95,17 +95,17 @@
 // An endpoint answers a request twice. The second answer arrives when the next
 // request is already on its way on the same connection. Taken for that one's,
 // a caller would read another caller's answer.
-func TestLateExtraAnswerIsPassedOver(t *testing.T) {
-	address := script(t, func(n int, r *http.Request) string {
+func TestLateExtraAnswerIsSkipped(t *testing.T) {
+	address := serveScript(t, func(n int, r *http.Request) string {
 		if n == 0 {
-			return answer("1", "one")
+			return answerText("1", "one")
 		}
-		return answer("1", "one") + answer("2", "two")
+		return answerText("1", "one") + answerText("2", "two")
 	})
 	p := NewPool(1, DialTCP)
-	_, err := read(t, p, call(address, "1"))
+	_, err := sendAndRead(t, p, newCall(address, "1"))
 	assert.NilError(t, err)
-	body, err := read(t, p, call(address, "2"))
+	body, err := sendAndRead(t, p, newCall(address, "2"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "two")
 	assert.Equal(t, p.Stats().Skipped, uint64(1))
@@ -113,14 +113,14 @@
 }
 
 // The extra answer is already there when the connection is wanted again.
-func TestConnectionWithBytesOfNobodyIsNotReused(t *testing.T) {
-	address := script(t, func(n int, r *http.Request) string {
+func TestConnectionWithUnexpectedBytesIsNotReused(t *testing.T) {
+	address := serveScript(t, func(n int, r *http.Request) string {
 		id := r.Header.Get("Id")
-		return answer(id, "one") + answer(id, "one")
+		return answerText(id, "one") + answerText(id, "one")
 	})
 	p := NewPool(1, DialTCP)
 	for _, id := range []string{"1", "2"} {
-		body, err := read(t, p, call(address, id))
+		body, err := sendAndRead(t, p, newCall(address, id))
 		assert.NilError(t, err)
 		assert.Equal(t, body, "one")
 	}
@@ -129,28 +129,28 @@
 
 // The endpoint closes the connection instead of answering. Sent again, the
 // request could run twice; the caller is told that it may have run.
-func TestNeverSentTwice(t *testing.T) {
+func TestRequestIsNotRepeatedAfterConnectionCloses(t *testing.T) {
 	seen := make(chan string, 4)
-	address := script(t, func(n int, r *http.Request) string {
+	address := serveScript(t, func(n int, r *http.Request) string {
 		seen <- r.Header.Get("Id")
 		if n == 0 {
-			return answer("1", "one")
+			return answerText("1", "one")
 		}
 		return ""
 	})
 	p := NewPool(1, DialTCP)
-	_, err := read(t, p, call(address, "1"))
+	_, err := sendAndRead(t, p, newCall(address, "1"))
 	assert.NilError(t, err)
-	_, err = read(t, p, call(address, "2"))
+	_, err = sendAndRead(t, p, newCall(address, "2"))
 	assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
 	assert.Equal(t, len(seen), 2)
 }
 
-func TestCutBodyIsAnError(t *testing.T) {
-	address := script(t, func(int, *http.Request) string {
+func TestTruncatedBodyIsAnError(t *testing.T) {
+	address := serveScript(t, func(int, *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\nConnection: close\r\n\r\nhalf"
 	})
-	a, err := NewPool(1, DialTCP).Send(t.Context(), call(address, "1"))
+	a, err := NewPool(1, DialTCP).Send(t.Context(), newCall(address, "1"))
 	assert.NilError(t, err)
 	defer a.Close()
 	a.conn.nc.(*net.TCPConn).CloseWrite()
@@ -158,49 +158,49 @@
 	assert.ErrorContains(t, err, "unexpected EOF")
 }
 
-func TestNobodyListensIsNotRun(t *testing.T) {
+func TestConnectionRefusedIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
 	assert.NilError(t, l.Close())
 	p := NewPool(1, DialTCP)
-	_, err = read(t, p, call(address, "1"))
+	_, err = sendAndRead(t, p, newCall(address, "1"))
 	assert.Equal(t, verdict.Of(err), verdict.NotRun)
-	_, err = read(t, p, call(address, "1")) // its room was given back
-	assert.Assert(t, !strings.Contains(err.Error(), ErrNoRoom.Error()))
+	_, err = sendAndRead(t, p, newCall(address, "1")) // its room was given back
+	assert.Assert(t, !strings.Contains(err.Error(), ErrPoolExhausted.Error()))
 }
 
-func TestShareOfConnections(t *testing.T) {
-	address := script(t, func(int, *http.Request) string { return answer("1", "one") })
+func TestConnectionLimitPerEndpoint(t *testing.T) {
+	address := serveScript(t, func(int, *http.Request) string { return answerText("1", "one") })
 	p := NewPool(1, DialTCP)
-	a, err := p.Send(t.Context(), call(address, "1"))
+	a, err := p.Send(t.Context(), newCall(address, "1"))
 	assert.NilError(t, err)
-	_, err = p.Send(t.Context(), call(address, "1"))
+	_, err = p.Send(t.Context(), newCall(address, "1"))
 	assert.Equal(t, verdict.Of(err), verdict.NotRun)
 	_, err = io.ReadAll(a.Body)
 	assert.NilError(t, err)
 	a.Close()
-	_, err = read(t, p, call(address, "1"))
+	_, err = sendAndRead(t, p, newCall(address, "1"))
 	assert.NilError(t, err)
 }
 
 // A caller leaves while its endpoint works. The endpoint sees the connection
 // end, and the room is free again.
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestCancelledContextClosesConnection(t *testing.T) {
 	hold := make(chan struct{})
-	address := script(t, func(int, *http.Request) string { <-hold; return "" })
+	address := serveScript(t, func(int, *http.Request) string { <-hold; return "" })
 	defer close(hold)
 	p := NewPool(1, DialTCP)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(0, cancel)
-	_, err := p.Send(ctx, call(address, "1"))
+	_, err := p.Send(ctx, newCall(address, "1"))
 	assert.Assert(t, err != nil)
 	assert.Equal(t, len(p.hosts), 0)
 }
 
 // A large body is answered before it was read, and the rest is read later. The
 // connection carries exactly that rest.
-func TestEarlyAnswerToALargeBody(t *testing.T) {
+func TestAnswerBeforeLargeBodyIsSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -216,21 +216,21 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer("1", "one"))
+		_, _ = io.WriteString(c, answerText("1", "one"))
 		n, _ := io.Copy(io.Discard, req.Body)
 		rest <- n
 		if _, err := http.ReadRequest(r); err == nil {
-			_, _ = io.WriteString(c, answer("2", "two"))
+			_, _ = io.WriteString(c, answerText("2", "two"))
 		}
 	}()
 	p := NewPool(1, DialTCP)
-	first := call(l.Addr().String(), "1")
+	first := newCall(l.Addr().String(), "1")
 	first.Body = make([]byte, 8<<20)
-	body, err := read(t, p, first)
+	body, err := sendAndRead(t, p, first)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "one")
 	assert.Equal(t, <-rest, int64(8<<20))
-	body, err = read(t, p, call(l.Addr().String(), "2"))
+	body, err = sendAndRead(t, p, newCall(l.Addr().String(), "2"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "two")
 }
@@ -238,8 +238,8 @@
 // Setting up a connection takes half of a request's time. The time left that
 // the endpoint is told must be without it, or it works on for a caller that is
 // gone.
-func TestHeaderIsMadeWhenThereIsAConnection(t *testing.T) {
-	address := script(t, func(_ int, r *http.Request) string { return answer("1", r.Header.Get("Left")) })
+func TestHeaderIsBuiltAfterConnecting(t *testing.T) {
+	address := serveScript(t, func(_ int, r *http.Request) string { return answerText("1", r.Header.Get("Left")) })
 	p := NewPool(1, DialTCP)
 	left := "9"
 	dial := p.dial
@@ -247,9 +247,9 @@
 		left = "4"
 		return dial(ctx, address)
 	}
-	c := call(address, "1")
+	c := newCall(address, "1")
 	c.Header = func() http.Header { return http.Header{"Id": {"1"}, "Left": {left}} }
-	body, err := read(t, p, c)
+	body, err := sendAndRead(t, p, c)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "4")
 }
--- a/internal/upstream/wait_test.go
+++ b/internal/upstream/wait_test.go
@@ -18,15 +18,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// line is what an endpoint writes, some time after the request or the line before.
-type line struct {
+// delayedText is what an endpoint writes, some time after the request or the delayedText before.
+type delayedText struct {
 	after time.Duration
 	text  string
 }
 
-// talker dials endpoints that write the lines kept under the request's Id and
+// dialScripted dials endpoints that write the lines kept under the request's Id and
 // then stay silent with the connection open.
-func talker(ctx context.Context, lines map[string][]line) Dialer {
+func dialScripted(ctx context.Context, lines map[string][]delayedText) Dialer {
 	return func(context.Context, string) (net.Conn, error) {
 		here, there := net.Pipe()
 		context.AfterFunc(ctx, func() { _ = there.Close() })
@@ -59,22 +59,22 @@
 
 const streamHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func piece(text string) string { return string("0123456789abcdef"[len(text)]) + "\r\n" + text + "\r\n" }
+func chunk(text string) string { return string("0123456789abcdef"[len(text)]) + "\r\n" + text + "\r\n" }
 
-func patient(id string, patience time.Duration) *Call {
-	c := call("endpoint", id)
-	c.Patience = patience
+func newCallWithTimeout(id string, patience time.Duration) *Call {
+	c := newCall("endpoint", id)
+	c.SilenceTimeout = patience
 	return c
 }
 
 // An engine hangs before it answers: its connection stays open and nothing
 // comes. The call must end after its patience, as one that may have run, long
 // before its deadline.
-func TestSilentEndpointIsGivenUpBeforeItsHead(t *testing.T) {
+func TestSilenceBeforeHeadEndsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool(4, talker(t.Context(), nil))
+		p := NewPool(4, dialScripted(t.Context(), nil))
 		began := time.Now()
-		_, err := p.Send(t.Context(), patient("1", time.Second))
+		_, err := p.Send(t.Context(), newCallWithTimeout("1", time.Second))
 		assert.Assert(t, errors.Is(err, ErrSilent))
 		assert.Equal(t, verdict.Of(err), verdict.MayHaveRun)
 		assert.Equal(t, time.Since(began), time.Second)
@@ -83,13 +83,13 @@
 
 // The same in the middle of a stream: what came stands, and the rest is given up
 // a patience after it.
-func TestSilentEndpointIsGivenUpInItsBody(t *testing.T) {
+func TestSilenceInBodyEndsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool(4, talker(t.Context(), map[string][]line{
-			"1": {{0, streamHead}, {800 * time.Millisecond, piece("a")}, {800 * time.Millisecond, piece("b")}, {time.Hour, ""}},
+		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
+			"1": {{0, streamHead}, {800 * time.Millisecond, chunk("a")}, {800 * time.Millisecond, chunk("b")}, {time.Hour, ""}},
 		}))
 		began := time.Now()
-		a, err := p.Send(t.Context(), patient("1", time.Second))
+		a, err := p.Send(t.Context(), newCallWithTimeout("1", time.Second))
 		assert.NilError(t, err)
 		defer a.Close()
 		got, err := io.ReadAll(a.Body)
@@ -101,24 +101,24 @@
 
 // One request waits behind a long queue, while the engine streams to others. It
 // is alive; were the request sent elsewhere, it would wait there anew.
-func TestEndpointThatTalksToOthersIsWaitedFor(t *testing.T) {
+func TestEndpointStreamingToOthersIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var talk []line
-		talk = append(talk, line{0, streamHead})
+		var talk []delayedText
+		talk = append(talk, delayedText{0, streamHead})
 		for range 50 {
-			talk = append(talk, line{100 * time.Millisecond, piece("x")})
+			talk = append(talk, delayedText{100 * time.Millisecond, chunk("x")})
 		}
-		p := NewPool(4, talker(t.Context(), map[string][]line{
-			"talks": append(talk, line{0, "0\r\n\r\n"}),
-			"waits": {{4 * time.Second, answer("waits", "late")}},
+		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
+			"talks": append(talk, delayedText{0, "0\r\n\r\n"}),
+			"waits": {{4 * time.Second, answerText("waits", "late")}},
 		}))
-		other, err := p.Send(t.Context(), patient("talks", time.Second))
+		other, err := p.Send(t.Context(), newCallWithTimeout("talks", time.Second))
 		assert.NilError(t, err)
 		go func() {
 			defer other.Close()
 			_, _ = io.Copy(io.Discard, other.Body)
 		}()
-		got, err := read(t, p, patient("waits", time.Second))
+		got, err := sendAndRead(t, p, newCallWithTimeout("waits", time.Second))
 		assert.NilError(t, err)
 		assert.Equal(t, got, "late")
 		synctest.Wait()
@@ -128,23 +128,23 @@
 // An engine crashes with a call's connection open, starts again at its address a
 // second later and streams to others on new connections. What they hear must not
 // keep the call waiting for an answer that will never come.
-func TestEndpointThatStartedAgainIsSilentForOldCalls(t *testing.T) {
+func TestNewConnectionsDoNotExtendOlderCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		talk := []line{{0, streamHead}}
+		talk := []delayedText{{0, streamHead}}
 		for range 50 {
-			talk = append(talk, line{100 * time.Millisecond, piece("x")})
+			talk = append(talk, delayedText{100 * time.Millisecond, chunk("x")})
 		}
-		p := NewPool(4, talker(t.Context(), map[string][]line{
-			"talks": append(talk, line{0, "0\r\n\r\n"}),
+		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
+			"talks": append(talk, delayedText{0, "0\r\n\r\n"}),
 		}))
 		began := time.Now()
 		time.AfterFunc(500*time.Millisecond, func() {
-			other, err := p.Send(t.Context(), patient("talks", time.Second))
+			other, err := p.Send(t.Context(), newCallWithTimeout("talks", time.Second))
 			assert.Check(t, err == nil)
 			defer other.Close()
 			_, _ = io.Copy(io.Discard, other.Body)
 		})
-		_, err := p.Send(t.Context(), patient("hangs", time.Second))
+		_, err := p.Send(t.Context(), newCallWithTimeout("hangs", time.Second))
 		assert.Assert(t, errors.Is(err, ErrSilent))
 		assert.Equal(t, time.Since(began), time.Second)
 		time.Sleep(time.Minute)
@@ -153,15 +153,15 @@
 
 // A kept connection serves a second call without a bound. The first call's must
 // not end it.
-func TestPatienceEndsWithItsCall(t *testing.T) {
+func TestSilenceTimeoutEndsWithItsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool(4, talker(t.Context(), map[string][]line{
-			"1": {{0, answer("1", "a")}},
-			"2": {{3 * time.Second, answer("2", "b")}},
+		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
+			"1": {{0, answerText("1", "a")}},
+			"2": {{3 * time.Second, answerText("2", "b")}},
 		}))
-		_, err := read(t, p, patient("1", time.Second))
+		_, err := sendAndRead(t, p, newCallWithTimeout("1", time.Second))
 		assert.NilError(t, err)
-		got, err := read(t, p, patient("2", 0))
+		got, err := sendAndRead(t, p, newCallWithTimeout("2", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, got, "b")
 		assert.Equal(t, p.Stats().Dialled, uint64(1))
@@ -169,13 +169,13 @@
 }
 
 // A caller leaves while its call waits within its patience.
-func TestContextEndsThePatientWait(t *testing.T) {
+func TestContextEndsWaitBeforeSilenceTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool(4, talker(t.Context(), nil))
+		p := NewPool(4, dialScripted(t.Context(), nil))
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := p.Send(ctx, patient("1", time.Second))
+		_, err := p.Send(ctx, newCallWithTimeout("1", time.Second))
 		assert.Assert(t, err != nil && !strings.Contains(err.Error(), "silent"))
 		assert.Equal(t, time.Since(began), 300*time.Millisecond)
 	})
@@ -196,7 +196,7 @@
 }
 
 // Guards against a daemon that was held up and takes the time for its endpoint's silence.
-func TestTimeInWhichTheProcessWasHeldUpIsNoSilence(t *testing.T) {
+func TestProcessPauseIsNotCountedAsSilence(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		after time.Duration // of the answer
@@ -210,13 +210,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				dial := talker(ctx, map[string][]line{"1": {{c.after, answer("1", "done")}}})
+				dial := dialScripted(ctx, map[string][]delayedText{"1": {{c.after, answerText("1", "done")}}})
 				p := NewPool(4, func(ctx context.Context, address string) (net.Conn, error) {
 					nc, err := dial(ctx, address)
 					return &pausedConn{Conn: nc, until: time.Now().Add(6 * time.Second)}, err
 				})
 				began := time.Now()
-				got, err := read(t, p, patient("1", time.Second))
+				got, err := sendAndRead(t, p, newCallWithTimeout("1", time.Second))
 				if c.ok {
 					assert.NilError(t, err)
 					assert.Equal(t, got, "done")
