--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -11,25 +11,26 @@
 	Method  string
 	Target  string // path and query as the caller sent them
 	Host    string
-	// Header is asked for when there is a connection: it may say how much
-	// time is left, of which setting one up takes a part.
+	// Header is called once a connection is established: a header may state the
+	// time that is left, which excludes the time for connecting.
 	Header func() http.Header
 	Body   []byte
-	// Owns reports whether an answer's header names this request; a kept
-	// connection may first bring a late answer to an earlier one.
+	// Owns reports whether an answer's header names this request: on a reused
+	// connection, a late answer to an earlier request may come first.
 	Owns func(http.Header) Ownership
 	// HeadTimeout bounds the wait for the answer's head; 0 leaves it to the
 	// context.
 	HeadTimeout time.Duration
-	// SilenceTimeout bounds how long the endpoint may be silent on all connections of
-	// this pool while the call waits; 0 leaves it to the context.
+	// SilenceTimeout bounds the time in which no bytes arrive from the endpoint, on
+	// any connection of the pool established before the call was sent; 0 leaves it
+	// to the context.
 	SilenceTimeout time.Duration
 }
 
-// Ownership says whose answer a head is.
+// Ownership is the request that an answer's header names.
 type Ownership uint8
 
-// The kinds of ownership.
+// The values of Ownership.
 const (
 	ThisRequest  Ownership = iota // names this request
 	OtherRequest                  // names another request
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,7 +14,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/clock"
 )
 
-// readBuffer holds an answer's head and most of a plain service's body.
+// readBuffer is a connection's read buffer, in bytes: room for an answer's head
+// and most of a plain service's body.
 const readBuffer = 4096
 
 // conn is a connection to an endpoint, used by one request at a time.
@@ -23,12 +24,12 @@
 	pool     *Pool
 	host     *host
 	dialled  time.Time
-	received *clock.Moment // when bytes came last
+	received *clock.Moment // when bytes were last received
 	nc       net.Conn
-	r        *bufio.Reader // of conn itself
+	r        *bufio.Reader // reads through conn.Read
 	wait     readWait
-	expires  time.Time // kept until then
-	reused   bool      // served a request before
+	expires  time.Time // when the idle connection is closed; zero: not set
+	reused   bool      // has served an earlier request
 }
 
 func newConn(p *Pool, h *host, address string, nc net.Conn) *conn {
@@ -40,10 +41,10 @@
 func (c *conn) close() { _ = c.nc.Close() }
 
 // reusable reports whether an idle connection is open and has no bytes to read.
-// Failure: the endpoint closed it, or sent an answer that nobody waits for.
-// Symptom: a request that must run once is sent into a closed connection and
-// can't be repeated, or gets another request's answer. The kernel's view is
-// asked without waiting; what is still on its way is found by Owns.
+// On a connection that the endpoint has closed, a request that must run at most
+// once would be lost without a retry; unread bytes are an answer to an earlier
+// request. The check reads the socket's state without blocking; an answer that
+// arrives later is detected by Call.Owns.
 func (c *conn) reusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -65,8 +66,8 @@
 	return err == nil && open
 }
 
-// expiry returns how long the endpoint will keep the connection after this
-// answer; zero where it closes it.
+// expiry returns until when an idle connection may be kept after an answer,
+// zero if the endpoint closes it.
 func expiry(now time.Time, resp *http.Response) time.Time {
 	if resp.Close {
 		return time.Time{}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,19 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// KeepAlive finds out a connection that went silent without a reset: a probe
-// each second after a second of silence; with UserTimeout the connection ends
-// two seconds after the last byte that was acknowledged.
+// KeepAlive detects a connection whose peer is unreachable without a reset: it
+// sends a probe each second after an idle second. With UserTimeout, the kernel
+// closes the connection two seconds after the last acknowledgement.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// DialTCP is the Dialer over TCP.
+// DialTCP is a Dialer for TCP, with KeepAlive and UserTimeout.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{KeepAliveConfig: KeepAlive, Control: UserTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// UserTimeout bounds the time for which sent bytes may go unacknowledged on a
-// socket. It is a net.Dialer's or net.ListenConfig's Control.
+// UserTimeout sets TCP_USER_TIMEOUT on a socket: the time for which sent bytes
+// may stay unacknowledged. It is a Control function for net.Dialer and
+// net.ListenConfig.
 func UserTimeout(_, _ string, raw syscall.RawConn) error {
 	var set error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -2,9 +2,9 @@
 // their answers, one request at a time on a connection, with a bound on the
 // connections to each endpoint.
 //
-// It doesn't use http.Transport: that repeats a request by itself where a kept
-// connection dies, and takes whatever answer comes next on a connection for
-// the one that belongs to the last request. Here a request leaves exactly once
-// for each Send, and an answer is checked to belong to it. Every error carries
-// a verdict on whether the endpoint may have run the request.
+// It doesn't use http.Transport, which retries a request by itself when a reused
+// connection breaks, and assigns the next answer on a connection to the last
+// request without a check. Here each Send sends its request at most once, and
+// checks that the answer belongs to it. Every error of Send carries a verdict on
+// whether the endpoint may have run the request.
 package upstream
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,66 +16,69 @@
 // Error is the class of errors made by this package.
 var Error = errs.Class("upstream")
 
-// ErrPoolExhausted says that this daemon's share of an endpoint's connections is in use.
+// ErrPoolExhausted means that all connections that this daemon may open to an
+// endpoint are in use.
 var ErrPoolExhausted = Error.New("no connection to the endpoint is free")
 
 const (
-	// dialTimeout bounds a new connection's set-up: data centres are a few
-	// milliseconds apart and a lost packet is repeated within a second.
+	// dialTimeout bounds the time for connecting: data centres are a few
+	// milliseconds apart, and a lost packet is retransmitted within a second.
 	dialTimeout = 600 * time.Millisecond
-	// idleDefault is how long a connection is kept where the endpoint does
-	// not say; it is below the shortest idle time-out that is usual.
+	// idleDefault is how long an idle connection is kept if the endpoint states
+	// no time; it is below the shortest usual idle timeout.
 	idleDefault = 4 * time.Second
-	// idleMargin is taken off the endpoint's stated idle time-out, so that a
-	// request doesn't cross the endpoint's close.
+	// idleMargin is subtracted from the idle timeout that the endpoint states, so
+	// that no request is sent while the endpoint closes the connection.
 	idleMargin = 700 * time.Millisecond
-	// userTimeout is how long sent bytes may go unacknowledged before the
-	// kernel gives a connection up. Failure: a path that swallows packets.
-	// Symptom: a connection that hangs for minutes. Two seconds are many
-	// round trips and repeats of a lost packet.
+	// userTimeout is how long sent bytes may stay unacknowledged before the
+	// kernel closes a connection, which would otherwise hang for minutes when the
+	// network drops all packets. Two seconds are many round trips and
+	// retransmissions.
 	userTimeout = 2 * time.Second
 )
 
-// Pool keeps connections to endpoints. It is safe for concurrent use.
+// Pool holds connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	mu    sync.Mutex
 	hosts map[string]*host
-	share int // connections to one endpoint
+	share int // most connections to one endpoint
 	stats Stats
 	dial  Dialer
 }
 
-// host is the connections to one address.
+// host holds the connections to one address.
 type host struct {
-	open int
-	idle []*conn // the newest last
-	// conns are all that are set up.
+	open int     // established or being established
+	idle []*conn // most recently used last
+	// conns holds the established connections, idle or in use.
 	conns map[*conn]struct{}
 }
 
-// remove forgets a connection, nil for the room of one that wasn't set up.
+// remove removes a connection from the count; c is nil if connecting failed.
 func (h *host) remove(c *conn) {
 	delete(h.conns, c)
 	h.open--
 }
 
-// Stats are totals since the start.
+// Stats are totals since the pool was created.
 type Stats struct {
 	Dialled uint64
 	Reused  uint64
-	Silent  uint64 // calls given up since the endpoint said nothing
-	Skipped uint64 // late answers to earlier requests that were passed over
+	Silent  uint64 // calls that ended with ErrSilent
+	Skipped uint64 // late answers to earlier requests
 }
 
-// Dialer sets a connection to an endpoint up.
+// Dialer connects to an endpoint at an address, host:port.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// NewPool returns an empty pool with a share of connections for each endpoint.
+// NewPool returns an empty pool that opens at most share connections to each
+// endpoint, and at least one.
 func NewPool(share int, dial Dialer) *Pool {
 	return &Pool{hosts: map[string]*host{}, share: max(share, 1), dial: dial}
 }
 
-// SetShare bounds the connections to one endpoint from now on.
+// SetShare sets the most connections to each endpoint. Open connections above
+// it aren't closed.
 func (p *Pool) SetShare(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +92,7 @@
 	return p.stats
 }
 
-// CloseIdle closes the idle connections to an address whose endpoint is gone.
+// CloseIdle closes the idle connections to an address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	h := p.hosts[address]
@@ -106,8 +109,8 @@
 	}
 }
 
-// get returns a kept connection that is still open, or a new one. Its errors
-// are NotRun.
+// get returns an idle connection that is still open, or a new one. Its errors
+// have the verdict NotRun.
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
 		c, h, err := p.acquire(address)
@@ -124,9 +127,9 @@
 	}
 }
 
-// Listens reports whether an endpoint's process is there: a kept connection to
-// it is still open, or a new one can be had, which is kept. Its error says why
-// that isn't known.
+// Listens reports whether an endpoint accepts connections: an idle connection to
+// it is still open, or a new one can be established, which is then kept. It
+// returns false if the connection is refused, and an error if neither is known.
 func (p *Pool) Listens(ctx context.Context, address string) (bool, error) {
 	c, err := p.get(ctx, address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -142,7 +145,7 @@
 	return true, nil
 }
 
-// open sets a connection up for which there is room.
+// open establishes a connection that acquire has reserved.
 func (p *Pool) open(ctx context.Context, address string, h *host) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -159,7 +162,7 @@
 	return c, nil
 }
 
-// acquire returns an idle connection, or nil after it has reserved room for a new one.
+// acquire returns an idle connection, or reserves a new one and returns nil.
 func (p *Pool) acquire(address string) (*conn, *host, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +189,7 @@
 	return nil, h, nil
 }
 
-// put keeps a connection for the next request.
+// put adds a connection to the idle ones.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	h := p.hosts[c.address]
@@ -194,8 +197,8 @@
 	p.mu.Unlock()
 }
 
-// lastReceived returns when bytes came last on any connection that was set up
-// by a time.
+// lastReceived returns when bytes were last received on any connection that was
+// established no later than by.
 func (p *Pool) lastReceived(h *host, by time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,13 +211,13 @@
 	return last
 }
 
-// drop closes a connection and gives its room back.
+// drop closes a connection and releases it.
 func (p *Pool) drop(c *conn) {
 	c.close()
 	p.release(c.address, c)
 }
 
-// release gives the room of a connection back, nil for one that wasn't set up.
+// release makes room for another connection; c is nil if connecting failed.
 func (p *Pool) release(address string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,8 +228,8 @@
 	}
 }
 
-// Sweep closes idle connections whose time is over. It should be called about
-// once a second: endpoints bound their connections.
+// Sweep closes expired idle connections. It should be called about once a
+// second, since endpoints limit their connections.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
--- a/internal/upstream/received_test.go
+++ b/internal/upstream/received_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A step of the time of day makes a live connection look silent, or a silent one alive.
+// Guards against wall clock times, with which a step of the clock makes a live
+// connection appear silent, or a silent one live.
 func TestReceiveTimeIsMonotonic(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// inlineBody is the largest body written before the answer is read: it
-	// fits a connection's smallest send window.
+	// inlineBody is the largest body, in bytes, that is written in one call with
+	// the head before the answer is read: it fits the smallest send window.
 	inlineBody = 4 << 10
-	// maxSkipped bounds the late answers of others that are passed over on
-	// one connection: an endpoint sends one extra answer to a request.
+	// maxSkipped is the most late answers to earlier requests that are skipped
+	// for one call: an endpoint sends at most one extra answer to a request.
 	maxSkipped = 2
-	// maxSkippedBytes bounds such an answer's body.
+	// maxSkippedBytes is the most bytes of a skipped answer's body.
 	maxSkippedBytes = 1 << 20
-	// bodyWriteTimeout is how long the rest of a body may take after the endpoint
-	// has answered; the connection can't be kept before.
+	// bodyWriteTimeout bounds the writing of the rest of a request's body after the
+	// answer was read; only then can the connection be reused.
 	bodyWriteTimeout = time.Second
 )
 
-// Answer is an endpoint's answer. The body is read from Body, to io.EOF where
-// it is whole; Close ends it at any time.
+// Answer is an endpoint's answer. Body returns io.EOF only at the end of a
+// complete body. Close may be called at any time, and must be called once.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -35,13 +35,14 @@
 	pool      *Pool
 	conn      *conn
 	resp      *http.Response
-	writeDone chan error // the body's writer, nil where it is done
+	writeDone chan error // result of writing the request's body in the background, or nil
 	stop      func() bool
 	complete  bool
 }
 
-// Send sends a call and returns the head of its answer. Its errors carry a
-// verdict. The context ends the wait and, until Close, the reading.
+// Send sends a call and returns once the head of its answer is received. Its
+// errors carry a verdict. The end of the context ends the wait and, until Close,
+// the reading of the body.
 func (p *Pool) Send(ctx context.Context, call *Call) (*Answer, error) {
 	c, err := p.get(ctx, call.Address)
 	if err != nil {
@@ -61,8 +62,8 @@
 	return a, nil
 }
 
-// write sends the head and the body; a large body by a goroutine of its own,
-// since the endpoint may answer before it reads it.
+// write sends the head and the body. A goroutine sends a large body, since the
+// endpoint may answer before it has read all of it.
 func (a *Answer) write(call *Call) error {
 	var head bytes.Buffer
 	head.Grow(512 + min(len(call.Body), inlineBody))
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// readHead reads heads until one belongs to the call.
+// readHead reads answers until one belongs to the call, and skips the others.
 func (a *Answer) readHead(call *Call) error {
 	req := &http.Request{Method: call.Method}
 	for skipped := 0; ; skipped++ {
@@ -106,9 +107,9 @@
 			a.setHead(resp)
 			return nil
 		case owner == NoRequest:
-			return Error.New("an answer without a name on a kept connection")
+			return Error.New("answer on a reused connection names no request")
 		case skipped == maxSkipped:
-			return Error.New("%d answers to other requests", skipped+1)
+			return Error.New("%d answers name other requests", skipped+1)
 		}
 		if err := skip(resp); err != nil {
 			return err
@@ -117,14 +118,14 @@
 	}
 }
 
-// skip reads an answer that belongs to another request.
+// skip reads and discards the body of an answer to another request.
 func skip(resp *http.Response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
 	if err != nil {
 		return err
 	}
 	if n == maxSkippedBytes || resp.Close {
-		return Error.New("the answer to another request doesn't end")
+		return Error.New("answer to another request is too long or closes the connection")
 	}
 	return nil
 }
@@ -136,7 +137,7 @@
 	a.Body = (*body)(a)
 }
 
-// body reads an answer's body and notes its whole end.
+// body reads an answer's body and records whether its end was reached.
 type body Answer
 
 func (b *body) Read(p []byte) (int, error) {
@@ -147,10 +148,11 @@
 	return n, err
 }
 
-// Close ends the answer: a connection whose answer was read to its end is kept
-// for the next request, any other is closed, which tells the endpoint to stop.
+// Close ends the answer. The connection is kept for the next request if the
+// answer was read to its end. Otherwise it is closed, and the endpoint stops
+// working on the request.
 func (a *Answer) Close() {
-	if !a.stop() { // the context has ended the connection
+	if !a.stop() { // the context has ended, and cancel has run
 		a.pool.drop(a.conn)
 		return
 	}
@@ -164,7 +166,8 @@
 	a.pool.put(a.conn)
 }
 
-// bodyWritten reports whether the request's body was written to its end.
+// bodyWritten waits until the request's body is written, and reports whether all
+// of it was.
 func (a *Answer) bodyWritten() bool {
 	if a.writeDone == nil {
 		return true
@@ -175,7 +178,7 @@
 	return err == nil
 }
 
-// abandon closes the connection of an answer that has no head.
+// abandon closes the connection of a call whose answer's head wasn't received.
 func (a *Answer) abandon() {
 	a.stop()
 	a.pool.drop(a.conn)
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -15,8 +15,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// serveScript answers each request on each connection with what f returns for its
-// number on the connection; an empty answer closes the connection.
+// serveScript starts a server that answers each request with the text that f
+// returns, and returns its address. n counts the requests on a connection from 0;
+// an empty text closes the connection.
 func serveScript(t *testing.T, f func(n int, r *http.Request) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,9 +93,9 @@
 	assert.Equal(t, got, "POST /a%2Fb?q=1 h.example ")
 }
 
-// An endpoint answers a request twice. The second answer arrives when the next
-// request is already on its way on the same connection. Taken for that one's,
-// a caller would read another caller's answer.
+// Guards against a caller that gets another caller's answer: an endpoint answers
+// a request twice, and the second answer arrives after the next request was sent
+// on the same connection.
 func TestLateExtraAnswerIsSkipped(t *testing.T) {
 	address := serveScript(t, func(n int, r *http.Request) string {
 		if n == 0 {
@@ -112,7 +113,7 @@
 	assert.Equal(t, p.Stats().Dialled, uint64(1))
 }
 
-// The extra answer is already there when the connection is wanted again.
+// The extra answer arrives before the connection is reused.
 func TestConnectionWithUnexpectedBytesIsNotReused(t *testing.T) {
 	address := serveScript(t, func(n int, r *http.Request) string {
 		id := r.Header.Get("Id")
@@ -127,8 +128,9 @@
 	assert.Equal(t, p.Stats().Dialled, uint64(2))
 }
 
-// The endpoint closes the connection instead of answering. Sent again, the
-// request could run twice; the caller is told that it may have run.
+// Guards against a request that runs twice: the endpoint closes a reused
+// connection instead of answering, and the request is sent again. The error must
+// have the verdict that the request may have run.
 func TestRequestIsNotRepeatedAfterConnectionCloses(t *testing.T) {
 	seen := make(chan string, 4)
 	address := serveScript(t, func(n int, r *http.Request) string {
@@ -166,7 +168,7 @@
 	p := NewPool(1, DialTCP)
 	_, err = sendAndRead(t, p, newCall(address, "1"))
 	assert.Equal(t, verdict.Of(err), verdict.NotRun)
-	_, err = sendAndRead(t, p, newCall(address, "1")) // its room was given back
+	_, err = sendAndRead(t, p, newCall(address, "1")) // the failed connection isn't counted
 	assert.Assert(t, !strings.Contains(err.Error(), ErrPoolExhausted.Error()))
 }
 
@@ -184,8 +186,8 @@
 	assert.NilError(t, err)
 }
 
-// A caller leaves while its endpoint works. The endpoint sees the connection
-// end, and the room is free again.
+// Guards against an endpoint that goes on working, and a connection that stays
+// counted, after the caller has disconnected.
 func TestCancelledContextClosesConnection(t *testing.T) {
 	hold := make(chan struct{})
 	address := serveScript(t, func(int, *http.Request) string { <-hold; return "" })
@@ -198,8 +200,8 @@
 	assert.Equal(t, len(p.hosts), 0)
 }
 
-// A large body is answered before it was read, and the rest is read later. The
-// connection carries exactly that rest.
+// An endpoint answers before it reads a large body. The rest of the body must
+// still be sent in full, so that the connection can be reused.
 func TestAnswerBeforeLargeBodyIsSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -235,9 +237,8 @@
 	assert.Equal(t, body, "two")
 }
 
-// Setting up a connection takes half of a request's time. The time left that
-// the endpoint is told must be without it, or it works on for a caller that is
-// gone.
+// Guards against an endpoint that works for a caller whose deadline has passed:
+// the header states the time left, and connecting takes part of that time.
 func TestHeaderIsBuiltAfterConnecting(t *testing.T) {
 	address := serveScript(t, func(_ int, r *http.Request) string { return answerText("1", r.Header.Get("Left")) })
 	p := NewPool(1, DialTCP)
--- a/internal/upstream/wait.go
+++ b/internal/upstream/wait.go
@@ -7,36 +7,38 @@
 	"time"
 )
 
-// ErrSilent says that nothing came from the endpoint for as long as the call
-// allows, on its own connection or on an older one.
-var ErrSilent = Error.New("the endpoint fell silent")
+// ErrSilent means that no bytes arrived from the endpoint within
+// Call.SilenceTimeout, neither on the call's connection nor on an older one.
+var ErrSilent = Error.New("endpoint silent for longer than the call allows")
 
-// readWait bounds the reading of one call's answer. One connection's silence isn't enough to
-// tell that an endpoint hangs: prompts queue, and long ones stop a batch; an endpoint that
-// says something to another caller is alive. What it says on connections that are younger
-// than the call proves nothing: it may have started again and know nothing of the call.
-// Nor does time in which this process was held up itself: what the endpoint said meanwhile
-// waits to be read.
+// readWait bounds the reading of one call's answer.
+//
+// Silence on one connection doesn't prove that an endpoint hangs, because prompts
+// queue and a long prompt delays its whole batch: bytes on another connection show
+// that the endpoint is alive. Only connections established before the call count,
+// since an endpoint that has restarted accepts new ones but has lost the call.
+// Time in which this process was paused isn't silence either: bytes that arrived
+// during it are still to be read.
 type readWait struct {
-	silenceTimeout time.Duration // 0: not bounded
+	silenceTimeout time.Duration // 0: none
 	headDeadline   time.Time     // zero: none
 	began          time.Time
-	silenceFrom    time.Time   // from when on silence counts
-	checkedAt      time.Time   // when this call was last at work here
-	deadlineSet    bool        // a deadline is set on the connection
-	cancelled      atomic.Bool // the call's context ended
+	silenceFrom    time.Time   // silence is counted from then at the earliest
+	checkedAt      time.Time   // when discountPause last ran
+	deadlineSet    bool        // the connection has a read deadline
+	cancelled      atomic.Bool // the call's context has ended
 }
 
 const (
-	// pauseCheckInterval is how often a wait looks whether this process was held up: so much of
-	// that time may be taken for the endpoint's silence.
+	// pauseCheckInterval is the longest a read blocks before the next check for a
+	// pause of this process. Up to this much of a pause may be counted as silence.
 	pauseCheckInterval = 500 * time.Millisecond
-	// minPause is how late a look is when this process was held up: on a busy machine
-	// it is late by some ten milliseconds.
+	// minPause is the least delay of a check that counts as a pause: on a busy
+	// machine a check is late by some ten milliseconds.
 	minPause = 100 * time.Millisecond
 )
 
-// startWait begins a call's wait.
+// startWait sets the bounds of a call.
 func (c *conn) startWait(now time.Time, call *Call) {
 	c.wait.silenceTimeout, c.wait.headDeadline = call.SilenceTimeout, time.Time{}
 	c.wait.began, c.wait.silenceFrom, c.wait.checkedAt = now, now, now
@@ -46,23 +48,23 @@
 	c.wait.cancelled.Store(false)
 }
 
-// headReceived ends the bound on the answer's head.
+// headReceived removes the bound on the answer's head.
 func (c *conn) headReceived() { c.wait.headDeadline = time.Time{} }
 
-// cancel stops all reading: the call's context is over.
+// cancel ends all reading and writing when the call's context ends.
 func (c *conn) cancel() {
 	c.wait.cancelled.Store(true)
 	_ = c.nc.SetDeadline(time.Unix(1, 0))
 }
 
-// endWait ends a call's wait, so that the connection can be kept.
+// endWait removes the bounds of a call, so that the connection can be reused.
 func (c *conn) endWait() {
 	c.wait.silenceTimeout, c.wait.headDeadline = 0, time.Time{}
 	c.setDeadline(time.Now(), c.lastReceived())
 }
 
-// waitEnd returns when the wait is over if the endpoint was heard last at a time;
-// zero where it isn't bounded.
+// waitEnd returns when the wait ends if no more bytes arrive, zero if it isn't
+// bounded. received is when the endpoint last sent bytes.
 func (c *conn) waitEnd(heard time.Time) time.Time {
 	out := c.wait.headDeadline
 	if c.wait.silenceTimeout <= 0 {
@@ -74,8 +76,8 @@
 	return out
 }
 
-// silenceStart returns from when on the silence of an endpoint counts that was heard last
-// at a time.
+// silenceStart returns the start of the endpoint's silence: when it last sent
+// bytes, and not before wait.silenceFrom.
 func (c *conn) silenceStart(heard time.Time) time.Time {
 	if heard.Before(c.wait.silenceFrom) {
 		return c.wait.silenceFrom
@@ -83,11 +85,11 @@
 	return heard
 }
 
-// lastReceived returns when bytes came last on this connection.
+// lastReceived returns when bytes were last received on this connection.
 func (c *conn) lastReceived() time.Time { return c.received.Time() }
 
-// setDeadline sets the connection's deadline, for an endpoint that was heard last at a
-// time.
+// setDeadline sets the connection's read deadline to the end of the wait, or to the
+// next check for a pause where that is earlier.
 func (c *conn) setDeadline(now, heard time.Time) {
 	until := c.waitEnd(heard)
 	if until.IsZero() && !c.wait.deadlineSet {
@@ -100,8 +102,8 @@
 	_ = c.nc.SetReadDeadline(until)
 }
 
-// discountPause takes time in which this process was held up since the last discountPause off the wait for
-// an endpoint that was heard last at a time.
+// discountPause extends the wait by the time in which this process was paused
+// since the last check.
 func (c *conn) discountPause(now, heard time.Time) {
 	held := now.Sub(c.wait.checkedAt) - pauseCheckInterval
 	c.wait.checkedAt = now
@@ -114,7 +116,8 @@
 	}
 }
 
-// Read reads from the connection within the call's bounds.
+// Read reads from the connection within the call's bounds. It returns ErrSilent
+// when the endpoint was silent for too long.
 func (c *conn) Read(p []byte) (int, error) {
 	heard := c.lastReceived()
 	for {
--- a/internal/upstream/wait_test.go
+++ b/internal/upstream/wait_test.go
@@ -18,14 +18,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// delayedText is what an endpoint writes, some time after the request or the delayedText before.
+// delayedText is text that an endpoint writes some time after the request or the
+// previous text.
 type delayedText struct {
 	after time.Duration
 	text  string
 }
 
-// dialScripted dials endpoints that write the lines kept under the request's Id and
-// then stay silent with the connection open.
+// dialScripted returns a Dialer of endpoints that write the texts listed under a
+// request's Id. A request without texts gets no answer, and its connection stays
+// open until ctx ends.
 func dialScripted(ctx context.Context, lines map[string][]delayedText) Dialer {
 	return func(context.Context, string) (net.Conn, error) {
 		here, there := net.Pipe()
@@ -67,9 +69,9 @@
 	return c
 }
 
-// An engine hangs before it answers: its connection stays open and nothing
-// comes. The call must end after its patience, as one that may have run, long
-// before its deadline.
+// An engine hangs before it answers: its connection stays open and carries no
+// bytes. The call must end after its silence timeout rather than at its deadline,
+// with the verdict that it may have run.
 func TestSilenceBeforeHeadEndsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool(4, dialScripted(t.Context(), nil))
@@ -81,8 +83,8 @@
 	})
 }
 
-// The same in the middle of a stream: what came stands, and the rest is given up
-// a patience after it.
+// An engine hangs in the middle of a stream. The bytes received so far must be
+// returned, and the call must end one silence timeout after the last of them.
 func TestSilenceInBodyEndsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
@@ -99,8 +101,8 @@
 	})
 }
 
-// One request waits behind a long queue, while the engine streams to others. It
-// is alive; were the request sent elsewhere, it would wait there anew.
+// Guards against a request that is sent again elsewhere, and queues again, while
+// it waits in an engine's queue: the engine streams to other callers meanwhile.
 func TestEndpointStreamingToOthersIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var talk []delayedText
@@ -125,9 +127,9 @@
 	})
 }
 
-// An engine crashes with a call's connection open, starts again at its address a
-// second later and streams to others on new connections. What they hear must not
-// keep the call waiting for an answer that will never come.
+// Guards against a call that waits for an answer that will never come: an engine
+// crashes with the call's connection open, restarts at the same address and
+// streams to other callers on new connections.
 func TestNewConnectionsDoNotExtendOlderCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		talk := []delayedText{{0, streamHead}}
@@ -151,8 +153,8 @@
 	})
 }
 
-// A kept connection serves a second call without a bound. The first call's must
-// not end it.
+// A reused connection serves a second call without a silence timeout. That of the
+// first call must not end it.
 func TestSilenceTimeoutEndsWithItsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
@@ -168,7 +170,7 @@
 	})
 }
 
-// A caller leaves while its call waits within its patience.
+// A caller disconnects before the silence timeout of its call.
 func TestContextEndsWaitBeforeSilenceTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool(4, dialScripted(t.Context(), nil))
@@ -181,11 +183,12 @@
 	})
 }
 
-// pausedConn is a connection of a process that is held up while it waits: deadlines fire
-// when it runs again, and what came meanwhile can be read after them.
+// pausedConn is a connection of a process that is paused during a read: read
+// deadlines expire when it resumes, and bytes that arrived during the pause can be
+// read after that.
 type pausedConn struct {
 	net.Conn
-	until time.Time // held up until then
+	until time.Time // end of the pause
 }
 
 func (c *pausedConn) Read(p []byte) (int, error) {
@@ -195,16 +198,17 @@
 	return c.Conn.Read(p)
 }
 
-// Guards against a daemon that was held up and takes the time for its endpoint's silence.
+// Guards against a daemon that was paused and counts the pause as the endpoint's
+// silence.
 func TestProcessPauseIsNotCountedAsSilence(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		after time.Duration // of the answer
+		after time.Duration // delay of the answer
 		ok    bool
 	}{
-		{"answered meanwhile", 100 * time.Millisecond, true},
-		{"answers after it", 6300 * time.Millisecond, true},
-		{"stays silent", time.Hour, false},
+		{"answer during the pause", 100 * time.Millisecond, true},
+		{"answer after the pause", 6300 * time.Millisecond, true},
+		{"no answer", time.Hour, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
