--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,7 +110,7 @@
 
 // newPeerClient returns the client of other daemons, with mutual TLS where the
 // settings name certificates.
-func newPeerClient(m settings.Mutual) (*peer.Client, error) {
+func newPeerClient(m settings.PeerTLS) (*peer.Client, error) {
 	if m.Certificate == "" {
 		return peer.NewClient(nil), nil
 	}
--- a/internal/deployment/check.go
+++ b/internal/deployment/check.go
@@ -22,7 +22,7 @@
 			m = append(m, settings.Mistake{Path: path, Message: fmt.Sprintf("%q is not host:port", v)})
 			return
 		}
-		if !settings.Loopback(v) {
+		if !settings.IsLoopback(v) {
 			m = append(m, settings.Mistake{Path: path, Message: fmt.Sprintf("%q is not loopback; stand-ins have no authentication", v)})
 		}
 	}
--- a/internal/settings/bind.go
+++ b/internal/settings/bind.go
@@ -11,10 +11,9 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// binder fills a Go value from a YAML tree. Unlike the library's decoder it
-// goes on after a mistake, so that an operator sees all of them at once, names
-// what it wants in the operator's words, and leaves defaults where a key is
-// there without a value.
+// binder sets a Go value from a YAML tree. Unlike the library's decoder, it
+// collects all mistakes instead of stopping at the first, describes the expected
+// values in an operator's terms, and keeps the default of a key without a value.
 type binder struct{ mistakes []Mistake }
 
 var durationType = reflect.TypeFor[time.Duration]()
@@ -49,13 +48,13 @@
 	seen := make(map[string]bool, len(pairs))
 	for _, pair := range pairs {
 		key := keyOf(pair)
-		path := joined(at, key)
+		path := joinPath(at, key)
 		i, known := fields.index[key]
 		switch {
 		case !known:
-			b.atKey(pair, path, "unknown key; known are "+strings.Join(fields.keys, ", "))
+			b.addAtKey(pair, path, "unknown key; known are "+strings.Join(fields.keys, ", "))
 		case seen[key]:
-			b.atKey(pair, path, "stands twice")
+			b.addAtKey(pair, path, "stands twice")
 		default:
 			seen[key] = true
 			b.bind(pair.Value, into.Field(i), path)
@@ -63,9 +62,9 @@
 	}
 }
 
-// atKey notes a mistake whose place is the key rather than its value.
-func (b *binder) atKey(pair *ast.MappingValueNode, path, message string) {
-	at := placeOf(pair.Key)
+// addAtKey adds a mistake at the position of the key rather than of its value.
+func (b *binder) addAtKey(pair *ast.MappingValueNode, path, message string) {
+	at := positionOf(pair.Key)
 	b.mistakes = append(b.mistakes, Mistake{Path: path, Message: message, Line: at.line, Column: at.column})
 }
 
@@ -92,36 +91,36 @@
 	}
 }
 
-// set parses a scalar into a value, and returns what was wanted where it can't;
-// the value then stays as it is.
+// set parses a scalar into a value. If it can't, it leaves the value unchanged and
+// returns a description of what was expected.
 func set(into reflect.Value, text string) (want string) {
 	switch {
 	case into.Type() == durationType:
 		d, err := time.ParseDuration(text)
-		return store(err, func() { into.SetInt(int64(d)) }, "a duration such as 10s or 1m30s")
+		return assignIfValid(err, func() { into.SetInt(int64(d)) }, "a duration such as 10s or 1m30s")
 	case into.Kind() == reflect.String:
 		into.SetString(text)
 		return ""
 	case into.Kind() == reflect.Bool:
-		return store(errUnless(text == "true" || text == "false"), func() { into.SetBool(text == "true") }, "true or false")
+		return assignIfValid(errUnless(text == "true" || text == "false"), func() { into.SetBool(text == "true") }, "true or false")
 	case into.CanInt():
 		v, err := strconv.ParseInt(text, 0, into.Type().Bits())
-		return store(err, func() { into.SetInt(v) }, "a whole number")
+		return assignIfValid(err, func() { into.SetInt(v) }, "a whole number")
 	case into.CanUint():
 		v, err := strconv.ParseUint(text, 0, into.Type().Bits())
-		return store(err, func() { into.SetUint(v) }, "a whole number from 0")
+		return assignIfValid(err, func() { into.SetUint(v) }, "a whole number from 0")
 	case into.CanFloat():
 		v, err := strconv.ParseFloat(text, into.Type().Bits())
 		if math.IsNaN(v) || math.IsInf(v, 0) {
 			err = strconv.ErrRange
 		}
-		return store(err, func() { into.SetFloat(v) }, "a number")
+		return assignIfValid(err, func() { into.SetFloat(v) }, "a number")
 	default:
 		return "of a kind that can be read: " + into.Type().String()
 	}
 }
 
-func store(err error, assign func(), want string) string {
+func assignIfValid(err error, assign func(), want string) string {
 	if err != nil {
 		return want
 	}
@@ -136,7 +135,8 @@
 	return strconv.ErrSyntax
 }
 
-// scalarText returns a scalar as it stands in the text, without quotes.
+// scalarText returns a scalar as written in the file, without quotes,
+// and false for any other node.
 func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case *ast.StringNode:
@@ -150,7 +150,8 @@
 	}
 }
 
-// structFields are a struct's keys in their order, and the fields' indexes.
+// structFields holds the YAML keys of a struct in the order of its fields, and
+// each key's field index.
 type structFields struct {
 	keys  []string
 	index map[string]int
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -15,8 +15,8 @@
 // Policies are the routing policies that a file may name.
 var Policies = []string{"cyclamenbeam", "round-robin", "least-outstanding", "random-of-two", "pure-affinity"}
 
-// check returns every mistake, not the first alone, so that an operator mends
-// a file in one go.
+// check returns all mistakes rather than the first, so that an operator can fix a
+// file in one pass.
 func (s *Settings) check() []Mistake {
 	c := &checker{}
 	c.require("instance", string(s.Instance))
@@ -59,12 +59,13 @@
 	return c.mistakes
 }
 
-// checkTLS refuses plain text off loopback unless the file says so plainly: a
-// bearer token sent in clear over a network is a token given away.
+// checkTLS rejects plain text on addresses other than loopback unless the file
+// explicitly allows it: a bearer token sent in plain text can be read by others on
+// the network.
 func (s *Settings) checkTLS(c *checker) {
-	c.pair("tls.callers", s.TLS.Callers)
-	c.pair("tls.operators", s.TLS.Operators)
-	c.pair("tls.peers", KeyPair{Certificate: s.TLS.Peers.Certificate, Key: s.TLS.Peers.Key})
+	c.keyPair("tls.callers", s.TLS.Callers)
+	c.keyPair("tls.operators", s.TLS.Operators)
+	c.keyPair("tls.peers", KeyPair{Certificate: s.TLS.Peers.Certificate, Key: s.TLS.Peers.Key})
 	if s.TLS.Peers.Certificate != "" {
 		c.require("tls.peers.authority", s.TLS.Peers.Authority)
 		c.require("tls.peers.gossipKey", s.TLS.Peers.GossipKey)
@@ -74,22 +75,22 @@
 	if s.AllowPlainText {
 		return
 	}
-	c.plain("listen.callers", s.Listen.Callers, s.TLS.Callers.Certificate)
-	c.plain("listen.operators", s.Listen.Operators, s.TLS.Operators.Certificate)
-	c.plain("listen.peers", s.Listen.Peers, s.TLS.Peers.Certificate)
+	c.requireTLS("listen.callers", s.Listen.Callers, s.TLS.Callers.Certificate)
+	c.requireTLS("listen.operators", s.Listen.Operators, s.TLS.Operators.Certificate)
+	c.requireTLS("listen.peers", s.Listen.Peers, s.TLS.Peers.Certificate)
 }
 
-// maxOperatorBytes is what the audit trail keeps of a name; every change of
-// an operator with a longer one would be refused.
-const maxOperatorBytes = 64
+// maxOperatorNameBytes is the longest name that the audit trail accepts; every
+// change by an operator with a longer name would be rejected.
+const maxOperatorNameBytes = 64
 
 func (s *Settings) checkOperators(c *checker) {
 	seen := make(map[string]bool)
 	for i, o := range s.Operators {
 		path := fmt.Sprintf("operators[%d]", i)
 		c.require(path+".name", o.Name)
-		if len(o.Name) > maxOperatorBytes {
-			c.add(path+".name", "has more than %d bytes", maxOperatorBytes)
+		if len(o.Name) > maxOperatorNameBytes {
+			c.add(path+".name", "has more than %d bytes", maxOperatorNameBytes)
 		}
 		sum, err := hex.DecodeString(o.TokenSHA256)
 		if err != nil || len(sum) != sha256.Size {
@@ -164,15 +165,15 @@
 	return err == nil && n > 0
 }
 
-// advertised refuses addresses that nobody can connect to. A listener may be
-// on all addresses, 0.0.0.0 or none at all; told to others, that is their own
-// machine, and they would find no one there.
+// advertised rejects addresses that others can't connect to. A listener may
+// listen on all addresses, with the host 0.0.0.0 or an empty one; another machine
+// that connects to such an address connects to itself.
 func (c *checker) advertised(key, v, listener string) {
 	host, _, _ := net.SplitHostPort(v)
 	ip := net.ParseIP(host)
 	switch {
 	case v == listener && !isAddress(v):
-		return // the listener's mistake
+		return // reported for the listener
 	case !isAddress(v):
 		c.address("advertise."+key, v)
 	case host != "" && (ip == nil || !ip.IsUnspecified()):
@@ -213,21 +214,22 @@
 	}
 }
 
-func (c *checker) pair(path string, p KeyPair) {
+func (c *checker) keyPair(path string, p KeyPair) {
 	if (p.Certificate == "") != (p.Key == "") {
 		c.add(path, "certificate and key go together")
 	}
 }
 
-func (c *checker) plain(path, address, certificate string) {
-	if certificate != "" || !isAddress(address) || Loopback(address) {
+func (c *checker) requireTLS(path, address, certificate string) {
+	if certificate != "" || !isAddress(address) || IsLoopback(address) {
 		return
 	}
 	c.add(path, "%q has no TLS and is not loopback; set tls, or allowPlainText: true", address)
 }
 
-// Loopback reports whether an address, host:port, is reachable on this machine alone.
-func Loopback(address string) bool {
+// IsLoopback reports whether an address, host:port, is reachable only from this
+// machine.
+func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -10,8 +10,8 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// document returns the root of the only document in a text, nil where it is
-// empty.
+// document returns the root of the only YAML document in a file, nil if the file
+// is empty.
 func document(data []byte) (ast.Node, *Mistake) {
 	file, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
@@ -29,7 +29,7 @@
 	case 1:
 		return roots[0], nil
 	default:
-		at := placeOf(roots[1])
+		at := positionOf(roots[1])
 		return nil, &Mistake{Message: "a second document begins here; one is read", Line: at.line, Column: at.column}
 	}
 }
@@ -46,12 +46,12 @@
 	return m
 }
 
-// place is where something stands in a text, from 1.
-type place struct{ line, column int }
+// position is a place in a file, counted from 1.
+type position struct{ line, column int }
 
-// placeOf returns where a node begins. A mapping's own token is the colon
-// after its first key.
-func placeOf(node ast.Node) place {
+// positionOf returns where a node begins. For a mapping that is its first key: its
+// own token is the colon after that.
+func positionOf(node ast.Node) position {
 	token := node.GetToken()
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -62,55 +62,56 @@
 		token = n.Key.GetToken()
 	}
 	if token == nil || token.Position == nil {
-		return place{}
+		return position{}
 	}
-	return place{token.Position.Line, token.Position.Column}
+	return position{token.Position.Line, token.Position.Column}
 }
 
-// places says where each path of a file stands: scalars by their values, what
-// holds others by its key.
-type places map[string]place
+// positions maps each path of a file to its position: that of the value for a
+// scalar or an item of a list, that of the key for any other value.
+type positions map[string]position
 
-// nearest returns the place of a path, of what encloses it, or of the file's begin.
-func (p places) nearest(path string) place {
+// nearest returns the position of a path, or else of the closest path that
+// encloses it, or else the start of the file.
+func (p positions) nearest(path string) position {
 	for path != "" {
 		if at, ok := p[path]; ok {
 			return at
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
-	return place{1, 1}
+	return position{1, 1}
 }
 
-// placesOf returns the places of all paths of a document.
-func placesOf(root ast.Node) places {
-	p := places{}
+// positionsOf returns the positions of all paths of a document.
+func positionsOf(root ast.Node) positions {
+	p := positions{}
 	p.add(root, "")
 	return p
 }
 
-// add notes every path under a node; at is the node's own.
-func (p places) add(node ast.Node, at string) {
+// add adds the position of every path below a node; at is the node's own path.
+func (p positions) add(node ast.Node, at string) {
 	switch n := node.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
 		for _, pair := range pairsOf(n) {
-			path := joined(at, keyOf(pair))
-			p[path] = placeOf(pair.Key)
+			path := joinPath(at, keyOf(pair))
+			p[path] = positionOf(pair.Key)
 			p.add(pair.Value, path)
 		}
 	case *ast.SequenceNode:
 		for i, value := range n.Values {
 			path := fmt.Sprintf("%s[%d]", at, i)
-			p[path] = placeOf(value)
+			p[path] = positionOf(value)
 			p.add(value, path)
 		}
 	case nil, *ast.NullNode:
 	default:
-		p[at] = placeOf(n)
+		p[at] = positionOf(n)
 	}
 }
 
-// pairsOf returns a mapping's pairs; nil for what is no mapping.
+// pairsOf returns a mapping's pairs, nil for any other node.
 func pairsOf(node ast.Node) []*ast.MappingValueNode {
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -124,8 +125,8 @@
 
 func keyOf(pair *ast.MappingValueNode) string { return pair.Key.GetToken().Value }
 
-// joined returns the path of a key under another path.
-func joined(at, key string) string {
+// joinPath appends a key to a path.
+func joinPath(at, key string) string {
 	if at == "" {
 		return key
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,8 +8,8 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of mistakes in settings; its cause is a *Mistakes, which
-// names the line and column of each.
+// Error is the class of errors made by this package. Mistakes in settings have a
+// *Mistakes as their cause.
 var Error = errs.Class("settings")
 
 // Read reads and checks the file at path.
@@ -22,7 +22,7 @@
 	return s, InFile(path, err)
 }
 
-// InFile names the file in an error of this package.
+// InFile sets the file's name in an error that wraps a *Mistakes.
 func InFile(path string, err error) error {
 	var m *Mistakes
 	if errors.As(err, &m) {
@@ -36,43 +36,43 @@
 func Parse(data []byte) (Settings, error) {
 	s := Defaults()
 	err := DecodeChecked(data, &s, func() []Mistake {
-		s.complete()
+		s.setDerivedDefaults()
 		return s.check()
 	})
 	return s, err
 }
 
 // Decode decodes strict YAML into v, a pointer to a struct with yaml tags: an
-// unknown key or a wrong type is an error with its line and column. What the
-// document says nothing of is left as it is.
+// unknown key or a wrong type is an error with its line and column. Fields that
+// the document doesn't set are left unchanged.
 func Decode(data []byte, v any) error {
 	return DecodeChecked(data, v, func() []Mistake { return nil })
 }
 
-// DecodeChecked decodes like Decode, then asks check for the mistakes of what
-// was decoded, and returns all mistakes at once.
+// DecodeChecked decodes like Decode, then calls check for mistakes in the decoded
+// values, and returns the mistakes of both as one error.
 func DecodeChecked(data []byte, v any, check func() []Mistake) error {
-	root, fault := document(data)
-	if fault != nil {
-		return located([]Mistake{*fault}, nil)
+	root, mistake := document(data)
+	if mistake != nil {
+		return withPositions([]Mistake{*mistake}, nil)
 	}
 	b := &binder{}
 	b.bind(root, reflect.ValueOf(v).Elem(), "")
-	return located(append(b.mistakes, unrelated(check(), b.mistakes)...), placesOf(root))
+	return withPositions(append(b.mistakes, excludeRelated(check(), b.mistakes)...), positionsOf(root))
 }
 
-// Locate turns mistakes in a file that could be decoded into one error, with
-// line and column. A key that is missing has the place of what encloses it.
+// Locate returns mistakes in a file as one error, with lines and columns. A
+// missing key has the position of the mapping that should contain it.
 func Locate(data []byte, mistakes []Mistake) error {
-	root, fault := document(data)
-	if fault != nil {
-		return located([]Mistake{*fault}, nil)
+	root, mistake := document(data)
+	if mistake != nil {
+		return withPositions([]Mistake{*mistake}, nil)
 	}
-	return located(mistakes, placesOf(root))
+	return withPositions(mistakes, positionsOf(root))
 }
 
-// complete fills what defaults to another setting's value.
-func (s *Settings) complete() {
+// setDerivedDefaults sets the settings whose default is another setting's value.
+func (s *Settings) setDerivedDefaults() {
 	if s.Advertise.Callers == "" {
 		s.Advertise.Callers = s.Listen.Callers
 	}
--- a/internal/settings/mistake.go
+++ b/internal/settings/mistake.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Mistake is one fault of a file. Line and Column count from 1 and are 0 until
-// the mistake is located.
+// Mistake is one mistake in a file. Line and Column count from 1, and are 0 until
+// the position is known.
 type Mistake struct {
 	Path    string // such as listen.callers or operators[0].name; "" is the whole file
 	Message string
@@ -29,14 +29,15 @@
 	return b.String()
 }
 
-// Mistakes is every fault of a file, in the order of the text. It is the cause
-// of the errors that Parse, Read, Decode and Locate return.
+// Mistakes holds all mistakes in a file, in the order of their positions. It is
+// the cause of the errors that Parse, Read, Decode and Locate return for them.
 type Mistakes struct {
-	File string // name of the file, where it is known
+	File string // name of the file; "" if unknown
 	List []Mistake
 }
 
-// Error puts each fault on a line of its own, as file:line:column: path: message.
+// Error returns one mistake a line, as file:line:column: path: message, below a
+// line with their number if there are several.
 func (m *Mistakes) Error() string {
 	lines := m.Lines()
 	if len(lines) == 1 {
@@ -45,7 +46,7 @@
 	return fmt.Sprintf("%d mistakes\n%s", len(lines), strings.Join(lines, "\n"))
 }
 
-// Lines returns the faults as text, one each.
+// Lines returns each mistake as file:line:column: path: message.
 func (m *Mistakes) Lines() []string {
 	file := ""
 	if m.File != "" {
@@ -58,9 +59,10 @@
 	return lines
 }
 
-// located returns the faults as an error, nil for none. Those without a place
-// get that of their path, or of what encloses a key that is missing.
-func located(list []Mistake, at places) error {
+// withPositions returns the mistakes as an error, nil if there are none. Those
+// without a position get that of their path, or of the closest enclosing path if a
+// key is missing.
+func withPositions(list []Mistake, at positions) error {
 	if len(list) == 0 {
 		return nil
 	}
@@ -78,9 +80,9 @@
 	return Error.Wrap(&Mistakes{List: list})
 }
 
-// unrelated returns the faults of list at whose paths none of found stands: a
-// value that can't be read is not missing as well.
-func unrelated(list, found []Mistake) []Mistake {
+// excludeRelated returns the mistakes of list that aren't at or below the path of
+// one of found: a value that can't be decoded isn't reported as missing as well.
+func excludeRelated(list, found []Mistake) []Mistake {
 	return slices.DeleteFunc(list, func(m Mistake) bool {
 		path := strings.TrimPrefix(m.Path, "$.")
 		return slices.ContainsFunc(found, func(f Mistake) bool {
--- a/internal/settings/mistakes_test.go
+++ b/internal/settings/mistakes_test.go
@@ -8,25 +8,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// linesOf returns the mistakes in an error, a line each.
-func linesOf(t *testing.T, err error) []string {
+// mistakeLines returns the lines of the *Mistakes in an error.
+func mistakeLines(t *testing.T, err error) []string {
 	t.Helper()
 	var m *Mistakes
 	assert.Assert(t, errors.As(err, &m), "%v", err)
 	return m.Lines()
 }
 
-// An operator's file has several mistakes of different kinds. Were only the
-// first told, each would cost another try on another instance.
-func TestAllMistakesComeAtOnceInTheOrderOfTheText(t *testing.T) {
-	_, err := Parse([]byte(strings.Replace(good, "region: cane", "regoin: cane", 1) + `limits: {maxTokens: many, retain: 0s}
+// Guards against a check that reports only the first mistake of a file: an operator
+// would find the others one by one, with a restart of an instance for each.
+func TestAllMistakesAreReportedInFileOrder(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(minimalYAML, "region: cane", "regoin: cane", 1) + `limits: {maxTokens: many, retain: 0s}
 seeds: 127.0.0.1:4
 operators:
 - {name: ana, tokenSHA256: zz, role: admin}
 allowPlainText: yes
 instance: entry-2
 `))
-	lines := linesOf(t, err)
+	lines := mistakeLines(t, err)
 	for i, want := range []string{
 		"1:1: region: is required",
 		"3:1: regoin: unknown key; known are instance, dataCentre, region, ",
@@ -43,22 +43,22 @@
 	assert.Equal(t, len(lines), 9, "%s", err)
 }
 
-func TestMistakesInValues(t *testing.T) {
+func TestInvalidValues(t *testing.T) {
 	for _, c := range []struct{ name, add, want string }{
 		{"number for a duration", "entries: {maxAge: 10}\n", `6:19: entries.maxAge: "10" is not a duration such as 10s`},
 		{"age below a second", "entries: {maxAge: 500ms}\n", "6:19: entries.maxAge: is 500ms; the least is 1s"},
-		{"no number", "control: {fleetReads: .nan}\n", `6:23: control.fleetReads: ".nan" is not a number`},
+		{"not a number", "control: {fleetReads: .nan}\n", `6:23: control.fleetReads: ".nan" is not a number`},
 		{"mapping for a value", "log: {level: {a: b}}\n", "6:7: log.level: must be a single value"},
 		{"value for a mapping", "log: debug\n", "6:6: log: must be a mapping"},
 		{"port out of range", "seeds: [\"127.0.0.1:70000\"]\n", `6:9: seeds[0]: "127.0.0.1:70000" is not host:port`},
-		{"nobody's address", "advertise: {callers: \"0.0.0.0:1\"}\n", "6:22: advertise.callers: \"0.0.0.0:1\" is no address to connect to"},
+		{"unspecified address", "advertise: {callers: \"0.0.0.0:1\"}\n", "6:22: advertise.callers: \"0.0.0.0:1\" is no address to connect to"},
 		{"authority alone", "tls: {peers: {authority: a.pem}}\n", "6:26: tls.peers.authority: has no use without"},
 		{"second document", "---\ninstance: entry-2\n", "7:1: a second document begins here"},
 		{"tab", "log:\n\tlevel: debug\n", "7:1: found character '\t' that cannot start any token"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(good + c.add))
-			lines := linesOf(t, err)
+			_, err := Parse([]byte(minimalYAML + c.add))
+			lines := mistakeLines(t, err)
 			assert.Assert(t, strings.HasPrefix(lines[0], c.want), "%s", err)
 			assert.Equal(t, len(lines), 1, "%s", err)
 		})
@@ -67,26 +67,26 @@
 
 func TestTwoOperatorsMustNotShareAToken(t *testing.T) {
 	hash := strings.Repeat("ab", 32)
-	_, err := Parse([]byte(good + "operators:\n- {name: ana, tokenSHA256: " + hash + "}\n- {name: eva, tokenSHA256: " + strings.ToUpper(hash) + "}\n"))
-	assert.DeepEqual(t, linesOf(t, err), []string{"8:28: operators[1].tokenSHA256: stands twice; a token belongs to one operator"})
+	_, err := Parse([]byte(minimalYAML + "operators:\n- {name: ana, tokenSHA256: " + hash + "}\n- {name: eva, tokenSHA256: " + strings.ToUpper(hash) + "}\n"))
+	assert.DeepEqual(t, mistakeLines(t, err), []string{"8:28: operators[1].tokenSHA256: stands twice; a token belongs to one operator"})
 }
 
-// A key stands without a value, or the file holds comments alone. The defaults
-// must stay: a limit of zero bytes would refuse every request.
+// A key without a value, or a file with only comments, must keep the defaults: a
+// limit of zero bytes would reject every request.
 func TestEmptyValuesLeaveDefaults(t *testing.T) {
-	s, err := Parse([]byte(good + "limits:\nentries: {}\nrouting: {policy: }\n"))
+	s, err := Parse([]byte(minimalYAML + "limits:\nentries: {}\nrouting: {policy: }\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Limits, Defaults().Limits)
 	assert.Equal(t, s.Routing, Defaults().Routing)
 	_, err = Parse([]byte("# nothing yet\n"))
-	for _, line := range linesOf(t, err) {
+	for _, line := range mistakeLines(t, err) {
 		assert.Assert(t, strings.Contains(line, "required") || strings.Contains(line, "URL"), line)
 	}
 }
 
-func TestFileStandsBeforeEachPlace(t *testing.T) {
-	_, err := Parse([]byte(good + "log: {level: loud, format: xml}\n"))
-	assert.DeepEqual(t, linesOf(t, InFile("entry.yaml", err)), []string{
+func TestMistakesStartWithFileName(t *testing.T) {
+	_, err := Parse([]byte(minimalYAML + "log: {level: loud, format: xml}\n"))
+	assert.DeepEqual(t, mistakeLines(t, InFile("entry.yaml", err)), []string{
 		`entry.yaml:6:14: log.level: "loud" is none of debug, info, warn, error`,
 		`entry.yaml:6:28: log.format: "xml" is none of text, json`,
 	})
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// referencePage is the operators' page, relative to this package.
+// referencePage is the settings reference for operators, relative to this package.
 const referencePage = "../../docs/SETTINGS.md"
 
-// referenceRow is a key's row in the page.
+// referenceRow is the row of one key in the reference page.
 type referenceRow struct{ kind, byDefault, meaning string }
 
 var rowPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\| ([^|]*) \\| ([^|]*)\\| (.*) \\|$")
@@ -33,7 +33,7 @@
 	return rows
 }
 
-// kinds are the page's words for the types of values.
+// kindOf returns the reference page's name for a type of value.
 func kindOf(t *testing.T, v reflect.Value) string {
 	t.Helper()
 	switch {
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// defaultMatches compares a cell with a default. Texts without one, lists and
-// what stands in lists say so in words.
+// defaultMatches reports whether a cell states the default v. Lists' items and
+// texts without a default are described in words.
 func defaultMatches(v reflect.Value, inList bool, cell string) bool {
 	words := cell == "required" || cell == "none" || strings.HasPrefix(cell, "that of `")
 	if inList || v.Kind() == reflect.String && v.String() == "" {
@@ -66,8 +66,8 @@
 	return fmt.Sprint(v.Interface()) == cell
 }
 
-// The page is what operators write their files from. A key that it lacks, or a
-// default that it has wrong, would be found on an instance, at the worst time.
+// Guards against a reference page that lacks a key or states a wrong default:
+// operators write their files by it, and would notice only on a running instance.
 func TestReferencePageMatchesTheTypes(t *testing.T) {
 	rows := readReference(t)
 	check := func(path string, v reflect.Value, inList bool) {
@@ -93,14 +93,14 @@
 	}
 }
 
-// walk visits every value of a struct by its yaml tags; a list stands for its
-// items, with a zero one.
+// walk calls visit for every scalar below v, with its path of yaml tags. For a
+// list it visits a zero item.
 func walk(v reflect.Value, path string, inList bool, visit func(string, reflect.Value, bool)) {
 	switch v.Kind() {
 	case reflect.Struct:
 		fields := fieldsOf(v.Type())
 		for _, key := range fields.keys {
-			walk(v.Field(fields.index[key]), joined(path, key), inList, visit)
+			walk(v.Field(fields.index[key]), joinPath(path, key), inList, visit)
 		}
 	case reflect.Slice:
 		walk(reflect.Zero(v.Type().Elem()), path+"[]", true, visit)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's YAML settings: strictly, with defaults,
-// and with the line and column of each mistake. Closing templates are not
-// settings; they live in the object API.
+// Package settings decodes and checks a process's YAML settings. Decoding is
+// strict and fills in defaults, and each mistake is reported with its line and
+// column. Closing templates are not settings; they are stored in the object API.
 package settings
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Settings is what a daemon learns from its file.
+// Settings are a daemon's settings.
 type Settings struct {
 	Instance   fleet.InstanceID `yaml:"instance"`
 	DataCentre fleet.DataCentre `yaml:"dataCentre"`
@@ -35,10 +35,11 @@
 type Listen struct {
 	Callers   string `yaml:"callers"`
 	Operators string `yaml:"operators"`
-	Peers     string `yaml:"peers"` // TCP for drpc and UDP for membership
+	Peers     string `yaml:"peers"` // TCP for RPCs and UDP for membership
 }
 
-// Advertise holds the addresses that others are told; each defaults to its listener's.
+// Advertise holds the addresses that others connect to; each defaults to its
+// listener's.
 type Advertise struct {
 	Callers string `yaml:"callers"`
 	Peers   string `yaml:"peers"`
@@ -52,11 +53,12 @@
 	Weights   string `yaml:"weights"`
 }
 
-// TLS names the certificate files of each listener. Files are read again when they change.
+// TLS names the certificate files of each listener. Files are reloaded when they
+// change.
 type TLS struct {
 	Callers   KeyPair `yaml:"callers"`
 	Operators KeyPair `yaml:"operators"`
-	Peers     Mutual  `yaml:"peers"`
+	Peers     PeerTLS `yaml:"peers"`
 }
 
 // KeyPair names a PEM certificate chain and its key.
@@ -65,14 +67,14 @@
 	Key         string `yaml:"key"`
 }
 
-// Mutual names the key pair and the authority that both ends of a connection
-// between daemons must have, and the file with the membership key.
-type Mutual struct {
+// PeerTLS names the files for mutual TLS between daemons, the key pair and the
+// authority that signed it, and the file with the keys of membership messages.
+type PeerTLS struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
 	Authority   string `yaml:"authority"`
-	// GossipKey names a file with one or two hex keys of 32 bytes, a line each;
-	// the first seals, all open.
+	// GossipKey names a file with one or two hex keys of 32 bytes, one a line.
+	// Messages are encrypted with the first, and decrypted with any of them.
 	GossipKey string `yaml:"gossipKey"`
 }
 
@@ -82,7 +84,7 @@
 	TokenSHA256 string `yaml:"tokenSHA256"` // hex of the bearer token's hash
 }
 
-// Limits bounds what strangers can make the process hold.
+// Limits bounds the resources that callers can make the process use.
 type Limits struct {
 	MaxBodyBytes   int64         `yaml:"maxBodyBytes"`
 	MaxHeaderBytes int           `yaml:"maxHeaderBytes"`
@@ -90,53 +92,54 @@
 	MaxMessages    int           `yaml:"maxMessages"`
 	MaxTokens      int           `yaml:"maxTokens"`
 	MaxRequests    int           `yaml:"maxRequests"`    // accepted and running at once
-	ReadTimeout    time.Duration `yaml:"readTimeout"`    // for a whole request to arrive
-	RequestTimeout time.Duration `yaml:"requestTimeout"` // from acceptance to the whole answer
-	WriteTimeout   time.Duration `yaml:"writeTimeout"`   // for a caller to take one piece
-	Retain         time.Duration `yaml:"retain"`         // finished answers
-	RetainBytes    int64         `yaml:"retainBytes"`    // finished answers, all together
+	ReadTimeout    time.Duration `yaml:"readTimeout"`    // for receiving a whole request
+	RequestTimeout time.Duration `yaml:"requestTimeout"` // from acceptance to the end of the answer
+	WriteTimeout   time.Duration `yaml:"writeTimeout"`   // for one write to a caller
+	Retain         time.Duration `yaml:"retain"`         // how long finished answers are kept
+	RetainBytes    int64         `yaml:"retainBytes"`    // total size of the finished answers kept
 }
 
-// Entries rules the answer to GET /v1/entries.
+// Entries configures the answer to GET /v1/entries.
 type Entries struct {
 	MaxAge time.Duration `yaml:"maxAge"`
-	Subset int           `yaml:"subset"` // entries given to a workspace at least
+	Subset int           `yaml:"subset"` // least number of entries returned to a workspace
 }
 
-// Routing chooses the policy.
+// Routing configures the choice of engines and the polling of their load.
 type Routing struct {
 	Policy string `yaml:"policy"`
-	// FirstToken and BetweenTokens bound the silence of an engine before a
-	// stream is taken up on another connection.
+	// FirstToken and BetweenTokens bound the time without output from an engine,
+	// before and after the first token, until a stream is resumed on another
+	// connection.
 	FirstToken    time.Duration `yaml:"firstToken"`
 	BetweenTokens time.Duration `yaml:"betweenTokens"`
 	LoadInterval  time.Duration `yaml:"loadInterval"` // between polls of an engine
 }
 
-// Control bounds the control duties.
+// Control sets the rates of control work: reads of the platform, probes, writes.
 type Control struct {
 	ListInterval  time.Duration `yaml:"listInterval"`  // between reads of the instance list
-	ProbeInterval time.Duration `yaml:"probeInterval"` // of membership
-	FleetReads    float64       `yaml:"fleetReads"`    // platform reads a second, all daemons together
-	FleetWrites   float64       `yaml:"fleetWrites"`   // platform writes a second, all daemons together
-	// StartSpread is the time over which daemons that start together read the
-	// object API for the first time.
+	ProbeInterval time.Duration `yaml:"probeInterval"` // between probes of membership
+	FleetReads    float64       `yaml:"fleetReads"`    // platform reads a second, total of all daemons
+	FleetWrites   float64       `yaml:"fleetWrites"`   // platform writes a second, total of all daemons
+	// StartSpread is the time over which the first reads of the object API are
+	// spread when daemons start together.
 	StartSpread time.Duration `yaml:"startSpread"`
 }
 
-// Placement rules which models engines hold.
+// Placement configures the placement of models on engines.
 type Placement struct {
-	Enabled         bool `yaml:"enabled"`         // this daemon may hold the lease and give orders
-	ModelsPerEngine int  `yaml:"modelsPerEngine"` // that an engine holds at once
+	Enabled         bool `yaml:"enabled"`         // this daemon may hold the lease and order models to load
+	ModelsPerEngine int  `yaml:"modelsPerEngine"` // most models loaded on an engine
 }
 
-// Capacity rules the buying of engine instances.
+// Capacity configures the purchase of engine instances.
 type Capacity struct {
 	Enabled   bool          `yaml:"enabled"`   // this daemon may hold the lease and buy
-	Classes   []Class       `yaml:"classes"`   // that may be bought
-	StartTime time.Duration `yaml:"startTime"` // from a purchase until the engine serves, weights loaded
-	Patience  time.Duration `yaml:"patience"`  // too little is owned or starting for so long before on-demand is bought
-	KeepFor   time.Duration `yaml:"keepFor"`   // a surplus lasts before it is given back
+	Classes   []Class       `yaml:"classes"`   // classes that may be bought
+	StartTime time.Duration `yaml:"startTime"` // from a purchase until the engine serves with its weights loaded
+	Patience  time.Duration `yaml:"patience"`  // how long capacity, with starting instances, must be short before on-demand is bought
+	KeepFor   time.Duration `yaml:"keepFor"`   // how long a surplus must last before it is given back
 }
 
 // Class is a machine class that engines run on.
@@ -145,13 +148,13 @@
 	TokensPerSecond float64 `yaml:"tokensPerSecond"` // generated within the latency target
 }
 
-// Log chooses the form of the log on stderr.
+// Log configures the log on stderr.
 type Log struct {
 	Format string `yaml:"format"` // text or json
 	Level  string `yaml:"level"`  // debug, info, warn, error
 }
 
-// Defaults returns the settings that a file starts from.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Limits: Limits{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = `instance: entry-1
+const minimalYAML = `instance: entry-1
 dataCentre: cane-1
 region: cane
 listen: {callers: "127.0.0.1:1", operators: "127.0.0.1:2", peers: "127.0.0.1:3"}
@@ -14,13 +14,13 @@
 `
 
 func TestParseFillsDefaults(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(minimalYAML))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Advertise.Peers, "127.0.0.1:3")
 	assert.Equal(t, s.Limits, Defaults().Limits)
 }
 
-func TestMistakesNameTheirPlace(t *testing.T) {
+func TestMistakesNamePosition(t *testing.T) {
 	for _, c := range []struct{ name, add, want string }{
 		{"unknown key", "speed: 9\n", "6:1: speed: unknown key; known are instance, "},
 		{"wrong type", "limits: {maxTokens: many}\n", "6:21: limits.maxTokens: \"many\" is not a whole number"},
@@ -29,14 +29,14 @@
 		{"half a key pair", "tls: {callers: {certificate: a.pem}}\n", "6:7: tls.callers: certificate and key go together"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(good + c.add))
+			_, err := Parse([]byte(minimalYAML + c.add))
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
 }
 
 func TestPlainTextOffLoopbackIsRefused(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(minimalYAML))
 	assert.NilError(t, err)
 	s.Listen.Callers = "10.0.0.1:80"
 	assert.Equal(t, len(s.check()), 1)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -21,9 +21,9 @@
 	// HeadTimeout bounds the wait for the answer's head; 0 leaves it to the
 	// context.
 	HeadTimeout time.Duration
-	// SilenceTimeout bounds the time in which no bytes arrive from the endpoint, on
-	// any connection of the pool established before the call was sent; 0 leaves it
-	// to the context.
+	// SilenceTimeout bounds the time in which no bytes arrive from the endpoint on
+	// any connection that the pool established before sending the call; 0 leaves
+	// it to the context.
 	SilenceTimeout time.Duration
 }
 
