--- a/internal/upstream/received_test.go
+++ b/internal/upstream/received_test.go
@@ -17,6 +17,6 @@
 	go func() { _, _ = far.Write([]byte("x")) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	heard := c.lastReceived()
-	assert.Assert(t, heard.String() != heard.Round(0).String(), "%v has no monotonic reading", heard)
+	received := c.lastReceived()
+	assert.Assert(t, received.String() != received.Round(0).String(), "%v has no monotonic reading", received)
 }
--- a/internal/upstream/wait.go
+++ b/internal/upstream/wait.go
@@ -65,12 +65,12 @@
 
 // waitEnd returns when the wait ends if no more bytes arrive, zero if it isn't
 // bounded. received is when the endpoint last sent bytes.
-func (c *conn) waitEnd(heard time.Time) time.Time {
+func (c *conn) waitEnd(received time.Time) time.Time {
 	out := c.wait.headDeadline
 	if c.wait.silenceTimeout <= 0 {
 		return out
 	}
-	if silent := c.silenceStart(heard).Add(c.wait.silenceTimeout); out.IsZero() || silent.Before(out) {
+	if silent := c.silenceStart(received).Add(c.wait.silenceTimeout); out.IsZero() || silent.Before(out) {
 		out = silent
 	}
 	return out
@@ -78,11 +78,11 @@
 
 // silenceStart returns the start of the endpoint's silence: when it last sent
 // bytes, and not before wait.silenceFrom.
-func (c *conn) silenceStart(heard time.Time) time.Time {
-	if heard.Before(c.wait.silenceFrom) {
+func (c *conn) silenceStart(received time.Time) time.Time {
+	if received.Before(c.wait.silenceFrom) {
 		return c.wait.silenceFrom
 	}
-	return heard
+	return received
 }
 
 // lastReceived returns when bytes were last received on this connection.
@@ -90,40 +90,40 @@
 
 // setDeadline sets the connection's read deadline to the end of the wait, or to the
 // next check for a pause where that is earlier.
-func (c *conn) setDeadline(now, heard time.Time) {
-	until := c.waitEnd(heard)
+func (c *conn) setDeadline(now, received time.Time) {
+	until := c.waitEnd(received)
 	if until.IsZero() && !c.wait.deadlineSet {
 		return
 	}
 	c.wait.deadlineSet = !until.IsZero()
-	if look := now.Add(pauseCheckInterval); until.After(look) {
-		until = look
+	if check := now.Add(pauseCheckInterval); until.After(check) {
+		until = check
 	}
 	_ = c.nc.SetReadDeadline(until)
 }
 
 // discountPause extends the wait by the time in which this process was paused
 // since the last check.
-func (c *conn) discountPause(now, heard time.Time) {
-	held := now.Sub(c.wait.checkedAt) - pauseCheckInterval
+func (c *conn) discountPause(now, received time.Time) {
+	pause := now.Sub(c.wait.checkedAt) - pauseCheckInterval
 	c.wait.checkedAt = now
-	if held < minPause {
+	if pause < minPause {
 		return
 	}
-	c.wait.silenceFrom = c.silenceStart(heard).Add(held)
+	c.wait.silenceFrom = c.silenceStart(received).Add(pause)
 	if !c.wait.headDeadline.IsZero() {
-		c.wait.headDeadline = c.wait.headDeadline.Add(held)
+		c.wait.headDeadline = c.wait.headDeadline.Add(pause)
 	}
 }
 
 // Read reads from the connection within the call's bounds. It returns ErrSilent
 // when the endpoint was silent for too long.
 func (c *conn) Read(p []byte) (int, error) {
-	heard := c.lastReceived()
+	received := c.lastReceived()
 	for {
 		now := time.Now()
-		c.discountPause(now, heard)
-		c.setDeadline(now, heard)
+		c.discountPause(now, received)
+		c.setDeadline(now, received)
 		if c.wait.cancelled.Load() {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -135,12 +135,12 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) || c.wait.cancelled.Load() {
 			return n, err
 		}
-		c.discountPause(now, heard)
+		c.discountPause(now, received)
 		if limit := c.wait.headDeadline; !limit.IsZero() && !now.Before(limit) {
 			return n, err
 		}
-		heard = c.pool.lastReceived(c.host, c.wait.began)
-		if !now.Before(c.waitEnd(heard)) {
+		received = c.pool.lastReceived(c.host, c.wait.began)
+		if !now.Before(c.waitEnd(received)) {
 			c.pool.count(func(s *Stats) { s.Silent++ })
 			return n, ErrSilent
 		}
--- a/internal/upstream/wait_test.go
+++ b/internal/upstream/wait_test.go
@@ -63,9 +63,9 @@
 
 func chunk(text string) string { return string("0123456789abcdef"[len(text)]) + "\r\n" + text + "\r\n" }
 
-func newCallWithTimeout(id string, patience time.Duration) *Call {
+func newCallWithTimeout(id string, timeout time.Duration) *Call {
 	c := newCall("endpoint", id)
-	c.SilenceTimeout = patience
+	c.SilenceTimeout = timeout
 	return c
 }
 
