--- a/internal/settings/bind.go
+++ b/internal/settings/bind.go
@@ -135,8 +135,8 @@
 	return strconv.ErrSyntax
 }
 
-// scalarText returns a scalar as written in the file, without quotes,
-// and false for any other node.
+// scalarText returns a scalar as written in the file, without quotes, and false for
+// any other node.
 func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case *ast.StringNode:
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -27,7 +27,7 @@
 	rows := make(map[string]referenceRow)
 	for _, cells := range rowPattern.FindAllStringSubmatch(string(page), -1) {
 		_, twice := rows[cells[1]]
-		assert.Assert(t, !twice, "%s stands twice in the page", cells[1])
+		assert.Assert(t, !twice, "%s is listed twice in the page", cells[1])
 		rows[cells[1]] = referenceRow{kind: cells[2], byDefault: cells[3], meaning: cells[5]}
 	}
 	return rows
@@ -89,7 +89,7 @@
 	}
 	walk(reflect.ValueOf(Defaults()), "", false, check)
 	for path := range rows {
-		t.Errorf("%s stands in %s and is no key", path, referencePage)
+		t.Errorf("%s is listed in %s but is not a key", path, referencePage)
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,7 +101,7 @@
 
 // Entries configures the answer to GET /v1/entries.
 type Entries struct {
-	MaxAge time.Duration `yaml:"maxAge"`
+	MaxAge time.Duration `yaml:"maxAge"` // how long callers may cache the answer
 	Subset int           `yaml:"subset"` // least number of entries returned to a workspace
 }
 
@@ -116,7 +116,8 @@
 	LoadInterval  time.Duration `yaml:"loadInterval"` // between polls of an engine
 }
 
-// Control sets the rates of control work: reads of the platform, probes, writes.
+// Control sets the rates at which the daemon reads and writes the platform and
+// probes other daemons.
 type Control struct {
 	ListInterval  time.Duration `yaml:"listInterval"`  // between reads of the instance list
 	ProbeInterval time.Duration `yaml:"probeInterval"` // between probes of membership
@@ -138,7 +139,7 @@
 	Enabled   bool          `yaml:"enabled"`   // this daemon may hold the lease and buy
 	Classes   []Class       `yaml:"classes"`   // classes that may be bought
 	StartTime time.Duration `yaml:"startTime"` // from a purchase until the engine serves with its weights loaded
-	Patience  time.Duration `yaml:"patience"`  // how long capacity, with starting instances, must be short before on-demand is bought
+	Patience  time.Duration `yaml:"patience"`  // how long owned and starting capacity must be too small before on-demand is bought
 	KeepFor   time.Duration `yaml:"keepFor"`   // how long a surplus must last before it is given back
 }
 
@@ -148,7 +149,7 @@
 	TokensPerSecond float64 `yaml:"tokensPerSecond"` // generated within the latency target
 }
 
-// Log configures the log on stderr.
+// Log configures the log, which is written to stderr.
 type Log struct {
 	Format string `yaml:"format"` // text or json
 	Level  string `yaml:"level"`  // debug, info, warn, error
