--- a/internal/settings/mistake.go
+++ b/internal/settings/mistake.go
@@ -53,8 +53,8 @@
 		file = m.File + ":"
 	}
 	lines := make([]string, 0, len(m.List))
-	for _, one := range m.List {
-		lines = append(lines, file+one.String())
+	for _, mistake := range m.List {
+		lines = append(lines, file+mistake.String())
 	}
 	return lines
 }
--- a/internal/upstream/received_test.go
+++ b/internal/upstream/received_test.go
@@ -10,11 +10,11 @@
 // Guards against wall clock times, with which a step of the clock makes a live
 // connection appear silent, or a silent one live.
 func TestReceiveTimeIsMonotonic(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	c := newConn(NewPool(1, nil), nil, "a", near)
+	client, server := net.Pipe()
+	defer server.Close()
+	c := newConn(NewPool(1, nil), nil, "a", client)
 	defer c.close()
-	go func() { _, _ = far.Write([]byte("x")) }()
+	go func() { _, _ = server.Write([]byte("x")) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
 	received := c.lastReceived()
--- a/internal/upstream/wait_test.go
+++ b/internal/upstream/wait_test.go
@@ -28,34 +28,34 @@
 // dialScripted returns a Dialer of endpoints that write the texts listed under a
 // request's Id. A request without texts gets no answer, and its connection stays
 // open until ctx ends.
-func dialScripted(ctx context.Context, lines map[string][]delayedText) Dialer {
+func dialScripted(ctx context.Context, texts map[string][]delayedText) Dialer {
 	return func(context.Context, string) (net.Conn, error) {
-		here, there := net.Pipe()
-		context.AfterFunc(ctx, func() { _ = there.Close() })
+		client, server := net.Pipe()
+		context.AfterFunc(ctx, func() { _ = server.Close() })
 		go func() {
-			defer there.Close()
-			r := bufio.NewReader(there)
+			defer server.Close()
+			r := bufio.NewReader(server)
 			for {
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
-				for _, l := range lines[req.Header.Get("Id")] {
+				for _, l := range texts[req.Header.Get("Id")] {
 					if !pause.For(ctx, l.after) {
 						return
 					}
-					if _, err := io.WriteString(there, l.text); err != nil {
+					if _, err := io.WriteString(server, l.text); err != nil {
 						return
 					}
 				}
-				if len(lines[req.Header.Get("Id")]) == 0 {
+				if len(texts[req.Header.Get("Id")]) == 0 {
 					<-ctx.Done()
 					return
 				}
 			}
 		}()
-		return here, nil
+		return client, nil
 	}
 }
 
@@ -105,13 +105,13 @@
 // it waits in an engine's queue: the engine streams to other callers meanwhile.
 func TestEndpointStreamingToOthersIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var talk []delayedText
-		talk = append(talk, delayedText{0, streamHead})
+		var stream []delayedText
+		stream = append(stream, delayedText{0, streamHead})
 		for range 50 {
-			talk = append(talk, delayedText{100 * time.Millisecond, chunk("x")})
+			stream = append(stream, delayedText{100 * time.Millisecond, chunk("x")})
 		}
 		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
-			"talks": append(talk, delayedText{0, "0\r\n\r\n"}),
+			"talks": append(stream, delayedText{0, "0\r\n\r\n"}),
 			"waits": {{4 * time.Second, answerText("waits", "late")}},
 		}))
 		other, err := p.Send(t.Context(), newCallWithTimeout("talks", time.Second))
@@ -132,12 +132,12 @@
 // streams to other callers on new connections.
 func TestNewConnectionsDoNotExtendOlderCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		talk := []delayedText{{0, streamHead}}
+		stream := []delayedText{{0, streamHead}}
 		for range 50 {
-			talk = append(talk, delayedText{100 * time.Millisecond, chunk("x")})
+			stream = append(stream, delayedText{100 * time.Millisecond, chunk("x")})
 		}
 		p := NewPool(4, dialScripted(t.Context(), map[string][]delayedText{
-			"talks": append(talk, delayedText{0, "0\r\n\r\n"}),
+			"talks": append(stream, delayedText{0, "0\r\n\r\n"}),
 		}))
 		began := time.Now()
 		time.AfterFunc(500*time.Millisecond, func() {
