--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -12,44 +12,45 @@
 )
 
 const (
-	// inlineBody is the largest body written before the answer is read: it
-	// fits a connection's smallest send window.
+	// inlineBody is the largest body, in bytes, that is written in one call with
+	// the head before the answer is read: it fits the smallest send window.
 	inlineBody = 4 << 10
-	// maxSkipped bounds the late answers of others that are passed over on
-	// one connection: an endpoint sends one extra answer to a request.
+	// maxSkipped is the most late answers to earlier requests that are skipped
+	// for one call: an endpoint sends at most one extra answer to a request.
 	maxSkipped = 2
-	// skipBytes bounds such an answer's body.
-	skipBytes = 1 << 20
-	// writeRest is how long the rest of a body may take after the endpoint
-	// has answered; the connection can't be kept before.
-	writeRest = time.Second
+	// maxSkippedBytes is the most bytes of a skipped answer's body.
+	maxSkippedBytes = 1 << 20
+	// bodyWriteTimeout bounds the writing of the rest of a request's body after the
+	// answer was read; only then can the connection be reused.
+	bodyWriteTimeout = time.Second
 )
 
-// Answer is an endpoint's answer. The body is read from Body, to io.EOF where
-// it is whole; Close ends it at any time.
+// Answer is an endpoint's answer. Body returns io.EOF only at the end of a
+// complete body. Close may be called at any time, and must be called once.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
 
-	pool    *Pool
-	conn    *conn
-	resp    *http.Response
-	written chan error // the body's writer, nil where it is done
-	stop    func() bool
-	whole   bool
+	pool      *Pool
+	conn      *conn
+	resp      *http.Response
+	writeDone chan error // result of writing the request's body in the background, or nil
+	stop      func() bool
+	complete  bool
 }
 
-// Send sends a call and returns the head of its answer. Its errors carry a
-// verdict. The context ends the wait and, until Close, the reading.
+// Send sends a call and returns once the head of its answer is received. Its
+// errors carry a verdict. The end of the context ends the wait and, until Close,
+// the reading of the body.
 func (p *Pool) Send(ctx context.Context, call *Call) (*Answer, error) {
 	c, err := p.get(ctx, call.Address)
 	if err != nil {
 		return nil, err
 	}
 	a := &Answer{pool: p, conn: c}
-	c.start(time.Now(), call)
-	a.stop = context.AfterFunc(ctx, c.end)
+	c.startWait(time.Now(), call)
+	a.stop = context.AfterFunc(ctx, c.cancel)
 	if err := a.write(call); err != nil {
 		a.abandon()
 		return nil, verdict.Wrap(verdict.MayHaveRun, Error.Wrap(err))
@@ -61,8 +62,8 @@
 	return a, nil
 }
 
-// write sends the head and the body; a large body by a goroutine of its own,
-// since the endpoint may answer before it reads it.
+// write sends the head and the body. A goroutine sends a large body, since the
+// endpoint may answer before it has read all of it.
 func (a *Answer) write(call *Call) error {
 	var head bytes.Buffer
 	head.Grow(512 + min(len(call.Body), inlineBody))
@@ -82,15 +83,15 @@
 	if _, err := a.conn.nc.Write(head.Bytes()); err != nil {
 		return err
 	}
-	a.written = make(chan error, 1)
+	a.writeDone = make(chan error, 1)
 	go func() {
 		_, err := a.conn.nc.Write(call.Body)
-		a.written <- err
+		a.writeDone <- err
 	}()
 	return nil
 }
 
-// readHead reads heads until one belongs to the call.
+// readHead reads answers until one belongs to the call, and skips the others.
 func (a *Answer) readHead(call *Call) error {
 	req := &http.Request{Method: call.Method}
 	for skipped := 0; ; skipped++ {
@@ -102,13 +103,13 @@
 			continue
 		}
 		switch owner := call.Owns(resp.Header); {
-		case owner == Ours, owner == Unnamed && !a.conn.used:
-			a.take(resp)
+		case owner == ThisRequest, owner == NoRequest && !a.conn.reused:
+			a.setHead(resp)
 			return nil
-		case owner == Unnamed:
-			return Error.New("an answer without a name on a kept connection")
+		case owner == NoRequest:
+			return Error.New("answer on a reused connection names no request")
 		case skipped == maxSkipped:
-			return Error.New("%d answers to other requests", skipped+1)
+			return Error.New("%d answers name other requests", skipped+1)
 		}
 		if err := skip(resp); err != nil {
 			return err
@@ -117,65 +118,67 @@
 	}
 }
 
-// skip reads an answer that belongs to another request.
+// skip reads and discards the body of an answer to another request.
 func skip(resp *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, skipBytes))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
 	if err != nil {
 		return err
 	}
-	if n == skipBytes || resp.Close {
-		return Error.New("the answer to another request doesn't end")
+	if n == maxSkippedBytes || resp.Close {
+		return Error.New("answer to another request is too long or closes the connection")
 	}
 	return nil
 }
 
-func (a *Answer) take(resp *http.Response) {
-	a.conn.headCame()
+func (a *Answer) setHead(resp *http.Response) {
+	a.conn.headReceived()
 	a.resp = resp
 	a.Status, a.Header = resp.StatusCode, resp.Header
 	a.Body = (*body)(a)
 }
 
-// body reads an answer's body and notes its whole end.
+// body reads an answer's body and records whether its end was reached.
 type body Answer
 
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
-// Close ends the answer: a connection whose answer was read to its end is kept
-// for the next request, any other is closed, which tells the endpoint to stop.
+// Close ends the answer. The connection is kept for the next request if the
+// answer was read to its end. Otherwise it is closed, and the endpoint stops
+// working on the request.
 func (a *Answer) Close() {
-	if !a.stop() { // the context has ended the connection
+	if !a.stop() { // the context has ended, and cancel has run
 		a.pool.drop(a.conn)
 		return
 	}
-	a.conn.finish()
-	until := keepUntil(time.Now(), a.resp)
-	if !a.whole || until.IsZero() || a.conn.r.Buffered() > 0 || !a.bodyOut() {
+	a.conn.endWait()
+	until := expiry(time.Now(), a.resp)
+	if !a.complete || until.IsZero() || a.conn.r.Buffered() > 0 || !a.bodyWritten() {
 		a.pool.drop(a.conn)
 		return
 	}
-	a.conn.kept, a.conn.used = until, true
+	a.conn.expires, a.conn.reused = until, true
 	a.pool.put(a.conn)
 }
 
-// bodyOut reports whether the request's body was written to its end.
-func (a *Answer) bodyOut() bool {
-	if a.written == nil {
+// bodyWritten waits until the request's body is written, and reports whether all
+// of it was.
+func (a *Answer) bodyWritten() bool {
+	if a.writeDone == nil {
 		return true
 	}
-	_ = a.conn.nc.SetWriteDeadline(time.Now().Add(writeRest))
-	err := <-a.written
+	_ = a.conn.nc.SetWriteDeadline(time.Now().Add(bodyWriteTimeout))
+	err := <-a.writeDone
 	_ = a.conn.nc.SetWriteDeadline(time.Time{})
 	return err == nil
 }
 
-// abandon closes the connection of an answer that has no head.
+// abandon closes the connection of a call whose answer's head wasn't received.
 func (a *Answer) abandon() {
 	a.stop()
 	a.pool.drop(a.conn)
