--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -14,7 +14,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/template"
 )
 
-// checkFlags name the files to check.
+// checkFlags are the flags of check: the files to check, by kind.
 type checkFlags struct {
 	settings  []string
 	templates []string
@@ -41,7 +41,7 @@
 	return cmd
 }
 
-// check reads every file, also after one with mistakes.
+// check checks every file, even after one with mistakes.
 func (a *app) check(f *checkFlags) error {
 	bad := 0
 	all := func(paths []string, kind string, check func(path string) []string) {
@@ -116,7 +116,7 @@
 	return lines
 }
 
-// mistakeLines returns the mistakes in an error, a line each; none for no error.
+// mistakeLines returns one line for each mistake in err, none if err is nil.
 func mistakeLines(path string, err error) []string {
 	var m *settings.Mistakes
 	var file *os.PathError
--- a/internal/cli/check_test.go
+++ b/internal/cli/check_test.go
@@ -19,7 +19,7 @@
 platform: {objects: "http://127.0.0.1:4", instances: "http://127.0.0.1:4", cloud: "http://127.0.0.1:4", weights: "http://127.0.0.1:4"}
 `
 
-// writeFile writes a file into a directory of the test's and returns its path.
+// writeFile writes a file into a new temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -18,11 +18,13 @@
 	log     settings.Log
 }
 
-// devEntriesAge is how long callers of the development deployment keep the
-// entries' answer: short, so that it stops quickly.
+// devEntriesAge is how long callers of a development deployment may cache the
+// list of entries. It is short so that the deployment stops quickly.
 const devEntriesAge = time.Second
 
-// devStartSpread is short: a few daemons don't burden the object API.
+// devStartSpread is the time over which daemons that start together spread their
+// first reads of the object API. It is short because a few daemons don't
+// overload that.
 const devStartSpread = 100 * time.Millisecond
 
 func newDev(a *app) *cobra.Command {
@@ -85,7 +87,8 @@
 	return a.leave(d.Leave, layout.Entries[0].Limits.RequestTimeout)
 }
 
-// leave stops what runs, within the time that its requests may take.
+// leave shuts down a daemon or a deployment, which may take until its requests
+// have ended, at most timeout.
 func (a *app) leave(leave func(context.Context) error, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -20,7 +20,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/template"
 )
 
-// experimentFlags describe an experiment.
+// experimentFlags are the flags of load experiment.
 type experimentFlags struct {
 	workFlags
 	deployment deployment.Options
@@ -82,7 +82,7 @@
 		}
 		f.options.Workspaces = append(f.options.Workspaces, w)
 	}
-	var current *deployment.Dev
+	var current *deployment.Dev // of the run in progress
 	if f.reclaimAt > 0 {
 		f.options.Faults = []load.Fault{{
 			Name: "notice to half of the engines",
@@ -108,7 +108,7 @@
 	return err
 }
 
-// half is a notice to every second engine.
+// half returns a reclaim notice for every second engine.
 func (f *experimentFlags) half() cloudapi.Reclaim {
 	r := cloudapi.Reclaim{Millis: f.reclaimIn.Milliseconds()}
 	for i := 1; i <= f.deployment.Engines; i += 2 {
@@ -117,6 +117,7 @@
 	return r
 }
 
+// deploy starts a deployment with a routing policy and waits for --settle.
 func (a *app) deploy(ctx context.Context, f *experimentFlags, t *template.Template, policy string) (*deployment.Dev, load.Target, error) {
 	o := f.deployment
 	o.Policy = policy
@@ -143,11 +144,14 @@
 	return d, target, nil
 }
 
-// nopWriter takes the ready lines of deployments that nobody follows.
+// nopWriter discards the ready lines of deployments, which nothing reads in an
+// experiment.
 type nopWriter struct{}
 
 func (nopWriter) Write(p []byte) (int, error) { return len(p), nil }
 
+// experimentResults prints the tables, and writes results and plots into the
+// directory of --out.
 func (a *app) experimentResults(f *experimentFlags, results []*load.Result) error {
 	if len(results) == 0 {
 		return nil
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -71,7 +71,7 @@
 	return err
 }
 
-// readLogs reads the files, or standard input where there are none.
+// readLogs reads the files, or standard input if there are none.
 func readLogs(stdin io.Reader, files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		return explain.Read("stdin", stdin)
--- a/internal/cli/help_test.go
+++ b/internal/cli/help_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// commandsOf returns a command and all below it, without cobra's own.
+// commandsOf returns a command and all its subcommands, except those that cobra
+// adds.
 func commandsOf(c *cobra.Command) []*cobra.Command {
 	all := []*cobra.Command{c}
 	for _, sub := range c.Commands() {
@@ -22,7 +23,8 @@
 	return all
 }
 
-// wordsOf splits an example's line as a shell does, as far as examples go.
+// wordsOf splits an example's line into words as a shell does. It supports
+// double quotes, and drops a redirection of the output.
 func wordsOf(line string) []string {
 	line, _, _ = strings.Cut(line, " > ")
 	var words []string
@@ -36,8 +38,8 @@
 	return words
 }
 
-// assertParses fails unless a line is a command with flags and arguments that
-// it takes, and returns the command.
+// assertParses fails unless a line is a runnable command with valid flags and
+// arguments, and returns the command.
 func assertParses(t *testing.T, root *cobra.Command, line string) *cobra.Command {
 	t.Helper()
 	words := wordsOf(line)
@@ -53,8 +55,8 @@
 	return target
 }
 
-// A flag is renamed and an example keeps the old name. Whoever copies it is
-// told that the flag is unknown, by the page that named it.
+// Guards against an example that keeps the old name of a renamed flag: copied
+// from the help, it would fail with an unknown flag.
 func TestEveryCommandHasExamplesThatParse(t *testing.T) {
 	a := &app{stdout: &bytes.Buffer{}, stderr: &bytes.Buffer{}}
 	for _, c := range commandsOf(newRoot(a))[1:] {
@@ -68,11 +70,11 @@
 	}
 }
 
-// pages are those that show commands, relative to this package.
+// pages are the documents that show commands, relative to this package.
 var pages = []string{"../../README.md", "../../docs/OPERATIONS.md"}
 
-// A page shows a command with a flag that is gone. Whoever goes through it is
-// stopped half-way through a closing.
+// Guards against a document that shows a command with a removed flag: an
+// operator who follows it would have to stop half-way through a month-end closing.
 func TestCommandsInPagesParse(t *testing.T) {
 	commands := regexp.MustCompile(`(?m)^[ \t]*(?:[A-Z_]+=\S+ |timeout \d+ |go run \./cmd/)?(cyclamenbeam [^|;&>#\n]*)`)
 	variable := regexp.MustCompile(`\$\w+`)
--- a/internal/cli/listings.go
+++ b/internal/cli/listings.go
@@ -166,7 +166,7 @@
 	return grouping(cmd, list, status)
 }
 
-// workspaces prints the workspaces; an empty name is all.
+// workspaces prints the named workspace, or all if name is empty.
 func (a *app) workspaces(ctx context.Context, f *remoteFlags, name string) error {
 	list, err := a.workspaceList(ctx, f, name)
 	if err != nil {
@@ -175,6 +175,7 @@
 	return a.printWorkspaces(f, list)
 }
 
+// workspaceList returns the named workspace, or all if name is empty.
 func (a *app) workspaceList(ctx context.Context, f *remoteFlags, name string) ([]operator.WorkspaceStatus, error) {
 	c, err := f.client()
 	if err != nil {
@@ -200,10 +201,11 @@
 	return print(a.stdout, f.output, list, t)
 }
 
-// watchPoll is how often --watch asks.
+// watchPoll is the time between two polls of --watch.
 const watchPoll = time.Second
 
-// workspaceStatus prints the state once, or at each change.
+// workspaceStatus prints the state once or, with watch, at each change until ctx
+// ends.
 func (a *app) workspaceStatus(ctx context.Context, f *remoteFlags, name string, watch bool) error {
 	last := ""
 	for {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -28,7 +28,7 @@
 	return grouping(cmd, newLoadRun(a), newLoadExperiment(a), newLoadCompare(a))
 }
 
-// workFlags describe the work of a run.
+// workFlags are the flags of commands that send load.
 type workFlags struct {
 	options load.Options
 	out     string
@@ -84,7 +84,8 @@
 	return cmd
 }
 
-// loaded prints a result and writes it; a broken promise is a failure.
+// loaded prints a result and, with --out, writes it to a file. It returns an
+// error if one of the result's checks failed.
 func (a *app) loaded(f *workFlags, r *load.Result) error {
 	if err := load.ResultsTable([]*load.Result{r}).WriteMarkdown(a.stdout); err != nil {
 		return Error.Wrap(err)
@@ -152,7 +153,7 @@
 	}
 }
 
-// writePlots writes the four plots of an experiment into a directory.
+// writePlots writes the plots of an experiment into a directory, as SVG files.
 func writePlots(dir string, results []*load.Result) error {
 	charts := map[string]func(*os.File) error{
 		"latency.svg":    func(f *os.File) error { return load.PlotLatency(f, results) },
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -11,7 +11,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// outputs are the forms of every listing.
+// outputs are the formats of listings.
 var outputs = []string{"table", "json", "yaml"}
 
 func checkOutput(form string) error {
@@ -44,7 +44,8 @@
 	return tw.Flush()
 }
 
-// print writes a listing in the form asked for: v for machines, t for people.
+// print writes a listing in the given format: v as JSON or YAML, or else t as a
+// table.
 func print(w io.Writer, form string, v any, t *table) error {
 	switch form {
 	case "json":
--- a/internal/cli/remote.go
+++ b/internal/cli/remote.go
@@ -13,10 +13,10 @@
 )
 
 // tokenVariable names the environment variable with the operator's token. A
-// token on the command line would show in every list of processes.
+// token on the command line would be visible in process listings.
 const tokenVariable = "CYCLAMENBEAM_TOKEN"
 
-// remoteFlags say which daemon to ask, and how.
+// remoteFlags are the flags of commands that call a daemon's operators' API.
 type remoteFlags struct {
 	server    string
 	tokenFile string
@@ -33,7 +33,7 @@
 	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(outputs, cobra.ShellCompDirectiveNoFileComp))
 }
 
-// client returns the client that the flags ask for.
+// client returns a client of the daemon that the flags name.
 func (f *remoteFlags) client() (*operator.Client, error) {
 	if err := checkOutput(f.output); err != nil {
 		return nil, err
@@ -56,6 +56,8 @@
 	return operator.NewClient(f.server, token, transport), nil
 }
 
+// transport returns a transport that trusts the given authority; nil, for the
+// client's default, without one.
 func (f *remoteFlags) transport() (http.RoundTripper, error) {
 	if f.authority == "" {
 		return nil, nil
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,4 +1,4 @@
-// Package cli holds the commands of the binary, a file each.
+// Package cli implements the commands of the binary.
 package cli
 
 import (
@@ -22,10 +22,10 @@
 	exitDone    = 0
 	exitFailed  = 1 // refused, or failed
 	exitUsage   = 2
-	exitUnknown = 3 // the outcome is not known
+	exitUnknown = 3 // a change may or may not have taken effect
 )
 
-// exitError is an error with the exit status that it asks for.
+// exitError is an error with the process's exit status.
 type exitError struct {
 	status int
 	err    error
@@ -39,7 +39,7 @@
 // unknownOutcome marks an error after which a change may have taken effect.
 func unknownOutcome(err error) error { return &exitError{status: exitUnknown, err: err} }
 
-// app is what commands share.
+// app holds the output streams that the commands share.
 type app struct {
 	stdout io.Writer
 	stderr io.Writer
@@ -47,9 +47,9 @@
 
 // Execute runs the command line and returns the process's exit status.
 //
-// The signals stay caught to the end of the process. Failure: whoever stops it
-// asks again while it leaves. Symptom: were they let go here, one that comes
-// just before the exit would kill it and turn a clean stop into a failure.
+// The signals stay handled until the process ends: without the handler, a
+// repeated signal just before the exit would kill the process and turn a clean
+// stop into a failure.
 func Execute(args []string, stdout, stderr io.Writer) int {
 	ctx, _ := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	root := newRoot(&app{stdout: stdout, stderr: stderr})
@@ -94,8 +94,8 @@
 	return root
 }
 
-// grouping makes a command that only groups others. Without it, cobra prints
-// the help for a mistyped command below and the exit status says done.
+// grouping makes cmd a command that only groups subcommands. Without its RunE,
+// cobra would answer a mistyped subcommand with the help text and exit status 0.
 func grouping(cmd *cobra.Command, below ...*cobra.Command) *cobra.Command {
 	cmd.AddCommand(below...)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -107,8 +107,9 @@
 	return cmd
 }
 
-// failing makes a command whose errors mean failure; cobra's own errors, of
-// arguments and flags, mean bad usage.
+// failing wraps a command's function so that its errors have the exit status
+// exitFailed, unless they carry another. Cobra's own errors, of arguments and
+// flags, have exitUsage.
 func failing(f func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		err := f(cmd, args)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -28,8 +28,8 @@
 	return cmd
 }
 
-// serve runs the daemon that the settings are for: those of an entry on the
-// users' platform name the platform's store.
+// serve runs the daemon of a settings file. Settings that name the platform's
+// store are those of an entry on the users' platform; see serveNode.
 func (a *app) serve(ctx context.Context, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cli/servenode.go
+++ b/internal/cli/servenode.go
@@ -12,17 +12,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/platform"
 )
 
-// memoryShare is the part of the machine's memory that the runtime may fill
-// before it collects without pause; the rest is for the kernel's buffers and
-// what is read and not yet counted.
+// memoryShare is the share of limits.memoryMB that is the runtime's soft memory
+// limit, near which it collects garbage continuously. The rest is for the
+// kernel's buffers and for data that is read and not yet accounted for.
 const memoryShare = 0.6
 
-// gcPercent lets the heap grow to three times what is live: the live heap is
-// some ten megabytes, and collecting less often costs less processor time.
+// gcPercent lets the heap grow to three times the live heap, which is some ten
+// megabytes. Collecting less often costs less processor time.
 const gcPercent = 200
 
-// serveNode runs the daemon of an entry on the users' platform, whose settings'
-// file at a path holds text.
+// serveNode runs the daemon of an entry on the users' platform. text is the
+// content of the settings file at path.
 func (a *app) serveNode(ctx context.Context, path string, text []byte) error {
 	s, err := node.ParseSettings(text)
 	if err != nil {
@@ -32,8 +32,8 @@
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
-	// The platform says by SIGHUP that the settings changed. Not caught, it
-	// would end the process.
+	// The platform sends SIGHUP when the settings have changed. Without a
+	// handler the signal would end the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
--- a/internal/cli/template.go
+++ b/internal/cli/template.go
@@ -79,9 +79,11 @@
 	return cmd
 }
 
-// statusPoll is how often --wait asks again.
+// statusPoll is the time between two polls of --wait.
 const statusPoll = 200 * time.Millisecond
 
+// templateStatus prints the status of a template. With wait, it first polls until
+// the stored version is in force everywhere, for at most timeout.
 func (a *app) templateStatus(cmd *cobra.Command, f *remoteFlags, name string, wait bool, timeout time.Duration) error {
 	c, err := f.client()
 	if err != nil {
--- a/internal/cli/templatechange.go
+++ b/internal/cli/templatechange.go
@@ -26,6 +26,7 @@
 	_ = cmd.MarkFlagRequired("why")
 }
 
+// id returns the operation's id, a new one where --operation gave none.
 func (f *changeFlags) id() string {
 	if f.operation == "" {
 		f.operation = uuid.Must(uuid.NewV7()).String()
@@ -82,7 +83,8 @@
 	return a.changed(f, r, change.operation)
 }
 
-// version returns the version to expect, reading it where none was given.
+// version returns the version to expect: that of --expected, or else the one
+// stored now, 0 if there is none.
 func (f *changeFlags) version(cmd *cobra.Command, c *operator.Client, name string) (uint64, error) {
 	if f.expected >= 0 {
 		return uint64(f.expected), nil
@@ -158,7 +160,7 @@
 	}
 }
 
-// changed prints what became of a change and returns its exit status.
+// changed prints the outcome of a change. Its error carries the exit status.
 func (a *app) changed(f *remoteFlags, r operator.ChangeResult, operation string) error {
 	if f.output != "table" {
 		if err := print(a.stdout, f.output, r, nil); err != nil {
