--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -32,7 +32,7 @@
 		Example: `  cyclamenbeam check --settings entry-1.yaml --settings entry-2.yaml
   cyclamenbeam check --template closing.yaml`,
 		Args: cobra.NoArgs,
-		RunE: failing(func(*cobra.Command, []string) error { return a.check(&f) }),
+		RunE: withExitStatus(func(*cobra.Command, []string) error { return a.check(&f) }),
 	}
 	cmd.Flags().StringArrayVar(&f.settings, "settings", nil, "settings of a daemon; may be repeated")
 	cmd.Flags().StringArrayVar(&f.templates, "template", nil, "a closing template; may be repeated")
@@ -43,25 +43,25 @@
 
 // check checks every file, even after one with mistakes.
 func (a *app) check(f *checkFlags) error {
-	bad := 0
-	all := func(paths []string, kind string, check func(path string) []string) {
+	faulty := 0
+	checkAll := func(paths []string, kind string, check func(path string) []string) {
 		for _, path := range paths {
 			lines := check(path)
 			if len(lines) == 0 {
 				fmt.Fprintf(a.stdout, "%s: good %s\n", path, kind)
 				continue
 			}
-			bad++
+			faulty++
 			for _, line := range lines {
 				fmt.Fprintln(a.stderr, line)
 			}
 		}
 	}
-	all(f.settings, "settings", checkSettings)
-	all(f.templates, "template", checkTemplate)
-	all(f.standins, "settings of stand-ins", checkStandin)
-	if n := len(f.settings) + len(f.templates) + len(f.standins); bad > 0 {
-		return Error.New("%d of %d files can't be used", bad, n)
+	checkAll(f.settings, "settings", checkSettings)
+	checkAll(f.templates, "template", checkTemplate)
+	checkAll(f.standins, "settings of stand-ins", checkStandin)
+	if n := len(f.settings) + len(f.templates) + len(f.standins); faulty > 0 {
+		return Error.New("%d of %d files can't be used", faulty, n)
 	}
 	return nil
 }
@@ -75,13 +75,13 @@
 	if err != nil {
 		return mistakeLines(path, err)
 	}
-	var faults []settings.Mistake
+	var mistakes []settings.Mistake
 	open := func(key string, f certs.Files) {
 		if f.Certificate == "" {
 			return
 		}
 		if _, err := certs.Open(f); err != nil {
-			faults = append(faults, settings.Mistake{Path: key, Message: err.Error()})
+			mistakes = append(mistakes, settings.Mistake{Path: key, Message: err.Error()})
 		}
 	}
 	open("tls.callers", certs.Files{Certificate: s.TLS.Callers.Certificate, Key: s.TLS.Callers.Key})
@@ -89,7 +89,7 @@
 	open("tls.peers", certs.Files{Certificate: s.TLS.Peers.Certificate, Key: s.TLS.Peers.Key, Authority: s.TLS.Peers.Authority})
 	data, err := os.ReadFile(path)
 	if err == nil {
-		err = settings.InFile(path, settings.Locate(data, faults))
+		err = settings.InFile(path, settings.Locate(data, mistakes))
 	}
 	return mistakeLines(path, err)
 }
--- a/internal/cli/check_test.go
+++ b/internal/cli/check_test.go
@@ -12,7 +12,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/deployment"
 )
 
-const someSettings = `instance: entry-1
+const validSettings = `instance: entry-1
 dataCentre: cane-1
 region: cane
 listen: {callers: "127.0.0.1:1", operators: "127.0.0.1:2", peers: "127.0.0.1:3"}
@@ -28,9 +28,9 @@
 }
 
 func TestCheckNamesMistakesOfAllFiles(t *testing.T) {
-	good := writeFile(t, "good.yaml", someSettings)
-	faulty := writeFile(t, "faulty.yaml", someSettings+"limits: {retain: 0s}\nspeed: 1\n")
-	tls := writeFile(t, "tls.yaml", someSettings+"tls:\n  callers: {certificate: /nonexistent/a.pem, key: /nonexistent/a.key}\n")
+	good := writeFile(t, "good.yaml", validSettings)
+	faulty := writeFile(t, "faulty.yaml", validSettings+"limits: {retain: 0s}\nspeed: 1\n")
+	tls := writeFile(t, "tls.yaml", validSettings+"tls:\n  callers: {certificate: /nonexistent/a.pem, key: /nonexistent/a.key}\n")
 	closing := writeFile(t, "closing.yaml", string(deployment.DevTemplate())+"budget: 3\n")
 	var out, errs bytes.Buffer
 	status := Execute([]string{"check", "--settings", good, "--settings", faulty, "--settings", tls, "--template", closing, "--standin", "/nonexistent/s.yaml"}, &out, &errs)
@@ -50,7 +50,7 @@
 	assert.Equal(t, len(lines), 6, errs.String())
 }
 
-func TestBadUsageHasItsOwnStatus(t *testing.T) {
+func TestBadUsageExitsWithUsageStatus(t *testing.T) {
 	for _, args := range [][]string{{"check"}, {"nonsense"}, {"template"}, {"template", "lst"}, {"template", "get"}, {"check", "--sped", "1"}, {"audit", "--output", "xml"}} {
 		assert.Equal(t, Execute(args, &bytes.Buffer{}, &bytes.Buffer{}), exitUsage, "%s", args)
 	}
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -18,9 +18,9 @@
 	log     settings.Log
 }
 
-// devEntriesAge is how long callers of a development deployment may cache the
+// devEntriesMaxAge is how long callers of a development deployment may cache the
 // list of entries. It is short so that the deployment stops quickly.
-const devEntriesAge = time.Second
+const devEntriesMaxAge = time.Second
 
 // devStartSpread is the time over which daemons that start together spread their
 // first reads of the object API. It is short because a few daemons don't
@@ -39,7 +39,7 @@
   cyclamenbeam dev --entries 9 --engines 18 --port 9000
   cyclamenbeam dev --write ./deployment`,
 		Args: cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error { return a.dev(cmd.Context(), &f) }),
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error { return a.dev(cmd.Context(), &f) }),
 	}
 	flags := cmd.Flags()
 	flags.IntVar(&f.options.Entries, "entries", 3, "daemons")
@@ -71,7 +71,7 @@
 	for i := range layout.Entries {
 		e := &layout.Entries[i]
 		e.Log = f.log
-		e.Entries.MaxAge = devEntriesAge
+		e.Entries.MaxAge = devEntriesMaxAge
 		e.Control.StartSpread = devStartSpread
 	}
 	if f.write != "" {
@@ -84,12 +84,12 @@
 	}
 	announcer.Done()
 	<-ctx.Done()
-	return a.leave(d.Leave, layout.Entries[0].Limits.RequestTimeout)
+	return a.shutDown(d.Leave, layout.Entries[0].Limits.RequestTimeout)
 }
 
-// leave shuts down a daemon or a deployment, which may take until its requests
+// shutDown shuts down a daemon or a deployment, which may take until its requests
 // have ended, at most timeout.
-func (a *app) leave(leave func(context.Context) error, timeout time.Duration) error {
+func (a *app) shutDown(leave func(context.Context) error, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return leave(ctx)
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -22,17 +22,17 @@
 
 // experimentFlags are the flags of load experiment.
 type experimentFlags struct {
-	workFlags
-	deployment deployment.Options
-	policies   []string
-	loads      []float64
-	workspaces int
-	greedy     float64
-	rateLimit  float64
-	settle     time.Duration
-	reclaimAt  time.Duration
-	reclaimIn  time.Duration
-	logLevel   string
+	loadFlags
+	deployment    deployment.Options
+	policies      []string
+	loads         []float64
+	workspaces    int
+	greedy        float64
+	rateLimit     float64
+	settle        time.Duration
+	reclaimAt     time.Duration
+	reclaimNotice time.Duration
+	logLevel      string
 }
 
 func newLoadExperiment(a *app) *cobra.Command {
@@ -45,7 +45,7 @@
 plots are written as well.`,
 		Example: `  cyclamenbeam load experiment --capacity 20 --policies cyclamenbeam,round-robin --loads 0.3,1,1.3`,
 		Args:    cobra.NoArgs,
-		RunE:    failing(func(cmd *cobra.Command, _ []string) error { return a.experiment(cmd.Context(), f) }),
+		RunE:    withExitStatus(func(cmd *cobra.Command, _ []string) error { return a.experiment(cmd.Context(), f) }),
 	}
 	f.add(cmd)
 	flags := cmd.Flags()
@@ -63,7 +63,7 @@
 	flags.DurationVar(&f.deployment.Speed.LoadLag, "load-lag", f.deployment.Speed.LoadLag, "age of engines' load reports")
 	flags.Float64Var(&f.deployment.Speed.EventLoss, "event-loss", f.deployment.Speed.EventLoss, "share of cache events lost")
 	flags.DurationVar(&f.reclaimAt, "reclaim-half-at", 0, "give notice to half of the engines at this time of each run; 0 is never")
-	flags.DurationVar(&f.reclaimIn, "notice", 5*time.Second, "length of that notice")
+	flags.DurationVar(&f.reclaimNotice, "notice", 5*time.Second, "length of that notice")
 	flags.DurationVar(&f.settle, "settle", 3*time.Second, "time between the start of a deployment and its load")
 	flags.StringVar(&f.logLevel, "log-level", "error", "of the deployments")
 	_ = cmd.MarkFlagRequired("capacity")
@@ -87,7 +87,7 @@
 		f.options.Faults = []load.Fault{{
 			Name: "notice to half of the engines",
 			At:   f.reclaimAt,
-			Do:   func(context.Context) { current.Reclaim(f.half()) },
+			Do:   func(context.Context) { current.Reclaim(f.reclaimHalf()) },
 		}}
 	}
 	e := &load.Experiment{
@@ -102,15 +102,15 @@
 		Done: func(r *load.Result) { fmt.Fprintln(a.stderr, r.Name, "done") },
 	}
 	results, err := e.Run(ctx)
-	if werr := a.experimentResults(f, results); werr != nil && err == nil {
-		err = werr
+	if writeErr := a.writeExperiment(f, results); writeErr != nil && err == nil {
+		err = writeErr
 	}
 	return err
 }
 
-// half returns a reclaim notice for every second engine.
-func (f *experimentFlags) half() cloudapi.Reclaim {
-	r := cloudapi.Reclaim{Millis: f.reclaimIn.Milliseconds()}
+// reclaimHalf returns a reclaim notice for every second engine.
+func (f *experimentFlags) reclaimHalf() cloudapi.Reclaim {
+	r := cloudapi.Reclaim{Millis: f.reclaimNotice.Milliseconds()}
 	for i := 1; i <= f.deployment.Engines; i += 2 {
 		r.Instances = append(r.Instances, fleet.InstanceID(fmt.Sprintf("engine-%d", i)))
 	}
@@ -150,9 +150,9 @@
 
 func (nopWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// experimentResults prints the tables, and writes results and plots into the
+// writeExperiment prints the tables, and writes results and plots into the
 // directory of --out.
-func (a *app) experimentResults(f *experimentFlags, results []*load.Result) error {
+func (a *app) writeExperiment(f *experimentFlags, results []*load.Result) error {
 	if len(results) == 0 {
 		return nil
 	}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -11,7 +11,7 @@
 
 func newExplain(a *app) *cobra.Command {
 	var q explain.Query
-	var table bool
+	var lost bool
 	cmd := &cobra.Command{
 		Use:   "explain [ID] [FILE...]",
 		Short: "Show from daemons' logs what became of a request, and why",
@@ -27,8 +27,8 @@
   cyclamenbeam explain --endpoint i-7f3a91c2 entry-*.log
   cyclamenbeam explain --config 12 < all.log
   cyclamenbeam explain --lost entry-*.log`,
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
-			if table {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
+			if lost {
 				return a.explainLost(cmd.InOrStdin(), args)
 			}
 			if q.Endpoint == "" && q.Config == 0 {
@@ -42,7 +42,7 @@
 	}
 	cmd.Flags().StringVar(&q.Endpoint, "endpoint", "", "show what is said of an endpoint")
 	cmd.Flags().Uint64Var(&q.Config, "config", 0, "show what is said of a version of the configuration")
-	cmd.Flags().BoolVar(&table, "lost", false, "count what was lost by reason, route and second")
+	cmd.Flags().BoolVar(&lost, "lost", false, "count what was lost by reason, route and second")
 	cmd.MarkFlagsMutuallyExclusive("endpoint", "config", "lost")
 	return cmd
 }
--- a/internal/cli/help_test.go
+++ b/internal/cli/help_test.go
@@ -23,9 +23,9 @@
 	return all
 }
 
-// wordsOf splits an example's line into words as a shell does. It supports
+// splitWords splits an example's line into words as a shell does. It supports
 // double quotes, and drops a redirection of the output.
-func wordsOf(line string) []string {
+func splitWords(line string) []string {
 	line, _, _ = strings.Cut(line, " > ")
 	var words []string
 	for i, part := range strings.Split(line, `"`) {
@@ -42,7 +42,7 @@
 // arguments, and returns the command.
 func assertParses(t *testing.T, root *cobra.Command, line string) *cobra.Command {
 	t.Helper()
-	words := wordsOf(line)
+	words := splitWords(line)
 	assert.Equal(t, words[0], "cyclamenbeam", line)
 	root.InitDefaultCompletionCmd()
 	target, rest, err := root.Find(words[1:])
@@ -70,15 +70,15 @@
 	}
 }
 
-// pages are the documents that show commands, relative to this package.
-var pages = []string{"../../README.md", "../../docs/OPERATIONS.md"}
+// documents are the documents that show commands, relative to this package.
+var documents = []string{"../../README.md", "../../docs/OPERATIONS.md"}
 
 // Guards against a document that shows a command with a removed flag: an
 // operator who follows it would have to stop half-way through a month-end closing.
-func TestCommandsInPagesParse(t *testing.T) {
+func TestCommandsInDocumentsParse(t *testing.T) {
 	commands := regexp.MustCompile(`(?m)^[ \t]*(?:[A-Z_]+=\S+ |timeout \d+ |go run \./cmd/)?(cyclamenbeam [^|;&>#\n]*)`)
 	variable := regexp.MustCompile(`\$\w+`)
-	for _, page := range pages {
+	for _, page := range documents {
 		text, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		found := commands.FindAllStringSubmatch(strings.ReplaceAll(string(text), "\\\n", " "), -1)
@@ -98,10 +98,10 @@
 	} {
 		var out bytes.Buffer
 		args := append([]string{cobra.ShellCompRequestCmd}, strings.Split(c.line, " ")...)
-		assert.Equal(t, Execute(args, &out, &bytes.Buffer{}), exitDone)
+		assert.Equal(t, Execute(args, &out, &bytes.Buffer{}), exitOK)
 		assert.Assert(t, strings.HasPrefix(out.String(), c.want), out.String())
 	}
 	var script bytes.Buffer
-	assert.Equal(t, Execute([]string{"completion", "bash"}, &script, &bytes.Buffer{}), exitDone)
+	assert.Equal(t, Execute([]string{"completion", "bash"}, &script, &bytes.Buffer{}), exitOK)
 	assert.Assert(t, strings.Contains(script.String(), "complete -o default"))
 }
--- a/internal/cli/listings.go
+++ b/internal/cli/listings.go
@@ -17,7 +17,7 @@
 		Short:   "List the daemons as membership knows them",
 		Example: `  cyclamenbeam entries --server http://127.0.0.1:9001`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
@@ -30,7 +30,7 @@
 			for _, e := range list {
 				t.add(e.Instance, e.State, e.DataCentre, e.Callers, e.Peers, e.Templates)
 			}
-			return print(a.stdout, f.output, list, t)
+			return printListing(a.stdout, f.output, list, t)
 		}),
 	}
 	f.add(cmd)
@@ -44,7 +44,7 @@
 		Short:   "Show every change: who, when, what and why",
 		Example: `  cyclamenbeam audit --output json`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
@@ -53,7 +53,7 @@
 			if err != nil {
 				return err
 			}
-			return print(a.stdout, f.output, list, auditTable(list))
+			return printListing(a.stdout, f.output, list, auditTable(list))
 		}),
 	}
 	f.add(cmd)
@@ -80,7 +80,7 @@
 		Example: `  cyclamenbeam endpoint drain engine-2 --why "new accelerator driver"`,
 	}
 	f.add(cmd)
-	return grouping(cmd, newEndpointList(a, f), newEndpointDrain(a, f))
+	return group(cmd, newEndpointList(a, f), newEndpointDrain(a, f))
 }
 
 func newEndpointList(a *app, f *remoteFlags) *cobra.Command {
@@ -89,7 +89,7 @@
 		Short:   "List the endpoints",
 		Example: `  cyclamenbeam endpoint list --output json`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
@@ -102,7 +102,7 @@
 			for _, e := range list {
 				t.add(e.ID, e.Kind, e.State, e.Draining, e.DataCentre, e.Address, fmt.Sprintf("%.4g", e.HourPrice))
 			}
-			return print(a.stdout, f.output, list, t)
+			return printListing(a.stdout, f.output, list, t)
 		}),
 	}
 }
@@ -116,16 +116,16 @@
 		Example: `  cyclamenbeam endpoint drain engine-2 --why "new accelerator driver"
   cyclamenbeam endpoint drain engine-2 --undo --why "driver is in"`,
 		Args: cobra.ExactArgs(1),
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
 			}
-			r, err := c.Drain(cmd.Context(), args[0], operator.Drain{Drain: !undo, Why: change.why, Operation: change.id()})
+			r, err := c.Drain(cmd.Context(), args[0], operator.Drain{Drain: !undo, Why: change.why, Operation: change.operationID()})
 			if err != nil {
 				return err
 			}
-			return a.changed(f, r, change.operation)
+			return a.reportChange(f, r, change.operation)
 		}),
 	}
 	cmd.Flags().BoolVar(&undo, "undo", false, "give it work again")
@@ -146,7 +146,7 @@
 		Short:   "List the workspaces",
 		Example: `  cyclamenbeam workspace list --output yaml`,
 		Args:    cobra.NoArgs,
-		RunE:    failing(func(cmd *cobra.Command, _ []string) error { return a.workspaces(cmd.Context(), f, "") }),
+		RunE:    withExitStatus(func(cmd *cobra.Command, _ []string) error { return a.listWorkspaces(cmd.Context(), f, "") }),
 	}
 	var watch bool
 	status := &cobra.Command{
@@ -154,7 +154,7 @@
 		Short:   "Show a workspace's state and the reason",
 		Example: `  cyclamenbeam workspace status taller-vivo --watch`,
 		Args:    cobra.MaximumNArgs(1),
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
 			name := ""
 			if len(args) > 0 {
 				name = args[0]
@@ -163,20 +163,20 @@
 		}),
 	}
 	status.Flags().BoolVar(&watch, "watch", false, "print each change until interrupted")
-	return grouping(cmd, list, status)
+	return group(cmd, list, status)
 }
 
-// workspaces prints the named workspace, or all if name is empty.
-func (a *app) workspaces(ctx context.Context, f *remoteFlags, name string) error {
-	list, err := a.workspaceList(ctx, f, name)
+// listWorkspaces prints the named workspace, or all if name is empty.
+func (a *app) listWorkspaces(ctx context.Context, f *remoteFlags, name string) error {
+	list, err := a.fetchWorkspaces(ctx, f, name)
 	if err != nil {
 		return err
 	}
 	return a.printWorkspaces(f, list)
 }
 
-// workspaceList returns the named workspace, or all if name is empty.
-func (a *app) workspaceList(ctx context.Context, f *remoteFlags, name string) ([]operator.WorkspaceStatus, error) {
+// fetchWorkspaces returns the named workspace, or all if name is empty.
+func (a *app) fetchWorkspaces(ctx context.Context, f *remoteFlags, name string) ([]operator.WorkspaceStatus, error) {
 	c, err := f.client()
 	if err != nil {
 		return nil, err
@@ -198,18 +198,18 @@
 	for _, w := range list {
 		t.add(w.Workspace, w.State, w.Closing, w.Reason)
 	}
-	return print(a.stdout, f.output, list, t)
+	return printListing(a.stdout, f.output, list, t)
 }
 
-// watchPoll is the time between two polls of --watch.
-const watchPoll = time.Second
+// watchInterval is the time between two polls of --watch.
+const watchInterval = time.Second
 
 // workspaceStatus prints the state once or, with watch, at each change until ctx
 // ends.
 func (a *app) workspaceStatus(ctx context.Context, f *remoteFlags, name string, watch bool) error {
 	last := ""
 	for {
-		list, err := a.workspaceList(ctx, f, name)
+		list, err := a.fetchWorkspaces(ctx, f, name)
 		if err != nil && (!watch || ctx.Err() == nil) {
 			return err
 		}
@@ -223,7 +223,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(watchPoll):
+		case <-time.After(watchInterval):
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -25,16 +25,16 @@
 		Example: `  cyclamenbeam load run --entries 127.0.0.1:23007 --rate 20 --out result.json
   cyclamenbeam load compare before.json after.json`,
 	}
-	return grouping(cmd, newLoadRun(a), newLoadExperiment(a), newLoadCompare(a))
+	return group(cmd, newLoadRun(a), newLoadExperiment(a), newLoadCompare(a))
 }
 
-// workFlags are the flags of commands that send load.
-type workFlags struct {
+// loadFlags are the flags of commands that send load.
+type loadFlags struct {
 	options load.Options
 	out     string
 }
 
-func (f *workFlags) add(cmd *cobra.Command) {
+func (f *loadFlags) add(cmd *cobra.Command) {
 	o := &f.options
 	flags := cmd.Flags()
 	flags.StringVar(&o.Mix, "mix", workload.TallerVivo, "taller-vivo, magnolia, or a YAML file")
@@ -53,14 +53,14 @@
 }
 
 func newLoadRun(a *app) *cobra.Command {
-	f := &workFlags{}
+	f := &loadFlags{}
 	var workspace string
 	cmd := &cobra.Command{
 		Use:     "run --entries ADDRESS,… --rate N",
 		Short:   "Load a running deployment",
 		Example: `  cyclamenbeam load run --entries 127.0.0.1:23007 --platform 127.0.0.1:23000 --rate 20 --out result.json`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			token := os.Getenv(callerTokenVariable)
 			if token == "" {
 				return Error.New("no caller's token: set %s", callerTokenVariable)
@@ -70,7 +70,7 @@
 			if err != nil {
 				return err
 			}
-			return a.loaded(f, r)
+			return a.reportRun(f, r)
 		}),
 	}
 	f.add(cmd)
@@ -84,9 +84,9 @@
 	return cmd
 }
 
-// loaded prints a result and, with --out, writes it to a file. It returns an
+// reportRun prints a result and, with --out, writes it to a file. It returns an
 // error if one of the result's checks failed.
-func (a *app) loaded(f *workFlags, r *load.Result) error {
+func (a *app) reportRun(f *loadFlags, r *load.Result) error {
 	if err := load.ResultsTable([]*load.Result{r}).WriteMarkdown(a.stdout); err != nil {
 		return Error.Wrap(err)
 	}
@@ -136,7 +136,7 @@
 		Short:   "Compare results with the first one",
 		Example: `  cyclamenbeam load compare before.json after.json`,
 		Args:    cobra.MinimumNArgs(2),
-		RunE: failing(func(_ *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(_ *cobra.Command, args []string) error {
 			results, err := readResults(args)
 			if err != nil {
 				return err
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -11,12 +11,12 @@
 	"github.com/goccy/go-yaml"
 )
 
-// outputs are the formats of listings.
-var outputs = []string{"table", "json", "yaml"}
+// outputFormats are the formats of listings.
+var outputFormats = []string{"table", "json", "yaml"}
 
-func checkOutput(form string) error {
-	if !slices.Contains(outputs, form) {
-		return &exitError{status: exitUsage, err: Error.New("--output %q is none of %s", form, strings.Join(outputs, ", "))}
+func checkOutput(format string) error {
+	if !slices.Contains(outputFormats, format) {
+		return &exitError{status: exitUsage, err: Error.New("--output %q is none of %s", format, strings.Join(outputFormats, ", "))}
 	}
 	return nil
 }
@@ -44,10 +44,10 @@
 	return tw.Flush()
 }
 
-// print writes a listing in the given format: v as JSON or YAML, or else t as a
+// printListing writes a listing in the given format: v as JSON or YAML, or else t as a
 // table.
-func print(w io.Writer, form string, v any, t *table) error {
-	switch form {
+func printListing(w io.Writer, format string, v any, t *table) error {
+	switch format {
 	case "json":
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
--- a/internal/cli/remote.go
+++ b/internal/cli/remote.go
@@ -30,7 +30,7 @@
 	flags.StringVar(&f.tokenFile, "token-file", "", "file with the operator's token; default: the variable "+tokenVariable)
 	flags.StringVar(&f.authority, "authority", "", "PEM file of the authority that signed the daemon's certificate")
 	flags.StringVarP(&f.output, "output", "o", "table", "table, json or yaml")
-	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(outputs, cobra.ShellCompDirectiveNoFileComp))
+	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(outputFormats, cobra.ShellCompDirectiveNoFileComp))
 }
 
 // client returns a client of the daemon that the flags name.
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -18,7 +18,7 @@
 		Example: `  cyclamenbeam report follow --metrics 127.0.0.1:9001 > samples.jsonl
   cyclamenbeam report out/*.json --samples samples.jsonl --out report.html`,
 		Args: cobra.ArbitraryArgs,
-		RunE: failing(func(_ *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(_ *cobra.Command, args []string) error {
 			in := report.Input{Title: title, Panels: report.DefaultPanels()}
 			var err error
 			if in.Results, err = readResults(args); err != nil {
@@ -64,7 +64,7 @@
 		Short:   "Read daemons' metrics until interrupted, a JSON object a line",
 		Example: `  cyclamenbeam report follow --metrics 127.0.0.1:9001,127.0.0.1:9004 > samples.jsonl`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			err := report.Follow(cmd.Context(), a.stdout, http.DefaultClient, addresses, period)
 			if cmd.Context().Err() != nil {
 				return nil
--- a/internal/cli/rollouts.go
+++ b/internal/cli/rollouts.go
@@ -28,7 +28,7 @@
 		Example: `  cyclamenbeam rollouts --store 10.200.1.7:8225
   cyclamenbeam rollouts --store 10.200.1.7:8225 --output json`,
 		Args: cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			return a.rollouts(cmd.Context(), address, output)
 		}),
 	}
@@ -54,7 +54,7 @@
 		list = append(list, r)
 	}
 	slices.SortFunc(list, func(x, y rollout.Record) int { return cmp.Compare(x.Order.Service, y.Order.Service) })
-	return print(a.stdout, output, list, rolloutTable(list))
+	return printListing(a.stdout, output, list, rolloutTable(list))
 }
 
 func rolloutTable(list []rollout.Record) *table {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -19,7 +19,7 @@
 
 // The exit statuses.
 const (
-	exitDone    = 0
+	exitOK      = 0
 	exitFailed  = 1 // refused, or failed
 	exitUsage   = 2
 	exitUnknown = 3 // a change may or may not have taken effect
@@ -58,7 +58,7 @@
 	root.SetErr(stderr)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	fmt.Fprintln(stderr, "error:", err)
 	var exit *exitError
@@ -94,9 +94,9 @@
 	return root
 }
 
-// grouping makes cmd a command that only groups subcommands. Without its RunE,
+// group makes cmd a command that only groups subcommands. Without its RunE,
 // cobra would answer a mistyped subcommand with the help text and exit status 0.
-func grouping(cmd *cobra.Command, below ...*cobra.Command) *cobra.Command {
+func group(cmd *cobra.Command, below ...*cobra.Command) *cobra.Command {
 	cmd.AddCommand(below...)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if len(args) > 0 {
@@ -107,10 +107,10 @@
 	return cmd
 }
 
-// failing wraps a command's function so that its errors have the exit status
+// withExitStatus wraps a command's function so that its errors have the exit status
 // exitFailed, unless they carry another. Cobra's own errors, of arguments and
 // flags, have exitUsage.
-func failing(f func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
+func withExitStatus(f func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		err := f(cmd, args)
 		var exit *exitError
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -21,7 +21,7 @@
 		Short:   "Run the daemon of an entry instance",
 		Example: `  cyclamenbeam serve --settings entry-1.yaml`,
 		Args:    cobra.NoArgs,
-		RunE:    failing(func(cmd *cobra.Command, _ []string) error { return a.serve(cmd.Context(), path) }),
+		RunE:    withExitStatus(func(cmd *cobra.Command, _ []string) error { return a.serve(cmd.Context(), path) }),
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "the daemon's settings, YAML")
 	_ = cmd.MarkFlagRequired("settings")
@@ -58,8 +58,8 @@
 	timeout := s.Limits.RequestTimeout
 	select {
 	case <-ctx.Done():
-	case at := <-d.Noticed():
-		timeout = time.Until(at)
+	case deadline := <-d.Noticed():
+		timeout = time.Until(deadline)
 	}
-	return a.leave(d.Leave, timeout)
+	return a.shutDown(d.Leave, timeout)
 }
--- a/internal/cli/servenode.go
+++ b/internal/cli/servenode.go
@@ -12,10 +12,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/platform"
 )
 
-// memoryShare is the share of limits.memoryMB that is the runtime's soft memory
+// memoryLimitShare is the share of limits.memoryMB that is the runtime's soft memory
 // limit, near which it collects garbage continuously. The rest is for the
 // kernel's buffers and for data that is read and not yet accounted for.
-const memoryShare = 0.6
+const memoryLimitShare = 0.6
 
 // gcPercent lets the heap grow to three times the live heap, which is some ten
 // megabytes. Collecting less often costs less processor time.
@@ -30,7 +30,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
 	// The platform sends SIGHUP when the settings have changed. Without a
 	// handler the signal would end the process.
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -17,7 +17,7 @@
 		Short:   "Run stand-ins of the platform and the endpoints",
 		Example: `  cyclamenbeam standin --settings standin.yaml`,
 		Args:    cobra.NoArgs,
-		RunE:    failing(func(cmd *cobra.Command, _ []string) error { return a.standin(cmd.Context(), path) }),
+		RunE:    withExitStatus(func(cmd *cobra.Command, _ []string) error { return a.standin(cmd.Context(), path) }),
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "the stand-ins' settings, YAML")
 	_ = cmd.MarkFlagRequired("settings")
--- a/internal/cli/template.go
+++ b/internal/cli/template.go
@@ -15,7 +15,7 @@
   cyclamenbeam template status harvest-closing --wait`,
 	}
 	f.add(cmd)
-	return grouping(cmd, newTemplateApply(a, f), newTemplateDelete(a, f), newTemplateGet(a, f), newTemplateList(a, f), newTemplateHistory(a, f), newTemplateStatus(a, f))
+	return group(cmd, newTemplateApply(a, f), newTemplateDelete(a, f), newTemplateGet(a, f), newTemplateList(a, f), newTemplateHistory(a, f), newTemplateStatus(a, f))
 }
 
 func newTemplateList(a *app, f *remoteFlags) *cobra.Command {
@@ -24,7 +24,7 @@
 		Short:   "List the templates",
 		Example: `  cyclamenbeam template list --server https://10.0.1.5:9001 --authority ca.pem --token-file token`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
@@ -37,7 +37,7 @@
 			for _, i := range list {
 				t.add(i.Name, i.Version, i.Changes, i.Who, i.When)
 			}
-			return print(a.stdout, f.output, list, t)
+			return printListing(a.stdout, f.output, list, t)
 		}),
 	}
 }
@@ -48,7 +48,7 @@
 		Short:   "Show who changed a template, when and why",
 		Example: `  cyclamenbeam template history harvest-closing --output yaml`,
 		Args:    cobra.ExactArgs(1),
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
@@ -57,7 +57,7 @@
 			if err != nil {
 				return err
 			}
-			return print(a.stdout, f.output, list, auditTable(list))
+			return printListing(a.stdout, f.output, list, auditTable(list))
 		}),
 	}
 }
@@ -70,7 +70,7 @@
 		Short:   "Show which daemons have a template's stored version in force",
 		Example: `  cyclamenbeam template status harvest-closing --wait`,
 		Args:    cobra.ExactArgs(1),
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
 			return a.templateStatus(cmd, f, args[0], wait, timeout)
 		}),
 	}
@@ -79,8 +79,8 @@
 	return cmd
 }
 
-// statusPoll is the time between two polls of --wait.
-const statusPoll = 200 * time.Millisecond
+// statusInterval is the time between two polls of --wait.
+const statusInterval = 200 * time.Millisecond
 
 // templateStatus prints the status of a template. With wait, it first polls until
 // the stored version is in force everywhere, for at most timeout.
@@ -100,7 +100,7 @@
 			for _, d := range s.Daemons {
 				t.add(d.Instance, d.State, d.Newest)
 			}
-			if err := print(a.stdout, f.output, s, t); err != nil {
+			if err := printListing(a.stdout, f.output, s, t); err != nil {
 				return err
 			}
 			if wait && !s.InForce {
@@ -109,7 +109,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(statusPoll):
+		case <-time.After(statusInterval):
 		case <-cmd.Context().Done():
 			return cmd.Context().Err()
 		}
--- a/internal/cli/templatechange.go
+++ b/internal/cli/templatechange.go
@@ -26,8 +26,8 @@
 	_ = cmd.MarkFlagRequired("why")
 }
 
-// id returns the operation's id, a new one where --operation gave none.
-func (f *changeFlags) id() string {
+// operationID returns the operation's operationID, a new one where --operation gave none.
+func (f *changeFlags) operationID() string {
 	if f.operation == "" {
 		f.operation = uuid.Must(uuid.NewV7()).String()
 	}
@@ -46,7 +46,7 @@
 refuses yours and the difference is shown.`,
 		Example: `  cyclamenbeam template apply --file closing.yaml --expected 12 --why "more engines for the night"`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(cmd *cobra.Command, _ []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, _ []string) error {
 			return a.templateApply(cmd, f, &change, path)
 		}),
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	expected, err := change.version(cmd, c, t.Name)
+	expected, err := change.expectedVersion(cmd, c, t.Name)
 	if err != nil {
 		return err
 	}
@@ -75,17 +75,17 @@
 		return err
 	}
 	r, err := c.Apply(cmd.Context(), t.Name, operator.Apply{
-		Expected: expected, Template: json.RawMessage(text), Why: change.why, Operation: change.id(),
+		Expected: expected, Template: json.RawMessage(text), Why: change.why, Operation: change.operationID(),
 	})
 	if err != nil {
 		return err
 	}
-	return a.changed(f, r, change.operation)
+	return a.reportChange(f, r, change.operation)
 }
 
-// version returns the version to expect: that of --expected, or else the one
+// expectedVersion returns the expectedVersion to expect: that of --expected, or else the one
 // stored now, 0 if there is none.
-func (f *changeFlags) version(cmd *cobra.Command, c *operator.Client, name string) (uint64, error) {
+func (f *changeFlags) expectedVersion(cmd *cobra.Command, c *operator.Client, name string) (uint64, error) {
 	if f.expected >= 0 {
 		return uint64(f.expected), nil
 	}
@@ -108,20 +108,20 @@
 		Short:   "Delete a template",
 		Example: `  cyclamenbeam template delete harvest-closing --expected 12 --why "the season is over"`,
 		Args:    cobra.ExactArgs(1),
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
 			}
-			expected, err := change.version(cmd, c, args[0])
+			expected, err := change.expectedVersion(cmd, c, args[0])
 			if err != nil {
 				return err
 			}
-			r, err := c.Delete(cmd.Context(), args[0], operator.Apply{Expected: expected, Why: change.why, Operation: change.id()})
+			r, err := c.Delete(cmd.Context(), args[0], operator.Apply{Expected: expected, Why: change.why, Operation: change.operationID()})
 			if err != nil {
 				return err
 			}
-			return a.changed(f, r, change.operation)
+			return a.reportChange(f, r, change.operation)
 		}),
 	}
 	cmd.Flags().Int64Var(&change.expected, "expected", -1, "version that must be stored; -1: whatever is stored now")
@@ -135,7 +135,7 @@
 		Short:   "Print a template, ready to edit and apply",
 		Example: `  cyclamenbeam template get harvest-closing > closing.yaml`,
 		Args:    cobra.ExactArgs(1),
-		RunE: failing(func(cmd *cobra.Command, args []string) error {
+		RunE: withExitStatus(func(cmd *cobra.Command, args []string) error {
 			c, err := f.client()
 			if err != nil {
 				return err
@@ -148,7 +148,7 @@
 				return Error.New("template %q was deleted by version %d", v.Name, v.Version)
 			}
 			if f.output == "json" {
-				return print(a.stdout, f.output, v.Template, nil)
+				return printListing(a.stdout, f.output, v.Template, nil)
 			}
 			text, err := yaml.MarshalWithOptions(v.Template, yaml.UseJSONMarshaler())
 			if err != nil {
@@ -160,10 +160,10 @@
 	}
 }
 
-// changed prints the outcome of a change. Its error carries the exit status.
-func (a *app) changed(f *remoteFlags, r operator.ChangeResult, operation string) error {
+// reportChange prints the outcome of a change. Its error carries the exit status.
+func (a *app) reportChange(f *remoteFlags, r operator.ChangeResult, operation string) error {
 	if f.output != "table" {
-		if err := print(a.stdout, f.output, r, nil); err != nil {
+		if err := printListing(a.stdout, f.output, r, nil); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -13,7 +13,7 @@
 		Short:   "Print the version from the build information",
 		Example: `  cyclamenbeam version`,
 		Args:    cobra.NoArgs,
-		RunE: failing(func(*cobra.Command, []string) error {
+		RunE: withExitStatus(func(*cobra.Command, []string) error {
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
 				return Error.New("the binary has no build information")
