--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,5 +1,5 @@
-// Package report writes one HTML page, which needs nothing beside itself, from
-// load results and from metrics that were read from several daemons.
+// Package report writes a self-contained HTML page of load results and of
+// metrics sampled from several daemons.
 package report
 
 import "github.com/zeebo/errs"
--- a/internal/report/exposition.go
+++ b/internal/report/exposition.go
@@ -11,8 +11,8 @@
 // maxLine bounds one line of metrics, in bytes.
 const maxLine = 1 << 20
 
-// ParseMetrics reads metrics in the Prometheus text format. Comments and
-// values that are not numbers are left out, as JSON could not hold them.
+// ParseMetrics reads metrics in the Prometheus text format. It skips comments,
+// and values that are NaN or infinite, which JSON can't represent.
 func ParseMetrics(r io.Reader) ([]Value, error) {
 	var values []Value
 	lines := bufio.NewScanner(r)
@@ -33,14 +33,14 @@
 	return values, Error.Wrap(lines.Err())
 }
 
-// parseValue reads "name{labels} value" or "name value", with a timestamp after
-// it or not.
+// parseValue reads "name{labels} value" or "name value". A timestamp after the
+// value is ignored.
 func parseValue(line string) (Value, error) {
 	name, rest, labels := line, "", ""
 	if open := strings.IndexByte(line, '{'); open >= 0 {
 		end := labelsEnd(line[open:])
 		if end < 0 {
-			return Value{}, Error.New("labels without an end")
+			return Value{}, Error.New("unterminated labels")
 		}
 		name, labels, rest = line[:open], line[open+1:open+end], line[open+end+1:]
 	} else if at := strings.IndexAny(line, " \t"); at >= 0 {
@@ -48,7 +48,7 @@
 	}
 	fields := strings.Fields(rest)
 	if name == "" || len(fields) == 0 {
-		return Value{}, Error.New("%q is no metric", line)
+		return Value{}, Error.New("%q is not a metric with a value", line)
 	}
 	v, err := strconv.ParseFloat(fields[0], 64)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return Value{Metric: strings.TrimSpace(name), Labels: labels, Value: v}, nil
 }
 
-// labelsEnd returns the index of the brace that closes the labels; braces
-// within quotes don't.
+// labelsEnd returns the index of the closing brace of the labels, or -1. Braces
+// within quotes are part of a label's value.
 func labelsEnd(s string) int {
 	quoted := false
 	for i := 0; i < len(s); i++ {
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/plot"
 )
 
-// Input is what a page is made of. Either part may be empty.
+// Input is the content of a page. Results and Samples may be empty.
 type Input struct {
 	Title   string
 	Results []*load.Result
@@ -18,7 +18,7 @@
 	Panels []Panel
 }
 
-// page is what the template shows.
+// page is the data of the page's template.
 type page struct {
 	Title      string
 	Runs       int
@@ -29,7 +29,8 @@
 	Results    *load.Table
 	Workspaces *load.Table
 	Broken     []brokenRun
-	// OrdersChecked says that the services could be asked in every run.
+	// OrdersChecked is whether the executions of orders could be read from the
+	// services in every run.
 	OrdersChecked bool
 	Comparison    *load.Comparison
 	Charts        []template.HTML
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// draw adds a chart. The chart escapes the names in it.
+// draw appends a chart as SVG, in which names are escaped.
 func draw(to *[]template.HTML, c *plot.Chart) error {
 	svg, err := c.SVG()
 	if err != nil {
--- a/internal/report/panel.go
+++ b/internal/report/panel.go
@@ -2,28 +2,28 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/load/plot"
 
-// Reading is how a panel turns a metric's values into what it draws.
+// Reading is how a panel computes the values that it draws from a metric's.
 type Reading string
 
-// The readings.
+// The transforms.
 const (
 	Plain  Reading = "plain"  // the value
 	Rate   Reading = "rate"   // its increase a second, for counters
-	Behind Reading = "behind" // the highest value seen by then on any daemon, less the own
+	Behind Reading = "behind" // how far it is below the highest value seen so far on any daemon
 )
 
-// Panel is one chart over time, a line a daemon. The metric's values of one
-// daemon with different labels are added up.
+// Panel is one chart over time with a line for each daemon. A daemon's values of
+// the metric with different labels are summed.
 type Panel struct {
 	Title   string
 	Metric  string
 	Reading Reading
 	Unit    string
-	Scale   float64 // multiplies the values; 0 stands for 1
-	Limits  []plot.Mark
+	Scale   float64     // multiplies the values; 0 stands for 1
+	Limits  []plot.Mark // drawn as horizontal lines
 }
 
-// Budgets for control that a daemon must keep, from the users' target.
+// Budgets for a daemon's control work and traffic, set by the users.
 const (
 	budgetCorePercent = 3.3
 	budgetMegabytes   = 32
@@ -41,7 +41,8 @@
 	CallsMetric        = "cyclamenbeam_platform_calls_total"
 )
 
-// DefaultPanels are version lag and the cost of control, with the budgets.
+// DefaultPanels returns the panels of the configuration's lag and of the cost of
+// control, with the budgets as limits.
 func DefaultPanels() []Panel {
 	limit := func(v float64) []plot.Mark { return []plot.Mark{{Y: v, Name: "budget"}} }
 	return []Panel{
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -30,8 +30,8 @@
 	return Sample{Daemon: daemon, At: time.Unix(int64(second), 0), Values: []Value{{metric, labels, v}}}
 }
 
-// A daemon restarts between two samples and its counter begins again. The plain
-// difference would be a large negative rate.
+// Guards against a large negative rate when a daemon restarts between two
+// samples and its counter starts at zero again.
 func TestRateOverARestart(t *testing.T) {
 	p := Panel{Metric: "m", Reading: Rate}
 	c, ok := p.chart([]Sample{sampleAt(0, "a", "m", "", 100), sampleAt(10, "a", "m", "", 120), sampleAt(20, "a", "m", "", 30)})
@@ -66,7 +66,7 @@
 	assert.DeepEqual(t, samples[0].Values, []Value{{"path", `p="/metrics"`, 1}})
 }
 
-// cancelling ends what is followed with the first sample.
+// cancelling cancels a context at the first write.
 type cancelling struct {
 	bytes.Buffer
 	cancel context.CancelFunc
--- a/internal/report/sample.go
+++ b/internal/report/sample.go
@@ -9,7 +9,7 @@
 	Values []Value   `json:"values"`
 }
 
-// Value is one metric's value.
+// Value is the value of one metric with one set of labels.
 type Value struct {
 	Metric string  `json:"metric"`           // name without labels
 	Labels string  `json:"labels,omitempty"` // as written between the braces
--- a/internal/report/scrape.go
+++ b/internal/report/scrape.go
@@ -12,11 +12,11 @@
 	"github.com/dghubble/sling"
 )
 
-// MetricsPath is where daemons answer with their metrics.
+// MetricsPath is the path of the metrics on daemons' listeners.
 const MetricsPath = "/metrics"
 
-// scrapeTimeout bounds one reading; a daemon that is slower is left out of the
-// round rather than holding up the others'.
+// scrapeTimeout bounds the read of one daemon; a slower one is left out of the
+// round, so that it doesn't delay the others.
 const scrapeTimeout = 2 * time.Second
 
 // Scrape reads one daemon's metrics.
@@ -41,7 +41,7 @@
 
 // Follow reads the daemons' metrics once a period until ctx ends, and writes
 // each sample as one line of JSON. A daemon that can't be read is left out of
-// the round; daemons come and go.
+// the round, since daemons may start and stop meanwhile.
 func Follow(ctx context.Context, w io.Writer, client *http.Client, addresses []string, period time.Duration) error {
 	out := json.NewEncoder(w)
 	t := time.NewTicker(period)
@@ -60,7 +60,8 @@
 	}
 }
 
-// scrapeAll reads all daemons at once, so that their values belong together.
+// scrapeAll reads all daemons concurrently, so that their values are from about
+// the same time. Daemons that can't be read are left out.
 func scrapeAll(ctx context.Context, client *http.Client, addresses []string) []Sample {
 	found := make([]*Sample, len(addresses))
 	var wg sync.WaitGroup
@@ -81,8 +82,8 @@
 	return samples
 }
 
-// ReadSamples reads samples that Follow wrote. A last line that was cut off,
-// as by an end in the middle of a round, is left out.
+// ReadSamples reads samples that Follow wrote. It skips a truncated last line,
+// which a Follow that is killed while writing leaves behind.
 func ReadSamples(r io.Reader) ([]Sample, error) {
 	var samples []Sample
 	d := json.NewDecoder(r)
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -7,15 +7,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/plot"
 )
 
-// reading is one daemon's value of a metric at a time.
+// reading is one daemon's value of a metric at one time.
 type reading struct {
 	daemon string
 	at     time.Time
-	value  float64
-	labels map[string]float64 // by labels
+	value  float64            // sum over all labels
+	labels map[string]float64 // value by labels
 }
 
-// readings picks one metric out of samples, in the order of time.
+// readings returns the readings of one metric in chronological order.
 func readings(samples []Sample, metric string) []reading {
 	var all []reading
 	for _, s := range samples {
@@ -34,7 +34,7 @@
 	return all
 }
 
-// chart draws a panel; false: no daemon has its metric.
+// chart returns the panel's chart, or false if no sample has its metric.
 func (p *Panel) chart(samples []Sample) (*plot.Chart, bool) {
 	all := readings(samples, p.Metric)
 	if len(all) == 0 {
@@ -57,6 +57,7 @@
 	return c, true
 }
 
+// lineOf returns the chart's series of that name, and adds it if there is none.
 func lineOf(c *plot.Chart, name string) *plot.Series {
 	i := slices.IndexFunc(c.Series, func(s plot.Series) bool { return s.Name == name })
 	if i < 0 {
@@ -66,8 +67,10 @@
 	return &c.Series[i]
 }
 
-// reader turns readings, in the order of time, into what a panel draws.
+// reader computes the values that a panel draws from readings in chronological
+// order.
 type reader interface {
+	// read returns the value to draw, or false to draw none.
 	read(r reading) (float64, bool)
 }
 
@@ -86,8 +89,8 @@
 
 func (plainReader) read(r reading) (float64, bool) { return r.value, true }
 
-// rateReader draws a counter's increase. After a restart, when a counter falls,
-// it has counted from zero.
+// rateReader computes a counter's increase per second. A counter that fell was
+// reset by a restart and has counted from zero.
 type rateReader struct{ last map[string]reading }
 
 func (w *rateReader) read(r reading) (float64, bool) {
@@ -103,7 +106,8 @@
 	return (r.value - before.value) / seconds, true
 }
 
-// behindReader draws how far a daemon's values are behind the highest ones.
+// behindReader computes how far a daemon's values are below the highest seen so
+// far, summed over the labels.
 type behindReader struct{ newest map[string]float64 }
 
 func (w *behindReader) read(r reading) (float64, bool) {
--- a/internal/report/template.go
+++ b/internal/report/template.go
@@ -1,7 +1,7 @@
 package report
 
 import (
-	_ "embed" // of the page
+	_ "embed" // for page.html
 	"html/template"
 )
 
