--- a/internal/load/caller/bench_test.go
+++ b/internal/load/caller/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkToken is the cost of one token from the bytes of its event on: the
-// decoding, the check of its offset, its time and its text.
+// BenchmarkToken measures reading one token of a stream: decoding its event,
+// checking its offset, and recording its arrival and text.
 func BenchmarkToken(b *testing.B) {
 	const n = 1000
 	var text strings.Builder
--- a/internal/load/caller/call.go
+++ b/internal/load/caller/call.go
@@ -20,8 +20,8 @@
 	Key       string // idempotency key, empty for none
 }
 
-// Call sends a request to a plain service, and again where its verdict or key
-// allows.
+// Call sends a request to a plain service, and retries it where a verdict or the
+// idempotency key makes that safe.
 func (c *Client) Call(ctx context.Context, r *Call) *Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.o.RequestTimeout)
 	defer cancel()
@@ -39,7 +39,7 @@
 	}
 }
 
-// callState is one call's state over its attempts.
+// callState is the state of one call across its attempts.
 type callState struct {
 	c       *Client
 	r       *Call
@@ -49,10 +49,11 @@
 	address string
 }
 
+// attempt sends the request once.
 func (k *callState) attempt(ctx context.Context) step {
 	k.address = k.cache.pick(ctx, k.address)
 	if k.address == "" {
-		return breakOff(Error.New("no entry is known"))
+		return breakOff(Error.New("no entry address is known"))
 	}
 	ctx, silence := newWatch(ctx, k.c.o.ProgressTimeout)
 	defer silence.stop()
@@ -74,7 +75,7 @@
 	return k.readAnswer(resp)
 }
 
-// readAnswer takes a whole answer; one that is cut off is no answer.
+// readAnswer reads the whole answer. A truncated one is a broken attempt.
 func (k *callState) readAnswer(resp *http.Response) step {
 	defer func() { _ = resp.Body.Close() }()
 	text, err := readAll(resp.Body)
@@ -87,6 +88,8 @@
 	return step{kind: whole}
 }
 
+// settle processes the end of an attempt. It returns how long to wait before the
+// next one, or false if there is none.
 func (k *callState) settle(ctx context.Context, s step) (time.Duration, bool) {
 	switch {
 	case s.kind == whole:
@@ -108,8 +111,8 @@
 	return k.backoff.next(s.failure.retryAfter), true
 }
 
-// cutOff is the end of a call whose context ended: by its own timeout, or else
-// with the run.
+// cutOff returns the end of a call whose context ended: by the call's own timeout
+// or, else, with the run.
 func (k *callState) cutOff(ctx context.Context) End {
 	if ctx.Err() == context.DeadlineExceeded {
 		return Unreached
--- a/internal/load/caller/call_test.go
+++ b/internal/load/caller/call_test.go
@@ -14,9 +14,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// The entry reads an order on a reused connection and closes it without an
-// answer. net/http by itself sends a request with an idempotency key again
-// then, and the tool would report one sending less than the entry saw.
+// Guards against retries that are not counted. When an entry reads an order on a
+// reused connection and closes it without an answer, net/http by itself sends
+// the request again if it has an idempotency key; the client would then report
+// one attempt less than the entry received.
 func TestEverySendingIsCounted(t *testing.T) {
 	var seen, orders atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +46,7 @@
 	}
 	assert.Equal(t, int(seen.Load()), sent)
 	assert.Equal(t, sent, 4)
-	assert.Assert(t, ambiguous, "an order that was cut off counts as not run")
+	assert.Assert(t, ambiguous, "an order whose connection was closed counts as not run")
 }
 
 func TestCallKeepsTheServersVerdict(t *testing.T) {
@@ -62,7 +63,7 @@
 		assert.Equal(t, out.Verdict, verdict.Ran)
 		assert.Assert(t, out.FromServer && !out.Ambiguous)
 		assert.Equal(t, c.Call(t.Context(), call).End, Answered)
-		// The entry that takes nothing is passed over by later requests as well.
+		// Later requests avoid the entry that answered 503 as well.
 		assert.DeepEqual(t, s.asked, []string{
 			"GET a /v1/services/parts/stock/1 ", "GET b /v1/services/parts/stock/1 ", "GET b /v1/services/parts/stock/1 ",
 		})
--- a/internal/load/caller/chunk.go
+++ b/internal/load/caller/chunk.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/engineapi"
 )
 
-// chunk is the data of a piece of an answer, in the form that callers of model
-// servers know.
+// chunk is the data of one event of a streamed answer, a chat completion chunk
+// of the OpenAI API.
 type chunk struct {
 	Choices []chunkChoice    `json:"choices"`
 	Usage   *engineapi.Usage `json:"usage"`
@@ -30,22 +30,22 @@
 	return c.Choices[0].Delta.Content
 }
 
-// finished reports whether the answer ends with this piece.
+// finished reports whether this is the answer's last chunk.
 func (c *chunk) finished() bool {
 	return len(c.Choices) > 0 && c.Choices[0].FinishReason != nil
 }
 
-// parse reads data over what the chunk held before.
+// parse decodes data into the chunk, replacing its content.
 func (c *chunk) parse(data []byte) error {
-	// The decoder leaves fields that the data doesn't name as they were, also
-	// in elements beyond the slice's length.
+	// The decoder leaves fields that are absent from data unchanged, also in
+	// elements beyond the slice's length.
 	clear(c.Choices)
 	c.Choices = c.Choices[:0]
 	c.Usage = nil
 	return Error.Wrap(json.Unmarshal(data, c))
 }
 
-// movedTo is the data of a moved event. An empty address means: any entry.
+// movedTo is the data of a moved event. An empty address stands for any entry.
 type movedTo struct {
 	Address string `json:"address"`
 }
--- a/internal/load/caller/client.go
+++ b/internal/load/caller/client.go
@@ -23,8 +23,8 @@
 	o = o.withDefaults()
 	c := &Client{o: o, tokens: tokens, http: &http.Client{
 		Transport: o.Transport,
-		// The client would drop the credential on the way to another address,
-		// and a move must be counted.
+		// http.Client would drop the credential on a redirect to another
+		// address, and the redirect would not be counted.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 	for workspace := range tokens {
@@ -52,16 +52,17 @@
 // Close closes connections that are not in use.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// cache returns the entry knowledge of one of a workspace's callers.
+// cache returns the entry cache of one of a workspace's callers, chosen by seed.
 func (c *Client) cache(workspace int, seed uint64) *entryCache {
 	caches := c.caches[workspace]
 	return caches[seed%uint64(len(caches))]
 }
 
-// failed notes a failed attempt. An entry that broke off or takes nothing is
-// passed over until the next answer about entries. After silence the
-// connections that were opened along with the silent one are likely to be dead
-// as well; closing them spares each next request the same wait.
+// failed records a failed attempt. An entry that closed the connection or
+// answered 503 is avoided until the list of entries is refreshed. After a
+// progress timeout, other connections opened along with the unresponsive one are
+// likely to be dead as well; closing the idle ones saves later requests the same
+// wait.
 func (c *Client) failed(cache *entryCache, address string, s step, o *Outcome) {
 	o.Reasons = append(o.Reasons, s.reason())
 	if s.kind == broken || s.failure.status == http.StatusServiceUnavailable {
@@ -82,9 +83,9 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	// Without GetBody the transport can't send a request again by itself, which
-	// it would for one with an idempotency key when a reused connection dies.
-	// Such a second sending would be missing from the count.
+	// Without GetBody the transport can't retry a request by itself, as it would
+	// for one with an idempotency key when a reused connection fails. Such a
+	// retry would be missing from the count.
 	r.GetBody = nil
 	r.Header.Set("Authorization", "Bearer "+c.tokens[workspace])
 	if body != nil {
@@ -93,16 +94,17 @@
 	return r, nil
 }
 
-// maxDrain bounds what is read of an answer that is of no more use, in bytes.
+// maxDrain bounds how much of an unused answer is read, in bytes.
 const maxDrain = 64 << 10
 
-// drain lets the connection be used again.
+// drain reads and closes the body, so that the connection can be reused.
 func drain(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxDrain)
 	_ = resp.Body.Close()
 }
 
-// maxAnswer bounds a plain service's answer, in bytes.
+// maxAnswer is the length at which a plain service's answer is truncated, in
+// bytes.
 const maxAnswer = 1 << 20
 
 func readAll(r io.Reader) ([]byte, error) {
--- a/internal/load/caller/completion.go
+++ b/internal/load/caller/completion.go
@@ -18,8 +18,9 @@
 	Body      []byte // JSON
 }
 
-// Complete sends a completion and follows its answer to the end. Retries keep
-// the key, so a request that was accepted unnoticed is attached to.
+// Complete sends a completion and reads its stream to the end. Retries keep the
+// key, so that one whose acceptance was not received attaches to the running
+// request.
 func (c *Client) Complete(ctx context.Context, r *Completion) *Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.o.RequestTimeout)
 	defer cancel()
@@ -33,7 +34,7 @@
 	}
 }
 
-// follower is one completion's state over its attempts.
+// follower is the state of one completion across its attempts.
 type follower struct {
 	c       *Client
 	r       *Completion
@@ -51,11 +52,11 @@
 	return f
 }
 
-// attempt sends the request, or takes up its stream once it was accepted.
+// attempt sends the request or, once it was accepted, resumes its stream.
 func (f *follower) attempt(ctx context.Context) step {
 	f.address = f.pick(ctx)
 	if f.address == "" {
-		return breakOff(Error.New("no entry is known"))
+		return breakOff(Error.New("no entry address is known"))
 	}
 	ctx, silence := newWatch(ctx, f.c.o.ProgressTimeout)
 	defer silence.stop()
@@ -75,8 +76,8 @@
 	return s
 }
 
-// pick returns the address that the last step named, else any other entry than
-// the one that failed.
+// pick returns the address that the last step named, or else an entry other than
+// that of the last attempt.
 func (f *follower) pick(ctx context.Context) string {
 	if next := f.next; next != "" {
 		f.next = ""
@@ -94,6 +95,8 @@
 	return resp, Error.Wrap(err)
 }
 
+// build returns the request to send, or to resume its stream after the tokens
+// received so far.
 func (f *follower) build(ctx context.Context) (*http.Request, error) {
 	if f.out.Accepted {
 		path := RequestsPath + f.r.Key + EventsSuffix
@@ -113,8 +116,8 @@
 	return r, nil
 }
 
-// settle takes the end of an attempt. It returns how long to wait before the
-// next one, or false when there is none.
+// settle processes the end of an attempt. It returns how long to wait before the
+// next one, or false if there is none.
 func (f *follower) settle(ctx context.Context, s step) (time.Duration, bool) {
 	switch {
 	case s.kind == whole:
@@ -143,8 +146,8 @@
 	return 0, true
 }
 
-// settleAccepted resumes until the answer is whole, a verdict ends it, or the
-// bound of resumes is reached.
+// settleAccepted resumes the stream unless a verdict ended the request or
+// MaxResumes is reached.
 func (f *follower) settleAccepted(s step) (time.Duration, bool) {
 	if s.kind == failed && !elsewhere(s.failure.status) {
 		f.finish(Failed, s)
@@ -158,7 +161,8 @@
 	return f.before(s), true
 }
 
-// settleNew sends the request again unless its refusal is final.
+// settleNew retries a request that was not accepted, unless the failure is final
+// or MaxRetries is reached.
 func (f *follower) settleNew(s step) (time.Duration, bool) {
 	if !again(s) || f.out.Sent > f.c.o.MaxRetries {
 		f.finish(refusedOr(s), s)
@@ -184,8 +188,8 @@
 	}
 }
 
-// cutOff is the end of a request whose context ended: by the request's own
-// timeout, or else with the run.
+// cutOff returns the end of a request whose context ended: by the request's own
+// timeout or, else, with the run.
 func (f *follower) cutOff(ctx context.Context) End {
 	switch {
 	case ctx.Err() != context.DeadlineExceeded:
@@ -197,7 +201,8 @@
 	}
 }
 
-// pause waits before the next attempt.
+// pause waits before the next attempt. It returns false if ctx ended first, and
+// then the request has ended.
 func (f *follower) pause(ctx context.Context, d time.Duration) bool {
 	if d == 0 || pause.For(ctx, d) {
 		return true
--- a/internal/load/caller/completion_test.go
+++ b/internal/load/caller/completion_test.go
@@ -20,8 +20,9 @@
 
 var cmpSeen = cmp.AllowUnexported(seen{})
 
-// script answers requests by a list, one entry a request, and keeps what it
-// was asked. Questions for entries are answered by the list of entries.
+// script is a transport that answers requests with the elements of a list, in
+// order, and records the requests. Requests for the list of entries are answered
+// with entries and not recorded.
 type script struct {
 	entries []string
 	answers []func() (*http.Response, error)
@@ -35,7 +36,7 @@
 	}
 	s.asked = append(s.asked, fmt.Sprintf("%s %s %s %s", r.Method, r.URL.Host, r.URL.Path, r.Header.Get(lastEventHeader)))
 	if len(s.answers) == 0 {
-		return nil, errors.New("the script has ended")
+		return nil, errors.New("the script has no more answers")
 	}
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
@@ -54,7 +55,7 @@
 	return func() (*http.Response, error) { return response(status, body, header...), nil }
 }
 
-// breaks answers with the body and then with an error in place of its end.
+// breaks answers with the body, after which reading fails.
 func breaks(body string) func() (*http.Response, error) {
 	return func() (*http.Response, error) {
 		r := response(200, "")
@@ -63,7 +64,8 @@
 	}
 }
 
-// tokens is the events of the tokens from one count to another, as an entry writes them.
+// tokens returns the events of the tokens with the given numbers, inclusive, as
+// an entry writes them.
 func tokens(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
@@ -108,9 +110,9 @@
 	})
 }
 
-// After a resume the entry sends a token again that the caller has, and leaves
-// one out. The caller would read a whole answer with wrong text; the check by
-// offset must tell both.
+// Guards against an entry that, after a resume, repeats a token and skips
+// another: the answer would look whole but have the wrong text. The check of
+// offsets must count both.
 func TestTokensLostAndSentTwiceAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := complete(t, &script{answers: []func() (*http.Response, error){
@@ -141,13 +143,13 @@
 		answers []func() (*http.Response, error)
 		end     End
 		verdict verdict.Verdict
-		silent  bool // without a verdict from the server
+		silent  bool // the answer had no verdict
 	}{
-		"wrong request":            {[]func() (*http.Response, error){answers(400, `{"verdict":"not-run"}`)}, Refused, verdict.NotRun, false},
-		"refused without verdict":  {[]func() (*http.Response, error){answers(404, "gone")}, Refused, verdict.MayHaveRun, true},
-		"failed once accepted":     {[]func() (*http.Response, error){answers(200, acceptance+tokens(1, 2)+failure)}, Failed, verdict.MayHaveRun, false},
-		"accepted and never again": {[]func() (*http.Response, error){answers(200, acceptance)}, Lost, verdict.MayHaveRun, false},
-		"nobody there":             {nil, Unreached, verdict.MayHaveRun, false},
+		"wrong request":                 {[]func() (*http.Response, error){answers(400, `{"verdict":"not-run"}`)}, Refused, verdict.NotRun, false},
+		"refused without verdict":       {[]func() (*http.Response, error){answers(404, "gone")}, Refused, verdict.MayHaveRun, true},
+		"failed once accepted":          {[]func() (*http.Response, error){answers(200, acceptance+tokens(1, 2)+failure)}, Failed, verdict.MayHaveRun, false},
+		"accepted, never reached again": {[]func() (*http.Response, error){answers(200, acceptance)}, Lost, verdict.MayHaveRun, false},
+		"no entry reached":              {nil, Unreached, verdict.MayHaveRun, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -160,9 +162,9 @@
 	}
 }
 
-// Something between caller and entry loses track of the open connection: the
-// stream stops, no error comes, and a read would wait for ever. The caller must
-// give it up after the progress timeout and take the answer up elsewhere.
+// Guards against a connection that a middlebox between caller and entry no longer
+// tracks: the stream stops without an error and a read would block for ever.
+// After the progress timeout the caller must close it and resume at another entry.
 func TestSilentStreamIsResumedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []func() (*http.Response, error){nil, answers(200, tokens(2, 4)+ending)}}
@@ -181,9 +183,10 @@
 	})
 }
 
-// An entry accepts a request, is never reached again, and each resume is
-// refused with a long hint. The caller's own timeout ends it. The promise of
-// acceptance was broken, so it must count as lost and not as cut off by the run.
+// Guards against a wrong count of an accepted request whose entry becomes
+// unreachable, and whose resumes are refused with a long Retry-After until the
+// caller's own timeout. Accepted requests must be answered, so it must count as
+// lost and not as unfinished at the end of the run.
 func TestAcceptedRequestThatTimesOutIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		busy := answers(503, `{"verdict":"not-run"}`, "Retry-After", "9")
@@ -204,7 +207,7 @@
 	})
 }
 
-// silent reads its text and then waits until it is closed.
+// silent returns its text and then blocks until it is closed.
 type silent struct {
 	io.Reader
 	closed chan struct{}
@@ -220,7 +223,7 @@
 
 func (s *silent) Close() error { return nil }
 
-// closing ends silent bodies when their request's context ends.
+// closing closes silent bodies when their request's context ends.
 type closing struct{ http.RoundTripper }
 
 func (c closing) RoundTrip(r *http.Request) (*http.Response, error) {
--- a/internal/load/caller/decide.go
+++ b/internal/load/caller/decide.go
@@ -6,8 +6,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// again reports whether a request that was not accepted is sent once more. The
-// key makes that safe where it may have run; where it ran, its answer is final.
+// again reports whether a request that was not accepted is retried. The
+// idempotency key makes that safe where it may have run. If it ran, its answer is
+// final.
 func again(s step) bool {
 	if s.kind == broken {
 		return true
@@ -15,7 +16,8 @@
 	return s.failure.verdict != verdict.Ran && passing(s.failure.status)
 }
 
-// passing reports whether the same request may fare better later.
+// passing reports whether a status is transient: the same request may succeed
+// later.
 func passing(status int) bool {
 	return status >= http.StatusInternalServerError ||
 		status == http.StatusTooManyRequests ||
@@ -23,16 +25,17 @@
 		status == http.StatusConflict
 }
 
-// elsewhere reports whether a failed resume says something about the entry
-// that was asked and not about the request: it does not know the request, or
-// takes nothing now.
+// elsewhere reports whether the status of a failed resume is about the entry and
+// not about the request: the entry does not have the request, or accepts no
+// requests now. The resume may then succeed at another entry.
 func elsewhere(status int) bool {
 	return status == http.StatusNotFound ||
 		status == http.StatusTooManyRequests ||
 		status == http.StatusServiceUnavailable
 }
 
-// refusedOr is the end of a request that was never accepted.
+// refusedOr returns the end of a request that was never accepted: Refused if the
+// last attempt was answered, else Unreached.
 func refusedOr(s step) End {
 	if s.kind == failed {
 		return Refused
--- a/internal/load/caller/doc.go
+++ b/internal/load/caller/doc.go
@@ -1,7 +1,7 @@
-// Package caller behaves as the callers of a deployment do: it asks which
-// entries to use, keeps the answer, sends requests, follows streams to their
-// end over breaks and moves, and retries where a verdict or an idempotency key
-// makes that safe. It checks every answer that it reads.
+// Package caller is a client of the callers' API. It requests and caches the list
+// of entries, sends requests, reads streams to their end across broken
+// connections and moves to other entries, and retries where a verdict or an
+// idempotency key makes that safe. It checks the token offsets of every answer.
 package caller
 
 import "github.com/zeebo/errs"
--- a/internal/load/caller/end.go
+++ b/internal/load/caller/end.go
@@ -9,11 +9,11 @@
 const (
 	// Answered: the whole answer was read.
 	Answered End = iota
-	// Refused: a verdict came in place of an answer, before acceptance.
+	// Refused: a failure was answered before acceptance.
 	Refused
-	// Failed: a verdict came after acceptance.
+	// Failed: a failure was answered after acceptance.
 	Failed
-	// Lost: accepted, and neither the whole answer nor a verdict came.
+	// Lost: accepted, and neither the whole answer nor a failure was received.
 	Lost
 	// Unreached: no entry accepted or refused it.
 	Unreached
--- a/internal/load/caller/entries.go
+++ b/internal/load/caller/entries.go
@@ -20,7 +20,8 @@
 	MaxAgeSeconds int `json:"maxAgeSeconds"`
 }
 
-// askEntries asks one entry for the list of a workspace.
+// askEntries requests a workspace's list of entries from one entry. It returns
+// their addresses and how long to cache them.
 func (c *Client) askEntries(ctx context.Context, address string, workspace int) ([]string, time.Duration, error) {
 	r, err := c.request(ctx, http.MethodGet, address, EntriesPath, workspace, nil)
 	if err != nil {
@@ -45,7 +46,8 @@
 	return list, maxAge(resp.Header, a.MaxAgeSeconds), nil
 }
 
-// maxAge takes the header first, as any HTTP cache would.
+// maxAge returns how long to cache a list: the max-age of Cache-Control, or else
+// the body's seconds, or else the default.
 func maxAge(h http.Header, seconds int) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Cache-Control"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "max-age=")
--- a/internal/load/caller/entrycache.go
+++ b/internal/load/caller/entrycache.go
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// Bounds of asking for entries.
+// Times of requests for the list of entries.
 const (
-	// askTimeout bounds one question; a dead entry must not hold a caller up
-	// for longer than it takes to ask the next.
+	// askTimeout bounds one request, so that an unresponsive entry delays a caller
+	// only briefly before it tries the next. It is also the wait before another
+	// refresh after all have failed.
 	askTimeout = time.Second
-	// defaultMaxAge is kept where an answer names no age.
+	// defaultMaxAge is used where an answer has no maximum age.
 	defaultMaxAge = 5 * time.Second
 )
 
-// asker asks one entry which entries to use and for how long to keep the answer.
+// asker requests the list of entries to use, and how long to cache it, from one
+// entry.
 type asker func(ctx context.Context, address string) ([]string, time.Duration, error)
 
-// entryCache is one caller's knowledge of entries. It keeps an answer for its
-// maximal age and then asks again. An entry that failed is passed over until
-// the next answer. Safe for concurrent use.
+// entryCache is one caller's cache of the list of entries. It refreshes the list
+// after its maximum age. An entry that failed is avoided until the next refresh.
+// Safe for concurrent use.
 type entryCache struct {
 	ask    asker
 	seeds  []string
@@ -29,12 +31,12 @@
 
 	mu      sync.Mutex
 	entries []string
-	gone    []string
-	until   time.Time
+	gone    []string  // entries that failed since the last refresh
+	until   time.Time // the next refresh is due
 }
 
-// pick returns the entry to use, another than avoid where one is known. It is
-// empty only where there are no seeds.
+// pick returns the entry to use, if possible another than avoid. It is empty
+// only if there are neither entries nor seeds.
 func (c *entryCache) pick(ctx context.Context, avoid string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +49,7 @@
 	if usable := c.usable(""); len(usable) > 0 {
 		return usable[c.offset%len(usable)]
 	}
-	// All are said to be gone, which is more likely a passing fault of ours.
+	// All have failed, which is more likely a transient fault on this side.
 	c.gone = nil
 	all := c.known()
 	if len(all) == 0 {
@@ -56,7 +58,7 @@
 	return all[c.offset%len(all)]
 }
 
-// fail notes that an entry could not be used.
+// fail marks an entry as failed.
 func (c *entryCache) fail(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,8 +67,8 @@
 	}
 }
 
-// refresh asks the known entries and then the seeds until one answers. Without
-// an answer the old one stays in use for a moment.
+// refresh requests the list from the known entries and then the seeds until one
+// answers. If none does, the old list stays in use for askTimeout.
 func (c *entryCache) refresh(ctx context.Context) {
 	for _, address := range c.known() {
 		ask, cancel := context.WithTimeout(ctx, askTimeout)
@@ -83,8 +85,8 @@
 	c.until = time.Now().Add(askTimeout)
 }
 
-// known returns the entries of the last answer, those not gone first, and then
-// the seeds.
+// known returns the entries of the last answer, those that have not failed first,
+// and then the seeds.
 func (c *entryCache) known() []string {
 	all := c.usable("")
 	for _, list := range [][]string{c.entries, c.seeds} {
@@ -97,7 +99,8 @@
 	return all
 }
 
-// usable returns the entries of the last answer that are not gone and not avoid.
+// usable returns the entries of the last answer that have not failed, without
+// avoid.
 func (c *entryCache) usable(avoid string) []string {
 	usable := make([]string, 0, len(c.entries))
 	for _, address := range c.entries {
--- a/internal/load/caller/entrycache_test.go
+++ b/internal/load/caller/entrycache_test.go
@@ -25,9 +25,9 @@
 	})
 }
 
-// The entry that a caller was told to use dies. Until the answer's age is over
-// the caller must use the others, and when it asks again the dead one may be
-// the only one that it knows besides.
+// Guards against sending to an entry that has failed: until the list expires the
+// caller must use the others. The refresh then must try the seeds as well, since
+// the listed entries may not answer.
 func TestDeadEntryIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var askedAt []string
--- a/internal/load/caller/failure.go
+++ b/internal/load/caller/failure.go
@@ -13,7 +13,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// failure is an answer that says why there is no answer.
+// failure is an error answer, of problem details and a verdict.
 type failure struct {
 	status     int
 	verdict    verdict.Verdict
@@ -25,7 +25,7 @@
 // maxProblem bounds the read of a problem's body, in bytes.
 const maxProblem = 64 << 10
 
-// readFailure reads a failure answer and closes it.
+// readFailure reads an error answer and closes its body.
 func readFailure(resp *http.Response) *failure {
 	defer drain(resp)
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxProblem))
@@ -38,15 +38,15 @@
 	return f
 }
 
-// parseProblem reads a problem's body. Without a verdict in it the failure has
-// none, and counts as may-have-run.
+// parseProblem decodes problem details. A failure without a verdict counts as
+// may-have-run.
 func parseProblem(body []byte) *failure {
 	var raw struct {
 		problem.Problem
 		Verdict *verdict.Verdict `json:"verdict"`
 	}
 	if err := json.Unmarshal(body, &raw); err != nil {
-		return &failure{err: Error.New("failure without problem details")}
+		return &failure{err: Error.New("failure answer without problem details")}
 	}
 	f := &failure{status: raw.Status, err: Error.New("%d %s", raw.Status, raw.Detail)}
 	if raw.Verdict != nil {
@@ -55,7 +55,7 @@
 	return f
 }
 
-// retryAfter reads the header's two forms.
+// retryAfter parses Retry-After: seconds or an HTTP date. It is 0 for neither.
 func retryAfter(value string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(value); err == nil {
 		return max(0, time.Duration(n)*time.Second)
@@ -66,8 +66,8 @@
 	return 0
 }
 
-// ownVerdict concludes what a transport error proves. Only a failed dial
-// proves that nothing was sent.
+// ownVerdict derives a verdict from a transport error. Only a failed dial proves
+// that nothing was sent.
 func ownVerdict(err error) verdict.Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/load/caller/options.go
+++ b/internal/load/caller/options.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// EntryChoice is which of the listed entries a caller uses.
+// EntryChoice is which of the listed entries a caller prefers.
 type EntryChoice string
 
 // The choices.
 const (
-	First  EntryChoice = "first"  // the best one, as the API asks
-	Spread EntryChoice = "spread" // each caller starts at another one of the list
+	First  EntryChoice = "first"  // the first, which is the best, as the API demands
+	Spread EntryChoice = "spread" // a different one for each caller
 )
 
 // Options are a client's settings. Zero values stand for the defaults.
 type Options struct {
-	// Seeds are entry addresses, host:port, that are known without asking.
+	// Seeds are entry addresses, host:port, for the first request for entries.
 	Seeds []string
 	// Scheme is "http" or "https".
 	Scheme string
 	// Transport sends requests; nil stands for NewTransport.
 	Transport http.RoundTripper
-	// Callers is how many callers a workspace has; each asks for entries and
-	// keeps the answer for itself.
+	// Callers is how many callers a workspace has; each has its own cache of the
+	// list of entries.
 	Callers int
 	Choice  EntryChoice
-	// MaxRetries bounds how often one request is sent again before it is accepted.
+	// MaxRetries bounds the retries of one request before it is accepted.
 	MaxRetries int
-	// MaxResumes bounds how often one accepted request's stream is taken up again.
+	// MaxResumes bounds the resumes of an accepted request's stream, and its moves.
 	MaxResumes int
-	// ProgressTimeout is how long a stream may be silent before it is given up
-	// and resumed on a new connection.
+	// ProgressTimeout is how long a connection may receive nothing before it is
+	// closed, and the request retried or its stream resumed on a new one.
 	ProgressTimeout time.Duration
-	// RequestTimeout bounds one request with all its retries.
+	// RequestTimeout bounds one request with all its attempts.
 	RequestTimeout time.Duration
 }
 
@@ -42,10 +42,11 @@
 const (
 	defaultCallers    = 8
 	defaultMaxRetries = 3
-	// A hand-over costs one resume; eight outlast repeated and overlapping ones.
+	// A hand-over costs one resume; eight suffice for repeated and overlapping
+	// ones.
 	defaultMaxResumes = 8
-	// Above the longest queueing time that a deployment should accept a
-	// request for, so that a queue isn't taken for a silent connection.
+	// Longer than a deployment should keep an accepted request queued, so that a
+	// queued request isn't mistaken for a dead connection.
 	defaultProgressTimeout = 20 * time.Second
 	defaultRequestTimeout  = 3 * time.Minute
 	dialTimeout            = 2 * time.Second
@@ -80,11 +81,11 @@
 	return o
 }
 
-// idleConnections is how many unused connections to one entry are kept. Fewer
-// would open a connection for most requests of a burst.
+// idleConnections is how many idle connections to one entry are kept. With few,
+// most requests of a burst would have to open a connection.
 const idleConnections = 1024
 
-// NewTransport returns an HTTP transport for many streams to few addresses.
+// NewTransport returns an HTTP transport for many streams from few addresses.
 func NewTransport() *http.Transport {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
--- a/internal/load/caller/outcome.go
+++ b/internal/load/caller/outcome.go
@@ -7,39 +7,39 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Outcome is all that a caller saw of one request.
+// Outcome is what a caller observed of one request.
 type Outcome struct {
 	End     End
 	Verdict verdict.Verdict // where End isn't Answered
-	// FromServer says that the verdict was read from an answer; else it is this
-	// side's own conclusion.
+	// FromServer is whether the verdict was read from an answer; otherwise the
+	// client derived it.
 	FromServer bool
-	// NoVerdict says that a failure answer came without its verdict.
+	// NoVerdict is whether a failure answer lacked a verdict.
 	NoVerdict bool
-	// Ambiguous says that an attempt before the last may have run.
+	// Ambiguous is whether an attempt before the last may have run.
 	Ambiguous bool
-	// Accepted says that a stream was begun.
+	// Accepted is whether a stream was started.
 	Accepted bool
 	Err      error // why it was not answered
 
 	First time.Time       // arrival of the first token
 	Done  time.Time       // arrival of the answer's end
-	Gaps  []time.Duration // between the arrivals of neighbouring tokens
+	Gaps  []time.Duration // between the arrivals of consecutive tokens
 	Text  []byte
 
-	Tokens     int // tokens held at the end
-	Duplicated int // tokens that came again
-	Missing    int // tokens that were jumped over
+	Tokens     int // offset of the last token received
+	Duplicated int // tokens received more than once
+	Missing    int // tokens skipped by the offsets
 	Usage      *engineapi.Usage
 
-	Reasons []string // why each attempt failed that did
+	Reasons []string // of the failed attempts, in order
 
 	Sent    int // times the request was sent
-	Resumes int // times its stream was taken up again after a break
-	Moves   int // times it was taken up elsewhere because it had moved
+	Resumes int // times its stream was resumed after a failure
+	Moves   int // times its stream was resumed elsewhere after a moved event
 }
 
-// token takes one token at its arrival.
+// token records the arrival of one event's tokens; last is the arrival before.
 func (o *Outcome) token(now, last time.Time, text []byte) {
 	if o.First.IsZero() {
 		o.First = now
@@ -49,7 +49,7 @@
 	o.Text = append(o.Text, text...)
 }
 
-// fail ends the request with what is known of it.
+// fail records how the request ended without its whole answer.
 func (o *Outcome) fail(end End, v verdict.Verdict, err error) {
 	o.End = end
 	o.Verdict = v
--- a/internal/load/caller/paths.go
+++ b/internal/load/caller/paths.go
@@ -12,11 +12,11 @@
 	lastEventHeader = "Last-Event-ID"
 )
 
-// Names of SSE events. An event without a name is a piece of the answer.
+// Names of SSE events. An event without a name is a chunk of the answer.
 const (
-	acceptedEvent = "accepted" // the request has been accepted; its id follows
+	acceptedEvent = "accepted" // the request was accepted; the data is its id
 	movedEvent    = "moved"    // resume elsewhere
-	errorEvent    = "error"    // ended without its whole answer; a problem follows
+	errorEvent    = "error"    // ended without its whole answer; the data is problem details
 )
 
 // doneData is the data of a stream's last event.
--- a/internal/load/caller/plaintoken.go
+++ b/internal/load/caller/plaintoken.go
@@ -2,16 +2,16 @@
 
 import "bytes"
 
-// What stands around the text of a token's piece, as entries write it.
+// The JSON before and after the text of a token's chunk, as entries write it.
 var (
 	tokenOpen  = []byte(`"delta":{"content":"`)
 	tokenClose = []byte(`"},"finish_reason":null}]}`)
 )
 
-// plainToken returns the text of a piece that is one token without escapes,
-// in the very form that entries write. Other forms are left to the JSON
-// decoder, which takes ten times as long: at the rates of a load test its time
-// would be counted as the deployment's.
+// plainToken returns the text of a chunk that is one token without escapes, in
+// exactly the form that entries write. Other forms are left to the JSON decoder,
+// which takes ten times as long: at the rates of a load test that would add to
+// the latencies measured.
 func plainToken(data []byte) ([]byte, bool) {
 	head, found := bytes.CutSuffix(data, tokenClose)
 	if !found {
--- a/internal/load/caller/plaintoken_test.go
+++ b/internal/load/caller/plaintoken_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The quick reading must agree with the JSON decoder on whatever it takes.
+// plainToken must agree with the JSON decoder on every chunk that it accepts.
 func TestPlainTokenAgreesWithTheDecoder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(rapid.String(), rapid.StringMatching(` ?[a-z"\\{}:,]+`)).Draw(t, "text")
@@ -26,9 +26,9 @@
 	assert.Assert(t, ok)
 }
 
-// A token with an escape goes through the JSON decoder, which keeps its text
-// in the reused chunk. The last piece has no text, so were the old one left
-// there it would stand twice in the answer.
+// Guards against text left over in the reused chunk. A token with an escape goes
+// through the JSON decoder, which stores its text there. The last chunk has no
+// text, so a text that was not cleared would appear twice in the answer.
 func TestTextOfAnEarlierPieceDoesNotComeBack(t *testing.T) {
 	r := tokenReader{out: &Outcome{}}
 	stream := tokens(1, 1) +
--- a/internal/load/caller/silence.go
+++ b/internal/load/caller/progress.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// errSilent ends an attempt whose connection said nothing for too long.
-var errSilent = errors.New("the connection was silent for too long")
+// errSilent is the cause of an attempt's end by the progress timeout.
+var errSilent = errors.New("nothing was received within the progress timeout")
 
-// watch cancels its context when extend was not called for a while. Something
-// between the two ends may have lost track of an open connection: reads on it
-// then wait for ever, while new connections work.
+// watch cancels its context when extend was not called for timeout. A middlebox
+// may no longer track an open connection: reads on it then block for ever, while
+// new connections work.
 type watch struct {
 	timer   *time.Timer
 	timeout time.Duration
@@ -32,7 +32,7 @@
 	w.cancel(nil)
 }
 
-// breakSilent is breakOff with the reason in place of a cancelled context.
+// breakSilent is breakOff(err), but with errSilent if that cancelled ctx.
 func breakSilent(ctx context.Context, err error) step {
 	if context.Cause(ctx) == errSilent {
 		return breakOff(errSilent)
--- a/internal/load/caller/sse.go
+++ b/internal/load/caller/sse.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-// Sizes of the decoder's buffers, in bytes. A token's event is some 200 bytes.
+// Sizes of the decoder's buffers, in bytes. A token's event has about 200 bytes.
 const (
 	readBuffer = 4 << 10
-	maxEvent   = 1 << 20 // an event above this is an error, not a reason to grow
+	maxEvent   = 1 << 20 // the longest line; a longer one is an error
 )
 
 // event is one server-sent event. Its slices are valid until the next call of
@@ -22,12 +22,12 @@
 }
 
 // decoder reads server-sent events as the HTML standard defines them, with
-// lines that end in LF or CRLF. An event that the stream's end cuts off is
-// dropped, as the standard asks: half a token must not count as one.
+// lines that end in LF or CRLF. An event truncated by the end of the stream is
+// dropped, as the standard demands: a partial token must not count as one.
 type decoder struct {
 	r    *bufio.Reader
 	ev   event
-	long []byte
+	long []byte // buffer of longLine
 }
 
 func newDecoder(r io.Reader) *decoder {
@@ -51,8 +51,8 @@
 			continue
 		}
 		if len(d.ev.data) > 0 {
-			// The standard ends each data line with a newline and takes the
-			// last one off.
+			// By the standard each data line adds a newline, and the last one
+			// is removed.
 			d.ev.data = d.ev.data[:len(d.ev.data)-1]
 			return &d.ev, nil
 		}
@@ -67,7 +67,7 @@
 	d.ev.hasID = false
 }
 
-// line returns the next line without its end.
+// line returns the next line without its line ending.
 func (d *decoder) line() ([]byte, error) {
 	line, err := d.r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -95,8 +95,8 @@
 	}
 }
 
-// field takes one line "name: value". Comments, which have no name, and
-// unknown fields are skipped.
+// field parses one line "name: value". Comments, which have no name, and unknown
+// fields are skipped.
 func (d *decoder) field(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
--- a/internal/load/caller/sse_test.go
+++ b/internal/load/caller/sse_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// seen is one decoded event as strings.
+// seen is one decoded event with its fields as strings.
 type seen struct{ id, name, data string }
 
 func decodeAll(t *testing.T, r io.Reader) ([]seen, error) {
@@ -41,9 +41,9 @@
 	}
 }
 
-// The caller's connection dies in the middle of an event. What arrived of the
-// event looks like a whole one but for the empty line. Were it taken, half a
-// token would be part of the answer and the resume would skip the other half.
+// Guards against a partial token when the connection fails within an event. What
+// arrived looks like a whole event except for the empty line. If it counted, the
+// answer would hold a part of the token and the resume would skip the rest.
 func TestDecoderDropsTheEventThatTheEndCutsOff(t *testing.T) {
 	for _, tail := range []string{"id: 2\ndata: par", "id: 2\ndata: part\n", "id: 2\n"} {
 		got, err := decodeAll(t, strings.NewReader("id: 1\ndata: whole\n\n"+tail))
@@ -57,7 +57,7 @@
 	assert.ErrorContains(t, err, "above")
 }
 
-// endless is a line that never ends.
+// endless is a reader of a line without an end.
 type endless struct{}
 
 func (endless) Read(p []byte) (int, error) {
--- a/internal/load/caller/step.go
+++ b/internal/load/caller/step.go
@@ -12,13 +12,13 @@
 type stepKind uint8
 
 const (
-	whole  stepKind = iota // the answer's end was read
-	moved                  // go on at address, any where it is empty
-	broken                 // err, without an answer from the entry
-	failed                 // the entry answered with a failure
+	whole  stepKind = iota // the whole answer was read
+	moved                  // the stream continues at address, or at any entry if it is empty
+	broken                 // err ended the attempt without a failure answer
+	failed                 // the entry answered with failure
 )
 
-// step is the end of one attempt.
+// step is the result of one attempt.
 type step struct {
 	kind    stepKind
 	address string
@@ -26,9 +26,10 @@
 	failure *failure
 }
 
+// breakOff returns the step of an attempt that err ended.
 func breakOff(err error) step { return step{kind: broken, err: err} }
 
-// verdictOf is what a step that failed proves about the request.
+// verdictOf returns the verdict of a broken or failed step.
 func (s step) verdictOf() verdict.Verdict {
 	if s.kind == failed {
 		return s.failure.verdict
@@ -43,8 +44,8 @@
 	return s.err
 }
 
-// reason says in a few words why the step failed, alike for alike failures, so
-// that they can be counted.
+// reason returns a short text, the same for similar failures, by which they are
+// counted.
 func (s step) reason() string {
 	var op *net.OpError
 	switch {
--- a/internal/load/caller/tokenreader.go
+++ b/internal/load/caller/tokenreader.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// tokenReader reads streams of one answer and checks that each token follows
-// the one before, over all the streams.
+// tokenReader reads the streams of one answer and checks that the tokens are
+// consecutive across all of them.
 type tokenReader struct {
 	dec   *decoder
 	chunk chunk
@@ -36,24 +36,25 @@
 	}
 }
 
-// event takes one event; true: the stream ends with it.
+// event processes one event. It returns true and a step if the stream ends with
+// it.
 func (t *tokenReader) event(ev *event) (step, bool) {
 	switch string(ev.name) {
 	case "", "message":
 		return t.piece(ev)
 	case movedEvent:
 		var m movedTo
-		// A move that can't be read still says: not here.
+		// A move whose data can't be decoded still means another entry: any.
 		_ = json.Unmarshal(ev.data, &m)
 		return step{kind: moved, address: m.Address}, true
 	case errorEvent:
 		return step{kind: failed, failure: parseProblem(ev.data)}, true
 	default:
-		return step{}, false // accepted, and names of later versions
+		return step{}, false // accepted, or an event of a later version
 	}
 }
 
-// piece takes a part of the answer.
+// piece processes one chunk of the answer.
 func (t *tokenReader) piece(ev *event) (step, bool) {
 	if bytes.Equal(ev.data, []byte(doneData)) {
 		t.finish()
@@ -77,13 +78,14 @@
 	return step{}, false
 }
 
-// finish notes the arrival of the answer's end.
+// finish records the arrival of the answer's end.
 func (t *tokenReader) finish() {
 	t.out.Done = time.Now()
 }
 
-// token takes the text of one event. Its id is how many tokens the caller has
-// after it, so an id that does not follow tells of tokens lost or sent twice.
+// token processes the text of one event. The event's id is the number of tokens
+// up to and including it, so an id that does not follow the last one reveals
+// missing or duplicated tokens.
 func (t *tokenReader) token(ev *event, text []byte) {
 	n := 1
 	id, err := strconv.Atoi(string(ev.id))
