--- a/internal/load/plot/axis.go
+++ b/internal/load/plot/axis.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// tick is a labelled place on an axis.
+// tick is a labelled value on an axis.
 type tick struct {
 	At    float64 // value
 	Label string
 }
 
-// axis maps values to pixels.
+// axis maps values to pixel coordinates.
 type axis struct {
 	low, high float64 // values at the ends
 	from, to  float64 // pixels at the ends
@@ -19,13 +19,13 @@
 	ticks     []tick
 }
 
-// Numbers of ticks that leave room for their labels.
+// Largest numbers of ticks whose labels don't overlap.
 const (
 	maxXTicks = 8
 	maxYTicks = 7
 )
 
-// linearAxis covers low to high with ticks at round values.
+// linearAxis returns an axis that covers low to high, with ticks at round values.
 func linearAxis(low, high float64, most int, from, to float64) axis {
 	if high <= low {
 		high = low + 1
@@ -40,8 +40,9 @@
 	return a
 }
 
-// logAxis covers low to high with ticks at 1, 2 and 5 times powers of ten, or
-// at the powers alone where those would be too many.
+// logAxis returns a logarithmic axis that covers low to high. Its ticks are at 1,
+// 2 and 5 times powers of ten or, where those would be too many, at the powers
+// alone.
 func logAxis(low, high, from, to float64) axis {
 	steps := []float64{1, 2, 5}
 	if math.Log10(high/low) > 2.5 {
@@ -58,7 +59,8 @@
 	return a
 }
 
-// trim takes off ticks beyond the nearest ones around low and high.
+// trim removes the ticks that are not needed to cover low to high, and sets the
+// ends of the axis.
 func (a *axis) trim(low, high float64) {
 	for len(a.ticks) > 2 && a.ticks[1].At <= low {
 		a.ticks = a.ticks[1:]
@@ -69,7 +71,7 @@
 	a.low, a.high = a.ticks[0].At, a.ticks[len(a.ticks)-1].At
 }
 
-// pixel returns the place of a value.
+// pixel returns the coordinate of a value.
 func (a axis) pixel(v float64) float64 {
 	share := (v - a.low) / (a.high - a.low)
 	if a.log {
@@ -78,8 +80,8 @@
 	return a.from + share*(a.to-a.from)
 }
 
-// roundStep returns the least of 1, 2, 2.5 or 5 times a power of ten that is
-// no smaller than raw.
+// roundStep returns the smallest of 1, 2, 2.5 or 5 times a power of ten that is
+// at least raw.
 func roundStep(raw float64) float64 {
 	power := math.Pow(10, math.Floor(math.Log10(raw)))
 	for _, m := range []float64{1, 2, 2.5, 5} {
@@ -90,7 +92,7 @@
 	return 10 * power
 }
 
-// label writes a value with the decimals that its axis' step needs.
+// label formats a value with the decimals that the step of the axis needs.
 func label(v, step float64) string {
 	decimals := max(0, int(-math.Floor(math.Log10(step)+1e-9)))
 	if scaled := step * math.Pow(10, float64(decimals)); math.Abs(scaled-math.Round(scaled)) > 1e-6 {
@@ -99,7 +101,7 @@
 	return group(strconv.FormatFloat(v, 'f', decimals, 64))
 }
 
-// group puts a thin space between thousands.
+// group inserts a thin space between groups of thousands.
 func group(s string) string {
 	whole, rest := s, ""
 	for i, r := range s {
--- a/internal/load/plot/chart.go
+++ b/internal/load/plot/chart.go
@@ -12,8 +12,8 @@
 	Subtitle string
 	XLabel   string // with its unit
 	YLabel   string // with its unit
-	// LogY draws the vertical axis to a logarithmic scale; values at or below
-	// zero are left out.
+	// LogY makes the vertical axis logarithmic; values at or below zero are left
+	// out.
 	LogY   bool
 	Series []Series
 	Marks  []Mark
@@ -26,18 +26,18 @@
 	Points []Point // in the order of X
 }
 
-// Point is one value. A Y that is NaN or infinite is left out.
+// Point is one value. Points whose Y is NaN or infinite are left out.
 type Point struct {
 	X, Y float64
 }
 
-// Mark is a horizontal line at a value that matters, such as a target.
+// Mark is a horizontal line at a value such as a target.
 type Mark struct {
 	Y    float64
 	Name string
 }
 
-// Event is a vertical line at a moment that matters, such as a fault.
+// Event is a vertical line at a time such as that of a fault.
 type Event struct {
 	X    float64
 	Name string
@@ -55,7 +55,7 @@
 	return b.String(), err
 }
 
-// drawable reports whether a point has a place on the chart.
+// drawable reports whether a point can be drawn on the chart's axes.
 func (c *Chart) drawable(p Point) bool {
 	if math.IsNaN(p.Y) || math.IsInf(p.Y, 0) {
 		return false
@@ -63,7 +63,8 @@
 	return !c.LogY || p.Y > 0
 }
 
-// bounds returns the smallest box around all that is drawn; false: nothing is.
+// bounds returns the bounding box of points, events and marks, or false if no
+// point is drawn.
 func (c *Chart) bounds() (low, high Point, any bool) {
 	low = Point{math.Inf(1), math.Inf(1)}
 	high = Point{math.Inf(-1), math.Inf(-1)}
--- a/internal/load/plot/doc.go
+++ b/internal/load/plot/doc.go
@@ -1,6 +1,6 @@
-// Package plot draws line charts as SVG with the standard library alone. Each
-// line is told apart by colour, marker and a label at its end, so that a chart
-// can be read in print and by the colour-blind.
+// Package plot draws line charts as SVG with the standard library alone. Lines
+// differ in colour, marker and a label at their end, so that a chart is readable
+// in black-and-white print and by colour-blind people.
 package plot
 
 import "github.com/zeebo/errs"
--- a/internal/load/plot/layout.go
+++ b/internal/load/plot/layout.go
@@ -17,15 +17,15 @@
 	subtitleY    = 46
 	legendY      = 70
 	legendGap    = 30
-	charWidth    = 6.4 // of the label font, on average
+	charWidth    = 6.4 // average of the label font
 	labelHeight  = 15
 )
 
-// palette is that of Okabe and Ito (2008), which the colour-blind can tell
-// apart, without its yellow, which is too light on white.
+// palette is that of Okabe and Ito (2008), whose colours colour-blind people can
+// distinguish, without its yellow, which is too light on white.
 var palette = []string{"#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9", "#000000", "#7F7F7F"}
 
-// layout is a chart with every place worked out, for the template.
+// layout is a chart with the coordinates of all its elements, for the template.
 type layout struct {
 	*Chart
 	Width, Height            int
@@ -89,8 +89,8 @@
 	return l
 }
 
-// axes returns both axes. A linear vertical axis starts at zero unless values
-// lie below it, so that heights can be compared.
+// axes returns both axes. A linear vertical axis starts at zero, or below it for
+// negative values, so that heights can be compared.
 func (l *layout) axes(low, high Point) (x, y axis) {
 	x = linearAxis(low.X, high.X, maxXTicks, l.Left, l.Right)
 	if l.LogY {
@@ -132,8 +132,8 @@
 	}
 }
 
-// spreadLabels moves the labels at the lines' ends apart where they would lie
-// on each other, and keeps them beside the chart.
+// spreadLabels moves the labels at the lines' ends apart where they would
+// overlap, and keeps them between top and bottom.
 func spreadLabels(lines []line, top, bottom float64) {
 	order := make([]*line, 0, len(lines))
 	for i := range lines {
--- a/internal/load/plot/line.go
+++ b/internal/load/plot/line.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// line is one series with its places.
+// line is one series with its coordinates.
 type line struct {
 	Name    string
 	Colour  string
@@ -16,7 +16,7 @@
 	EndY    float64
 	LabelY  float64
 	path    []byte
-	open    bool // the path goes on from its last point
+	open    bool // the next point continues the path
 }
 
 // marker is one drawn point.
@@ -29,13 +29,13 @@
 // shapes of markers, in the order of the series.
 var shapes = []string{"circle", "square", "diamond", "triangle"}
 
-// shapeOf shifts the shapes each time that the colours begin again, so that no
-// two of the first 32 series look the same.
+// shapeOf returns the marker shape of a series. The shapes shift each time the
+// colours repeat, so that no two of the first 32 series look the same.
 func shapeOf(series int) string {
 	return shapes[(series+series/len(palette))%len(shapes)]
 }
 
-// add appends a point; one that can't be drawn leaves a gap.
+// add appends a point, or a gap for one that is not drawable.
 func (l *line) add(drawable bool, x float64, y axis, v float64) {
 	if !drawable {
 		l.open = false
@@ -55,10 +55,11 @@
 // Path returns the line as SVG path data.
 func (l *line) Path() string { return string(l.path) }
 
-// manyPoints is the number of points above which markers would hide the line.
+// manyPoints is the number of points above which no markers are drawn, since they
+// would hide the line.
 const manyPoints = 40
 
-// Marked reports whether the line's points are marked.
+// Marked reports whether the line's points are drawn with markers.
 func (l *line) Marked() bool { return len(l.Markers) <= manyPoints }
 
 // Path returns the marker's outline as SVG path data.
@@ -76,7 +77,8 @@
 	}
 }
 
-// trimZero writes a place with one decimal, which is as exact as is seen.
+// trimZero formats a coordinate with at most one decimal; more would not be
+// visible.
 func trimZero(v float64) string {
 	return strings.TrimSuffix(strconv.FormatFloat(v, 'f', 1, 64), ".0")
 }
--- a/internal/load/plot/template.go
+++ b/internal/load/plot/template.go
@@ -6,7 +6,8 @@
 	"text/template"
 )
 
-// svgTemplate is the whole drawing. Names come from users and are escaped.
+// svgTemplate is the template of the SVG element. Names come from users and are
+// escaped.
 var svgTemplate = template.Must(template.New("svg").Funcs(template.FuncMap{
 	"text": escape,
 	"px":   func(v float64) string { return trimZero(v) },
@@ -63,7 +64,7 @@
 
 func escape(s string) string {
 	var b strings.Builder
-	// A strings.Builder does not fail.
+	// Writing to a strings.Builder never fails.
 	_ = xml.EscapeText(&b, []byte(s))
 	return b.String()
 }
