--- a/internal/load/workload/arrival.go
+++ b/internal/load/workload/arrival.go
@@ -7,13 +7,13 @@
 
 // Arrival is one request of a schedule.
 type Arrival struct {
-	// At is the intended send time since the start of the run.
+	// At is the intended send time, since the start of the run.
 	At        time.Duration
 	Workspace int // index into the plan's workspaces
 	Kind      int // index into the mix's kinds
-	// Subject is the machine or town asked about, -1 for none.
+	// Subject numbers the machine or town that the question is about, -1 for none.
 	Subject int
-	// Seed makes the question, the answer's length and the part number.
+	// Seed determines the question, the answer's length and the part number.
 	Seed uint64
 	// Conversation numbers the conversation within the schedule, -1 for none.
 	Conversation int
--- a/internal/load/workload/burst.go
+++ b/internal/load/workload/burst.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Bursts says how far arrivals are from a plain Poisson process.
+// Bursts describes the bursts in an otherwise Poisson process of arrivals.
 type Bursts struct {
 	// Share of all arrivals that come in bursts, 0 to below 1.
 	Share float64 `json:"share"`
-	// Size is how many arrivals a burst has.
+	// Size is the number of arrivals in a burst.
 	Size int `json:"size"`
 	// Span is the time over which a burst's arrivals are spread.
 	Span time.Duration `json:"spanNanos"`
 }
 
-// DefaultBursts: one arrival in five comes with seven others within a quarter
-// of a second, as when a crew leaves its yard.
+// DefaultBursts returns bursts of eight arrivals within a quarter of a second,
+// which hold one arrival in five. They stand for a crew that starts work together.
 func DefaultBursts() Bursts {
 	return Bursts{Share: 0.2, Size: 8, Span: 250 * time.Millisecond}
 }
--- a/internal/load/workload/dealer.go
+++ b/internal/load/workload/dealer.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Popularity of subjects follows a power law: a few machines bring most of the
-// questions. Exponent and offset of rand.Zipf.
+// Parameters of rand.Zipf for the popularity of subjects, which follows a power
+// law: most questions are about a few machines.
 const (
 	subjectExponent = 1.2
 	subjectOffset   = 2
 )
 
-// openConversation may be continued from next on.
+// openConversation is a conversation that later requests may continue.
 type openConversation struct {
 	id      int
 	kind    int
 	subject int
-	turns   int
-	next    time.Duration
+	turns   int           // so far
+	next    time.Duration // earliest time of the next turn
 }
 
-// dealer turns one workspace's arrival times into requests.
+// dealer draws the requests of one workspace at its arrival times.
 type dealer struct {
 	plan  *Plan
 	src   *rand.Rand
-	total float64
-	zipf  []*rand.Zipf // by kind; nil without subjects
+	total float64      // sum of the kinds' shares
+	zipf  []*rand.Zipf // of subjects, by kind; nil for a kind without subjects
 	open  []openConversation
 }
 
@@ -41,8 +41,8 @@
 	return d
 }
 
-// deal draws the request at one time. conversations counts those of the
-// schedule so far.
+// deal draws the request at one time. conversations is the number of
+// conversations in the schedule so far, which deal updates.
 func (d *dealer) deal(at time.Duration, conversations *int) Arrival {
 	kind := d.drawKind()
 	k := &d.plan.Mix.Kinds[kind]
@@ -71,7 +71,8 @@
 	return len(d.plan.Mix.Kinds) - 1
 }
 
-// seed draws a question: from the kind's pool, or a new one.
+// seed draws the seed of a question: one from the kind's pool or, for a kind
+// without a pool, a new one.
 func (d *dealer) seed(k *Kind) uint64 {
 	if k.Questions > 0 {
 		return uint64(d.src.IntN(k.Questions))
@@ -79,7 +80,8 @@
 	return d.src.Uint64()
 }
 
-// resume continues the conversation that has waited longest, if one is due.
+// resume makes the arrival the next turn of the conversation of its kind that
+// became due first. It returns false if none is due.
 func (d *dealer) resume(a *Arrival) bool {
 	for i, c := range d.open {
 		if c.kind != a.Kind || c.next > a.At {
@@ -94,7 +96,7 @@
 	return false
 }
 
-// keepOpen lets a conversation be continued unless it is full.
+// keepOpen allows a conversation to be continued unless it has all its turns.
 func (d *dealer) keepOpen(k *Kind, c openConversation, at time.Duration) {
 	if c.turns >= k.Turns {
 		return
--- a/internal/load/workload/doc.go
+++ b/internal/load/workload/doc.go
@@ -1,6 +1,6 @@
-// Package workload describes who asks what and when: mixes of requests as
-// data, seeded open-loop arrivals, and the text of each prompt. Everything is a
-// function of its seed, so that two policies meet the same work.
+// Package workload generates the requests of a load test: mixes of requests read
+// from YAML, seeded open-loop arrivals, and the text of each prompt. All of it is
+// a function of the seed, so that different routing policies get the same work.
 package workload
 
 import "github.com/zeebo/errs"
--- a/internal/load/workload/kind.go
+++ b/internal/load/workload/kind.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Kind is one sort of request in a mix. Token counts are words, as the
-// stand-in engine counts them.
+// Kind is one kind of request in a mix. A token is a word, as in the stand-in
+// engines.
 type Kind struct {
 	Name string `yaml:"name" json:"name"`
 	// Share of a workspace's requests that are of this kind. The shares of a
@@ -12,22 +12,22 @@
 	// Call is set for a request to a plain service, nil for one to a model.
 	Call *ServiceCall `yaml:"call,omitempty" json:"call,omitempty"`
 
-	// Subjects is how many machines or towns a workspace asks about. Their
-	// records stand first in the prompt and are shared by all questions about
-	// the same one. 0: the prompt has no record.
+	// Subjects is how many machines or towns a workspace asks about. Each has a
+	// record, which is at the start of the prompt of every question about it, so
+	// that these prompts share a prefix. 0: the prompt has no record.
 	Subjects      int   `yaml:"subjects,omitempty" json:"subjects,omitempty"`
 	SubjectTokens Range `yaml:"subjectTokens,omitempty" json:"subjectTokens"`
-	// Questions is how many different questions there are; 0: each is new.
+	// Questions is the number of different questions; 0: each is new.
 	Questions      int   `yaml:"questions,omitempty" json:"questions,omitempty"`
 	QuestionTokens Range `yaml:"questionTokens,omitempty" json:"questionTokens"`
 	AnswerTokens   Range `yaml:"answerTokens,omitempty" json:"answerTokens"`
 
-	// Reuse is the share of requests that continue a conversation, where one
-	// is open, with all its earlier turns before the new question.
+	// Reuse is the probability that a request continues a conversation, if one is
+	// open. Its prompt then has all the earlier turns before the new question.
 	Reuse float64 `yaml:"reuse,omitempty" json:"reuse,omitempty"`
-	// Turns bounds a conversation's length.
+	// Turns is the most turns of a conversation.
 	Turns int `yaml:"turns,omitempty" json:"turns,omitempty"`
-	// Think is the least time between two turns at latency scale 1.
+	// Think is the shortest time between two turns, at latency scale 1.
 	Think time.Duration `yaml:"think,omitempty" json:"think,omitempty"`
 }
 
@@ -39,9 +39,10 @@
 	Path string `yaml:"path" json:"path"`
 	// Body is sent as JSON with "{part}" replaced; empty: none.
 	Body string `yaml:"body,omitempty" json:"body,omitempty"`
-	// NonIdempotent calls are checked to have run at most once.
+	// NonIdempotent calls are sent with an idempotency key, and checked to have
+	// run at most once.
 	NonIdempotent bool `yaml:"nonIdempotent,omitempty" json:"nonIdempotent,omitempty"`
-	// Parts is how many different parts there are.
+	// Parts is the number of different parts.
 	Parts int `yaml:"parts,omitempty" json:"parts,omitempty"`
 }
 
--- a/internal/load/workload/mix.go
+++ b/internal/load/workload/mix.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// The mixes that come with the program.
+// The built-in mixes.
 const (
 	TallerVivo = "taller-vivo"
 	Magnolia   = "magnolia"
@@ -24,14 +24,14 @@
 	Name    string `yaml:"name" json:"name"`
 	Model   string `yaml:"model" json:"model"`
 	Adapter string `yaml:"adapter,omitempty" json:"adapter,omitempty"`
-	// SystemTokens is the length of the instructions that stand before
-	// everything else in every prompt of the mix.
+	// SystemTokens is the length of the instructions, with which every prompt of
+	// the mix starts.
 	SystemTokens int    `yaml:"systemTokens" json:"systemTokens"`
 	Kinds        []Kind `yaml:"kinds" json:"kinds"`
 }
 
-// FindMix returns a built-in mix by its name, or reads the YAML file of that
-// path when the name holds a slash or ends in .yaml.
+// FindMix returns the built-in mix of a name. A name that contains a slash or
+// ends in .yaml is the path of a YAML file to read instead.
 func FindMix(name string) (*Mix, error) {
 	if strings.ContainsRune(name, '/') || strings.HasSuffix(name, ".yaml") {
 		f, err := os.Open(name)
@@ -49,7 +49,7 @@
 	return ReadMix(f)
 }
 
-// ReadMix reads a mix. An unknown key is an error.
+// ReadMix reads a mix in YAML. An unknown key is an error.
 func ReadMix(r io.Reader) (*Mix, error) {
 	var m Mix
 	if err := yaml.NewDecoder(r, yaml.Strict()).Decode(&m); err != nil {
@@ -61,8 +61,7 @@
 	return &m, nil
 }
 
-// Scaled returns a copy whose prompts and answers are longer or shorter by the
-// factor.
+// Scaled returns a copy with the lengths of prompts and answers multiplied by by.
 func (m *Mix) Scaled(by float64) *Mix {
 	c := *m
 	c.SystemTokens = scaleTokens(m.SystemTokens, by)
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// UseService sends all calls of plain services to the named one; an empty name
+// UseService makes all calls of plain services go to the named one; an empty name
 // changes nothing.
 func (m *Mix) UseService(name string) {
 	if name == "" {
--- a/internal/load/workload/plan.go
+++ b/internal/load/workload/plan.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Plan is all that a schedule depends on.
+// Plan is the input of a schedule.
 type Plan struct {
 	Mix        *Mix
 	Workspaces []Workspace
-	Rate       float64 // requests a second of all workspaces at factor 1
+	Rate       float64 // requests per second of all workspaces, at factor 1
 	Duration   time.Duration
-	Requests   int // most requests
+	Requests   int // maximum in the schedule
 	Seed       uint64
 	Bursts     Bursts
-	// LatencyScale stretches the time between turns of a conversation.
+	// LatencyScale multiplies the time between turns of a conversation.
 	LatencyScale float64
 }
 
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// totalWeight is the sum of the workspaces' weights.
+// totalWeight returns the sum of the workspaces' weights.
 func (p *Plan) totalWeight() float64 {
 	sum := 0.0
 	for _, w := range p.Workspaces {
--- a/internal/load/workload/range.go
+++ b/internal/load/workload/range.go
@@ -8,12 +8,13 @@
 	Max int `yaml:"max" json:"max"`
 }
 
-// draw returns a uniform count of the range.
+// draw returns a uniformly distributed count.
 func (r Range) draw(src *rand.Rand) int {
 	return r.Min + src.IntN(r.Max-r.Min+1)
 }
 
-// scaled multiplies both ends; a count that was positive stays so.
+// scaled returns the range with both ends multiplied by by. Positive counts stay
+// positive.
 func (r Range) scaled(by float64) Range {
 	return Range{Min: scaleTokens(r.Min, by), Max: scaleTokens(r.Max, by)}
 }
--- a/internal/load/workload/schedule.go
+++ b/internal/load/workload/schedule.go
@@ -9,15 +9,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Schedule is the arrivals of a plan in the order of their times.
+// Schedule is the arrivals of a plan in chronological order.
 type Schedule struct {
 	Arrivals []Arrival
-	// Conversations is how many conversations the arrivals refer to.
+	// Conversations is the number of conversations in the arrivals.
 	Conversations int
 }
 
-// Build draws the schedule of a plan. Each workspace has a random source of
-// its own, so that changing one workspace's factor moves no other's arrivals.
+// Build draws the schedule of a plan. Each workspace has its own random source,
+// so that one workspace's factor doesn't change the others' arrivals.
 func Build(p *Plan) (*Schedule, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -37,7 +37,7 @@
 	return &s, nil
 }
 
-// Hash returns a number that two schedules share if they are the same.
+// Hash returns a hash of the arrivals, which is equal for equal schedules.
 func (s *Schedule) Hash() uint64 {
 	h := xxh3.New()
 	var buf []byte
@@ -48,8 +48,9 @@
 	return h.Sum64()
 }
 
-// arrivalTimes returns one workspace's times in order: a Poisson process of
-// single arrivals and a sparser one of bursts, together of the given rate.
+// arrivalTimes returns one workspace's arrival times in order. They are of two
+// Poisson processes, of single arrivals and of bursts, which together have the
+// given rate in arrivals per second.
 func arrivalTimes(src *rand.Rand, p *Plan, rate float64) []time.Duration {
 	var times []time.Duration
 	poisson(src, rate*(1-p.Bursts.Share), p, func(at time.Duration) {
@@ -64,7 +65,8 @@
 	return times
 }
 
-// poisson calls at for each event of a Poisson process, at most p.Requests times.
+// poisson calls at with the time of each event of a Poisson process, at most
+// p.Requests times. rate is in events per second.
 func poisson(src *rand.Rand, rate float64, p *Plan, at func(time.Duration)) {
 	mean := float64(time.Second) / rate
 	t := src.ExpFloat64() * mean
@@ -84,7 +86,7 @@
 	return times
 }
 
-// addWorkspace turns one workspace's times into requests.
+// addWorkspace adds the requests of one workspace at its arrival times.
 func (s *Schedule) addWorkspace(p *Plan, workspace int, times []time.Duration, src *rand.Rand) {
 	d := newDealer(p, src)
 	for _, at := range times {
@@ -94,7 +96,7 @@
 	}
 }
 
-// markLast sets Last on each conversation's final turn.
+// markLast sets Last on the final turn of each conversation.
 func (s *Schedule) markLast() {
 	seen := make([]bool, s.Conversations)
 	for i := len(s.Arrivals) - 1; i >= 0; i-- {
--- a/internal/load/workload/schedule_test.go
+++ b/internal/load/workload/schedule_test.go
@@ -57,12 +57,11 @@
 	}
 	near(north/n, 0.75)
 	near(diagnoses/n, 0.30)
-	assert.Assert(t, resumed/diagnoses > 0.3, "too few turns go on with a conversation: %v", resumed/diagnoses)
+	assert.Assert(t, resumed/diagnoses > 0.3, "too few requests continue a conversation: %v", resumed/diagnoses)
 }
 
-// One workspace sends ten times its share. Were the others' arrivals drawn from
-// the same source they would move as well, and a slower answer for them could
-// be the schedule's doing.
+// Guards against a shared random source: if one workspace's factor changed the
+// others' arrivals, slower answers for them could be due to the schedule.
 func TestFactorOfOneWorkspaceMovesNoOthersArrivals(t *testing.T) {
 	calm := plan(t, TallerVivo, 3)
 	flood := plan(t, TallerVivo, 3)
--- a/internal/load/workload/words.go
+++ b/internal/load/workload/words.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// vocabulary is what prompts are written with. One word is one token of the
-// stand-in engines.
+// vocabulary is the words of prompts. The stand-in engines count a word as a
+// token.
 var vocabulary = strings.Fields(`
 	harvester header feeder chopper elevator topper basecutter roller hydraulic pump
 	valve hose filter coupling bearing chain sprocket sensor harness relay
@@ -17,8 +17,7 @@
 	sweep notice parking resident complaint morning night before after
 	hours metres litres turns low high steady`)
 
-// appendWords adds n words drawn from src, each after a space but the first of
-// an empty builder.
+// appendWords appends n words drawn from src, separated by spaces.
 func appendWords(b *strings.Builder, src *rand.Rand, n int) {
 	for range n {
 		if b.Len() > 0 {
--- a/internal/load/workload/writer.go
+++ b/internal/load/workload/writer.go
@@ -25,8 +25,8 @@
 	Answer   string
 }
 
-// Writer writes the text of requests. It keeps the records of subjects, which
-// are as many as workspaces times subjects. Safe for concurrent use.
+// Writer generates the text of requests. It caches the records of subjects, at
+// most one for each workspace, kind and subject. Safe for concurrent use.
 type Writer struct {
 	mix        *Mix
 	workspaces []Workspace
@@ -39,7 +39,7 @@
 
 type recordKey struct{ workspace, kind, subject int }
 
-// NewWriter returns the writer of a plan's texts.
+// NewWriter returns a writer for a plan's requests.
 func NewWriter(p *Plan) *Writer {
 	w := &Writer{mix: p.Mix, workspaces: p.Workspaces, seed: p.Seed, records: make(map[recordKey]string)}
 	var b strings.Builder
@@ -48,7 +48,7 @@
 	return w
 }
 
-// Question returns the new question of an arrival.
+// Question returns the text of an arrival's question.
 func (w *Writer) Question(a *Arrival) string {
 	k := &w.mix.Kinds[a.Kind]
 	src := w.questionSource(a)
@@ -87,7 +87,8 @@
 	return fmt.Sprintf("P-%05d", a.Seed%uint64(parts))
 }
 
-// head is what all questions about one subject share.
+// head returns the start of the prompt, which all questions about one subject
+// share: the instructions and the subject's record.
 func (w *Writer) head(a *Arrival) string {
 	if a.Subject < 0 {
 		return w.system
@@ -103,6 +104,7 @@
 	return head
 }
 
+// record generates the head of the prompts about one subject.
 func (w *Writer) record(key recordKey) string {
 	k := &w.mix.Kinds[key.kind]
 	name := fmt.Sprintf("%s/%s/%d", w.workspaces[key.workspace].Name, k.Name, key.subject)
@@ -113,11 +115,13 @@
 	return b.String()
 }
 
-// questionSource draws the same numbers for the same question of a kind.
+// questionSource returns a random source that is the same for equal questions of
+// a kind.
 func (w *Writer) questionSource(a *Arrival) *rand.Rand {
 	return w.source(w.mix.Kinds[a.Kind].Name + "?" + strconv.FormatUint(a.Seed, 10))
 }
 
+// source returns a random source that depends on the plan's seed and the name.
 func (w *Writer) source(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(w.seed, xxh3.HashString(name)))
 }
