--- a/internal/load/checks.go
+++ b/internal/load/checks.go
@@ -1,19 +1,20 @@
 package load
 
-// Checks counts broken promises. All but Open are 0 in a sound run.
+// Checks counts violations of the guarantees to callers. All counts of a run are
+// 0 unless the deployment has a fault, except for Open.
 type Checks struct {
-	// Lost is accepted requests that ended with neither their whole answer nor
-	// a verdict.
+	// Lost is accepted requests for which neither the whole answer nor a failure
+	// was received.
 	Lost int64 `json:"lost"`
-	// FailedAccepted is accepted requests that ended with a verdict only.
+	// FailedAccepted is accepted requests that ended with a failure.
 	FailedAccepted int64 `json:"failedAccepted"`
-	// Open is accepted requests that were cut off by the end of the run. They
-	// are no broken promise yet, but many of them are a reason to drain longer.
+	// Open is accepted requests that were unfinished at the end of the run. They
+	// are no violations, but many of them are a reason for a longer drain.
 	Open int64 `json:"open"`
-	// DuplicatedTokens and MissingTokens are found by the offsets of tokens.
+	// DuplicatedTokens and MissingTokens are detected by the offsets of tokens.
 	DuplicatedTokens int64 `json:"duplicatedTokens"`
 	MissingTokens    int64 `json:"missingTokens"`
-	// WrongLength is answers that don't have as many tokens as were asked for.
+	// WrongLength is answers with another number of tokens than requested.
 	WrongLength int64 `json:"wrongLength"`
 	// WrongText is answers that differ from an earlier one to the same prompt.
 	WrongText int64 `json:"wrongText"`
@@ -23,22 +24,23 @@
 	Orders OrderChecks `json:"orders"`
 }
 
-// OrderChecks compares what callers of non-idempotent requests were told with
-// what the services ran.
+// OrderChecks compares the answers to non-idempotent requests, the orders, with
+// the executions that the services counted.
 type OrderChecks struct {
-	// Checked says that the services could be asked.
+	// Checked is whether the executions could be read from the services.
 	Checked  bool  `json:"checked"`
 	Sent     int64 `json:"sent"`
 	Answered int64 `json:"answered"`
 	// RanTwice is orders that ran more than once.
 	RanTwice int64 `json:"ranTwice"`
-	// NotRunButRan is orders that ran though each attempt was told not-run.
+	// NotRunButRan is orders that ran although the verdict of each attempt was
+	// not-run.
 	NotRunButRan int64 `json:"notRunButRan"`
-	// AnsweredButNotRun is answered orders of which no service knows.
+	// AnsweredButNotRun is answered orders that no service counted.
 	AnsweredButNotRun int64 `json:"answeredButNotRun"`
 }
 
-// Broken returns how many promises were broken.
+// Broken returns the number of violations.
 func (c *Checks) Broken() int64 {
 	o := &c.Orders
 	return c.Lost + c.FailedAccepted + c.DuplicatedTokens + c.MissingTokens + c.WrongLength + c.WrongText + c.NoVerdict +
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Comparison sets results side by side.
+// Comparison is the figures of several results side by side.
 type Comparison struct {
 	Names []string `json:"names"`
 	Rows  []Row    `json:"rows"`
@@ -21,12 +21,12 @@
 type Cell struct {
 	Known bool    `json:"known"`
 	Value float64 `json:"value"`
-	// Ratio is the value over that of the first result; 0 where either is not
+	// Ratio is the value divided by that of the first result; 0 if either is not
 	// known or the first is 0.
 	Ratio float64 `json:"ratio"`
 }
 
-// Compare sets results beside the first one.
+// Compare compares results with the first one.
 func Compare(results ...*Result) (*Comparison, error) {
 	if len(results) < 2 {
 		return nil, Error.New("a comparison needs two results")
@@ -41,6 +41,8 @@
 	return c, nil
 }
 
+// displayName returns the name of a result in tables, charts and warnings. i is
+// its index.
 func displayName(r *Result, i int) string {
 	return orElse(r.Name, orElse(r.Policy, fmt.Sprintf("result %d", i+1)))
 }
@@ -61,7 +63,8 @@
 	return row
 }
 
-// warnings compares what the runs depended on.
+// warnings returns a warning for each setting in which a run differs from the
+// first one.
 func warnings(results []*Result) []string {
 	var all []string
 	a := &results[0].Settings
--- a/internal/load/compare_test.go
+++ b/internal/load/compare_test.go
@@ -61,8 +61,8 @@
 	assert.Assert(t, strings.HasPrefix(svg.String(), "<svg") && strings.Contains(svg.String(), "target 450 ms"))
 }
 
-// Two policies meet the same prompts. The second deployment's answers differ,
-// which no check within its own run could see.
+// Guards against answers that differ between policies for the same prompts: no
+// check within one run can detect that.
 func TestExperimentComparesTextsOverPolicies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log []string
@@ -85,8 +85,8 @@
 		assert.NilError(t, err)
 		assert.Equal(t, strings.Join(log, " "), "start plain stop start other stop start plain stop start other stop")
 		assert.Equal(t, results[0].Checks.WrongText, int64(0))
-		// Later turns repeat the differing answers, so their prompts differ too
-		// and have no answer to agree with.
+		// The prompts of later turns contain the different answers, so they
+		// differ too and have no earlier answer to compare with.
 		assert.Assert(t, results[1].Checks.WrongText > results[1].Answers.Offered/2)
 		assert.Equal(t, results[0].Settings.ScheduleHash, results[1].Settings.ScheduleHash)
 		assert.Equal(t, results[3].Settings.Rate, 100.0)
--- a/internal/load/conversations.go
+++ b/internal/load/conversations.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/workload"
 )
 
-// conversations keeps the answered turns that later requests repeat in their
-// prompts. Safe for concurrent use.
+// conversations holds the answered turns, which the prompts of later requests
+// contain. Safe for concurrent use.
 type conversations struct {
 	mu     sync.Mutex
 	open   map[int]conversation
@@ -23,9 +23,9 @@
 	return &conversations{open: make(map[int]conversation)}
 }
 
-// earlier returns the turns that stand before an arrival's question. A caller
-// whose last answer has not come asks afresh, without them: the schedule is
-// open-loop, so the request leaves on time all the same.
+// earlier returns the turns that precede an arrival's question in its prompt.
+// There are none if the turn before has not been answered: the schedule is
+// open-loop, so the request is sent on time without them.
 func (c *conversations) earlier(a *workload.Arrival) []workload.Turn {
 	if a.Turn == 0 {
 		return nil
@@ -40,7 +40,7 @@
 	return known.turns
 }
 
-// answer notes an answered turn with all that stood before it.
+// answer records an answered turn and the turns that preceded it.
 func (c *conversations) answer(a *workload.Arrival, earlier []workload.Turn, t workload.Turn) {
 	if a.Conversation < 0 {
 		return
@@ -52,13 +52,13 @@
 		return
 	}
 	if known, ok := c.open[a.Conversation]; ok && known.answered >= a.Turn {
-		return // a late answer to a turn that was passed over
+		return // a late answer; a later turn was answered before
 	}
 	turns := append(earlier[:len(earlier):len(earlier)], t)
 	c.open[a.Conversation] = conversation{turns: turns, answered: a.Turn}
 }
 
-// askedAfresh is how many requests left without their conversation.
+// askedAfresh returns how many requests were sent without their earlier turns.
 func (c *conversations) askedAfresh() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -2,19 +2,19 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/engineapi"
 
-// engineTotal follows one engine's counters over the run.
+// engineTotal sums one engine's counters over the run.
 type engineTotal struct {
-	base engineapi.Counters // when the engine was first seen
+	base engineapi.Counters // when the engine was first read
 	last engineapi.Counters
-	done engineapi.Counters // of earlier lives at the same address
-	// early: the engine was there before the run. What it had counted when it
-	// was first read is not the run's, also where that reading came late.
+	done engineapi.Counters // total of earlier engines at the same address
+	// early is whether the engine was listed before the run. Its counts at the
+	// first reading, even a late one, are then not part of the run.
 	early bool
-	read  bool
+	read  bool // whether there was a reading
 }
 
-// see takes a reading. Counters that fell are those of a new engine at the old
-// one's address; what the old one had counted is kept.
+// see processes a reading. Counters that fell are those of a new engine at the
+// old one's address; the old one's counts are kept in done.
 func (t *engineTotal) see(c engineapi.Counters) {
 	if t.early && !t.read {
 		t.base, t.last = c, c
@@ -27,7 +27,7 @@
 	t.last = c
 }
 
-// total is what the engine counted since it was first seen.
+// total returns the counts of the run.
 func (t *engineTotal) total() engineapi.Counters { return plus(t.done, minus(t.last, t.base)) }
 
 func plus(a, b engineapi.Counters) engineapi.Counters {
--- a/internal/load/deployment_test.go
+++ b/internal/load/deployment_test.go
@@ -21,14 +21,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// deployment answers as an entry, the instance list, an engine and a plain
+// deployment is a fake of an entry, the instance list, an engine and a plain
 // service, all at one address.
 type deployment struct {
 	address  string
-	salt     string        // changes every text
-	stall    time.Duration // of the first completion
+	salt     string        // part of the hash that determines each text
+	stall    time.Duration // delay of the first completion
 	twice    bool          // orders run twice
-	lie      bool          // orders run and are said not to have
+	lie      bool          // orders run and are answered with not-run
 	counters engineapi.Counters
 
 	mu   sync.Mutex
@@ -98,7 +98,8 @@
 	_, _ = io.WriteString(w, `{}`)
 }
 
-// RoundTrip lets a deployment be reached without sockets, in virtual time.
+// RoundTrip makes the deployment a transport, for tests in virtual time without
+// sockets.
 func (d *deployment) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	d.ServeHTTP(w, r)
--- a/internal/load/distribution.go
+++ b/internal/load/distribution.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Distribution is a histogram of latencies, in milliseconds.
+// Distribution is the summary of a histogram of latencies, in milliseconds.
 type Distribution struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -18,7 +18,8 @@
 	Max   float64 `json:"max"`
 }
 
-// Range and precision of histograms: a microsecond to an hour, three digits.
+// Range and precision of histograms: a microsecond to an hour, three significant
+// digits.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(time.Hour / time.Microsecond)
@@ -29,10 +30,10 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, digits)
 }
 
-// record adds a latency; what lies beyond the range counts as its end.
+// record adds a latency; one outside the range counts as the nearest end of it.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	v := min(max(d.Microseconds(), lowestMicros), highestMicros)
-	// The value was brought into the range, so this does not fail.
+	// The value is within the range, so this does not fail.
 	_ = h.RecordValue(v)
 }
 
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,9 +1,9 @@
-// Package load is an open-loop load and experiment tool against the callers'
-// API. Requests leave at the times of a seeded schedule whether or not earlier
-// ones were answered, and latencies count from the intended time, so a slow
-// deployment can't hide its queue (coordinated omission; Tene, 2013). A result
-// holds latencies, shares within the targets, verdicts, checks of every answer,
-// cost and recomputed tokens.
+// Package load runs open-loop load tests and experiments against the callers'
+// API. Requests are sent at the times of a seeded schedule whether or not earlier
+// ones were answered, and latencies count from the intended send time, so that a
+// slow deployment can't hide its queueing (coordinated omission; Tene, 2013). A
+// result holds latencies, shares within the targets, verdicts, checks of every
+// answer, cost and recomputed tokens.
 package load
 
 import "github.com/zeebo/errs"
--- a/internal/load/executions.go
+++ b/internal/load/executions.go
@@ -7,9 +7,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/serviceapi"
 )
 
-// executions asks the services how often each idempotency key ran. A replica
-// answers for its whole service, so the highest count of a key is taken, and a
-// replica that is gone takes nothing away. It is nil where none answers.
+// executions reads from the services how often the request of each idempotency
+// key ran. A replica answers for its whole service, so the highest count of a key
+// counts, and an unreachable replica does not matter. It returns nil if none
+// answers.
 func (m *meter) executions(ctx context.Context) map[string]int {
 	m.mu.Lock()
 	services := slices.Clone(m.services)
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// Deploy starts a deployment with a policy. stop ends it and is called once
-// after each run.
+// Deploy starts a deployment with a routing policy. stop ends it and is called
+// once, after its run.
 type Deploy func(ctx context.Context, policy string) (t Target, stop func(), err error)
 
-// Experiment runs the same work against several policies at several loads, each
-// on a deployment of its own, so that no run inherits another's caches.
+// Experiment sends the same requests with several routing policies at several
+// loads, each to a new deployment, so that no run starts with another's caches.
 type Experiment struct {
 	Policies []string
 	Loads    []float64 // shares of Options.Capacity
 	// Options of every run; target, policy, load and rate are set by the experiment.
 	Options Options
 	Deploy  Deploy
-	// Done, where set, is called after each run.
+	// Done, if not nil, is called after each run.
 	Done func(*Result)
 }
 
 // Run runs every policy at every load, one after the other. All runs share the
-// answers to prompts, so texts are compared over policies as well. On an error
-// it returns the results so far with it.
+// AnswerBook, so that texts are compared across policies as well. With an error it
+// returns the results so far.
 func (e *Experiment) Run(ctx context.Context) ([]*Result, error) {
 	if len(e.Policies) == 0 || len(e.Loads) == 0 || e.Deploy == nil || e.Options.Capacity <= 0 {
 		return nil, Error.New("an experiment needs policies, loads, a capacity and a way to deploy")
@@ -48,6 +48,7 @@
 	return results, nil
 }
 
+// one runs one policy at one load.
 func (e *Experiment) one(ctx context.Context, policy string, load float64, book *AnswerBook) (*Result, error) {
 	target, stop, err := e.Deploy(ctx, policy)
 	if err != nil {
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fault is something done to the deployment in the middle of a run.
+// Fault is an action on the deployment during a run.
 type Fault struct {
 	Name string
 	// At is the time since the start of the run.
@@ -14,7 +14,7 @@
 	Do func(ctx context.Context)
 }
 
-// FaultRecord is a fault in a result.
+// FaultRecord is the record of a fault in a result.
 type FaultRecord struct {
 	Name     string `json:"name"`
 	AtMillis int64  `json:"atMillis"`
--- a/internal/load/findings.go
+++ b/internal/load/findings.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/caller"
 )
 
-// findings is what is wrong with an answer.
+// findings is the faults of an answer.
 type findings struct {
 	offsets     bool // tokens missing or duplicated
 	wrongLength bool
@@ -15,7 +15,8 @@
 
 func (f findings) intact() bool { return !f.offsets && !f.wrongLength && !f.wrongText }
 
-// examine checks an answer to the request with the given body, for tokens tokens.
+// examine checks an answer to the request with the given body, whose max_tokens
+// was tokens.
 func examine(book *AnswerBook, body []byte, tokens int, o *caller.Outcome) findings {
 	if o.End != caller.Answered {
 		return findings{}
--- a/internal/load/latencytarget.go
+++ b/internal/load/latencytarget.go
@@ -12,10 +12,10 @@
 	betweenTokensTarget = 34 * time.Millisecond
 )
 
-// latencyTarget decides whether an answer came in time.
+// latencyTarget is the bounds of an answer's latencies.
 type latencyTarget struct {
 	first   time.Duration // from the intended send time to the first token
-	between time.Duration // between neighbouring tokens
+	between time.Duration // between consecutive tokens
 }
 
 func newLatencyTarget(scale float64) latencyTarget {
@@ -25,9 +25,9 @@
 	}
 }
 
-// met reports whether an answer is within the target: its first token in time,
-// and the mean time between its tokens within the bound. Single pauses are
-// judged by the histogram of gaps.
+// met reports whether an answer is within the target: the time to its first token
+// and the mean time between its tokens are within the bounds. Single gaps are
+// counted by tally.
 func (t latencyTarget) met(first time.Duration, o *caller.Outcome) bool {
 	return first <= t.first && meanGap(o.Gaps) <= t.between
 }
--- a/internal/load/meter.go
+++ b/internal/load/meter.go
@@ -15,30 +15,30 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// Bounds of readings.
+// Times and number of readings.
 const (
-	// samplePeriod is short against the notice before a reclaim, so that little
-	// of what a vanishing engine counted is missed, and costs the platform half
-	// a call a second.
+	// samplePeriod is short compared with the notice of a reclaim, so that little
+	// of a reclaimed engine's counts is missed, and causes only half a call per
+	// second to the platform.
 	samplePeriod  = 2 * time.Second
 	readTimeout   = time.Second
 	parallelReads = 16
 )
 
-// meter reads engines' counters and prices over a run.
+// meter reads the counters and prices of engines during a run.
 type meter struct {
 	target Target
 	client *http.Client
-	fixed  float64 // price an hour where there is no list
+	fixed  float64 // price per hour if there is no instance list
 
 	mu       sync.Mutex
 	engines  map[string]*engineTotal
 	services []string
-	unread   int // readings that failed
-	price    float64
-	spent    float64 // price times hours so far
-	since    time.Time
-	started  bool
+	unread   int       // readings that failed
+	price    float64   // of all engines, per hour
+	spent    float64   // price times hours, up to since
+	since    time.Time // zero while not charging
+	started  bool      // the run has started
 }
 
 func newMeter(t Target, hourPrice float64, transport http.RoundTripper) *meter {
@@ -53,7 +53,7 @@
 	pause.Every(ctx, samplePeriod, func() { m.sample(ctx) })
 }
 
-// sample reads the list, then every engine's counters.
+// sample reads the instance list, then every engine's counters.
 func (m *meter) sample(ctx context.Context) {
 	addresses := slices.Clone(m.target.Engines)
 	if m.target.Platform != "" {
@@ -66,7 +66,7 @@
 	m.readCounters(ctx, slices.Compact(addresses))
 }
 
-// takeList notes prices and services and returns the engines' addresses.
+// takeList records prices and services, and returns the engines' addresses.
 func (m *meter) takeList(list *listapi.List) []string {
 	var engines []string
 	price := 0.0
@@ -85,7 +85,7 @@
 	return engines
 }
 
-// charge adds the cost since the last change of price. Callers hold the lock.
+// charge adds the cost since the last charge. The caller holds the lock.
 func (m *meter) charge(now time.Time) {
 	if !m.since.IsZero() {
 		m.spent += m.price * now.Sub(m.since).Hours()
@@ -93,7 +93,7 @@
 	}
 }
 
-// startCost begins to charge.
+// startCost starts charging, at the start of the run.
 func (m *meter) startCost(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,7 +112,7 @@
 	m.since = time.Time{}
 }
 
-// cost is what the engines cost between startCost and stopCost.
+// cost returns the cost of the engines between startCost and stopCost.
 func (m *meter) cost() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,8 +134,8 @@
 	wg.Wait()
 }
 
-// takeCounters notes one reading. An engine that appears during the run has
-// counted nothing before it.
+// takeCounters records one reading. An engine that appears during the run counted
+// nothing before the run.
 func (m *meter) takeCounters(address string, c engineapi.Counters, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,7 +161,7 @@
 	return sum, len(m.engines), m.unread
 }
 
-// read gets one JSON answer.
+// read requests a path and decodes its JSON answer.
 func (m *meter) read(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/load/metric.go
+++ b/internal/load/metric.go
@@ -1,13 +1,13 @@
 package load
 
-// metric is one figure that results are compared by.
+// metric is one figure by which results are compared.
 type metric struct {
 	name  string
 	unit  string
 	value func(*Result) (float64, bool) // false: not known
 }
 
-// metrics are the figures of comparisons and tables, most important first.
+// metrics are the figures of comparisons, most important first.
 var metrics = []metric{
 	{"cost per 1,000 answers within target", "", costPerThousand},
 	{"recomputed tokens", "tokens", known(func(r *Result) float64 { return float64(r.Engines.RecomputedTokens) })},
@@ -29,6 +29,7 @@
 	{"broken promises", "", known(func(r *Result) float64 { return float64(r.Checks.Broken()) })},
 }
 
+// known adapts the function of a figure that every result has.
 func known(value func(*Result) float64) func(*Result) (float64, bool) {
 	return func(r *Result) (float64, bool) { return value(r), true }
 }
--- a/internal/load/moment.go
+++ b/internal/load/moment.go
@@ -1,7 +1,7 @@
 package load
 
-// Moment is one second of a run, by the intended send times of its requests to
-// models. It shows what a fault did and for how long.
+// Moment is the figures of one second of a run, of the requests to models whose
+// intended send time is in it. They show the effect of a fault and its duration.
 type Moment struct {
 	Second       int     `json:"second"`
 	Offered      int64   `json:"offered"`
@@ -9,5 +9,5 @@
 	Within       int64   `json:"within"`
 	Refused      int64   `json:"refused"`
 	FirstTokenMs float64 `json:"firstTokenMeanMillis"` // mean over the answered
-	firstSum     float64
+	firstSum     float64 // sum in milliseconds over the answered
 }
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -16,36 +16,37 @@
 
 	// Mix names a built-in mix or a YAML file; the default is taller-vivo.
 	Mix string
-	// Model, Adapter and Service replace the mix's where they are not empty.
+	// Model, Adapter and Service replace those of the mix if they are not empty.
 	Model, Adapter, Service string
 	// Workspaces send the requests; at least one.
 	Workspaces []workload.Workspace
 
-	// Rate is requests a second of all workspaces. Where it is 0 it is
-	// Load times Capacity.
+	// Rate is requests per second of all workspaces; 0 stands for Load times
+	// Capacity.
 	Rate     float64
-	Load     float64 // share of Capacity, 1 is all
-	Capacity float64 // requests a second that the deployment is said to carry
+	Load     float64 // fraction of Capacity
+	Capacity float64 // stated capacity of the deployment, requests per second
 
 	Duration time.Duration // of the schedule; default 30 s
 	Drain    time.Duration // longest wait for answers after it; default 30 s
-	Requests int           // most requests; default 100,000
-	InFlight int           // most requests at once; default 4,096
+	Requests int           // maximum in the schedule; default 100,000
+	InFlight int           // maximum of concurrent requests; default 4,096
 	Seed     uint64
 
-	// TargetScale multiplies the latency targets, and with them the pauses
-	// within conversations, for stand-ins that are faster or slower than real
-	// engines; default 1.
+	// TargetScale multiplies the latency targets and the pauses between turns of
+	// conversations, for stand-ins that are faster or slower than real engines;
+	// default 1.
 	TargetScale float64
 	// TokenScale multiplies the lengths of prompts and answers; default 1.
 	TokenScale float64
 	// Bursts is nil for workload.DefaultBursts.
 	Bursts *workload.Bursts
 
-	// HourPrice is the price of all engines in an hour, for targets without an
+	// HourPrice is the price of all engines per hour, for targets without an
 	// instance list.
 	HourPrice float64
-	// Answers compares texts with those of earlier runs; nil: only within the run.
+	// Answers holds the answers of earlier runs, to compare texts with; nil: texts
+	// are compared within the run only.
 	Answers *AnswerBook
 	Faults  []Fault
 	// Caller sets timeouts, retries and the transport. Its Seeds are replaced
@@ -61,7 +62,8 @@
 	defaultInFlight = 4096
 )
 
-// withDefaults returns the options with every default set, or says what is wrong.
+// withDefaults returns the options with every default set, or an error if they
+// are not valid.
 func (o Options) withDefaults() (Options, error) {
 	o.Mix = orElse(o.Mix, workload.TallerVivo)
 	o.Duration = orElse(o.Duration, defaultDuration)
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// plan returns what the schedule depends on.
+// plan returns the plan of the schedule.
 func (o *Options) plan() (*workload.Plan, error) {
 	mix, err := workload.FindMix(o.Mix)
 	if err != nil {
@@ -114,7 +116,7 @@
 	}, nil
 }
 
-// orElse returns v, or other where v is zero.
+// orElse returns v, or other if v is zero.
 func orElse[T comparable](v, other T) T {
 	var zero T
 	if v == zero {
--- a/internal/load/orders.go
+++ b/internal/load/orders.go
@@ -5,14 +5,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// orders keeps what callers were told of each non-idempotent request, by its key.
+// orders holds the outcome of each non-idempotent request by its idempotency key.
 type orders map[string]orderEnd
 
-// orderEnd is what a caller may rely on.
+// orderEnd is what an outcome guarantees about an order.
 type orderEnd uint8
 
 const (
-	orderOpen     orderEnd = iota // may have run: at most once
+	orderOpen     orderEnd = iota // ran at most once
 	orderAnswered                 // ran exactly once
 	orderNotRun                   // did not run
 )
@@ -28,7 +28,8 @@
 	}
 }
 
-// check compares with the times that each key ran; nil: not known.
+// check compares the outcomes with how often each key ran. ran is nil if that is
+// not known.
 func (o orders) check(ran map[string]int) OrderChecks {
 	c := OrderChecks{Checked: ran != nil, Sent: int64(len(o))}
 	for key, end := range o {
--- a/internal/load/parts_test.go
+++ b/internal/load/parts_test.go
@@ -13,7 +13,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// hanging answers completions never; a request ends with its context.
+// hanging is a transport that never answers completions; a request ends with its
+// context.
 type hanging struct{ *deployment }
 
 func (h hanging) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -24,8 +25,9 @@
 	return nil, context.Cause(r.Context())
 }
 
-// An engine is replaced by another at the same address, whose counters begin
-// at zero. The plain difference would be negative and hide what both did.
+// Guards against lost counts when an engine is replaced by another at the same
+// address, whose counters start at zero: the difference of first and last reading
+// would be negative.
 func TestCountersOfAReplacedEngineAddUp(t *testing.T) {
 	var e engineTotal
 	e.early = true
@@ -53,9 +55,9 @@
 	assert.Assert(t, !o.check(nil).Checked)
 }
 
-// A mechanic's next question is due before the last answer is there. The
-// schedule does not wait: the request leaves without the earlier turns, and the
-// late answer must not become part of a conversation that has gone on.
+// Guards against a late answer in the wrong place. When the next turn is due
+// before the last one is answered, the request is sent without the earlier turns.
+// The late answer must not replace the turns that follow it.
 func TestQuestionWithoutAnAnswerIsAskedAfresh(t *testing.T) {
 	c := newConversations()
 	turn := func(n int) *workload.Arrival { return &workload.Arrival{Conversation: 4, Turn: n} }
--- a/internal/load/plots.go
+++ b/internal/load/plots.go
@@ -9,22 +9,25 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/plot"
 )
 
-// PlotLatency draws the p95 of the first token over load, a line a policy.
+// PlotLatency draws the p95 latency of the first token over load, with a line for
+// each policy, as SVG.
 func PlotLatency(w io.Writer, results []*Result) error { return LatencyChart(results).WriteSVG(w) }
 
-// PlotRecomputed draws recomputed tokens over load, a line a policy.
+// PlotRecomputed draws recomputed tokens over load, with a line for each policy,
+// as SVG.
 func PlotRecomputed(w io.Writer, results []*Result) error {
 	return RecomputedChart(results).WriteSVG(w)
 }
 
-// PlotCost draws the cost of 1,000 answers within the target over load, a line
-// a policy.
+// PlotCost draws the cost of 1,000 answers within the target over load, with a
+// line for each policy, as SVG.
 func PlotCost(w io.Writer, results []*Result) error { return CostChart(results).WriteSVG(w) }
 
-// PlotGoodput draws answers within the target a second over load, a line a policy.
+// PlotGoodput draws answers within the target per second over load, with a line
+// for each policy, as SVG.
 func PlotGoodput(w io.Writer, results []*Result) error { return GoodputChart(results).WriteSVG(w) }
 
-// LatencyChart is the chart of PlotLatency.
+// LatencyChart returns the chart of PlotLatency.
 func LatencyChart(results []*Result) *plot.Chart {
 	c := overLoad(results, "Latency to the first token", "p95 from the intended send time, ms", func(r *Result) (float64, bool) {
 		return r.Answers.FirstToken.P95, r.Answers.FirstToken.Count > 0
@@ -37,24 +40,25 @@
 	return c
 }
 
-// RecomputedChart is the chart of PlotRecomputed.
+// RecomputedChart returns the chart of PlotRecomputed.
 func RecomputedChart(results []*Result) *plot.Chart {
 	return overLoad(results, "Tokens recomputed", "tokens recomputed in the run", func(r *Result) (float64, bool) {
 		return float64(r.Engines.RecomputedTokens), r.Engines.Count > 0
 	})
 }
 
-// CostChart is the chart of PlotCost.
+// CostChart returns the chart of PlotCost.
 func CostChart(results []*Result) *plot.Chart {
 	return overLoad(results, "Cost at the latency target", "cost of 1,000 answers within target", costPerThousand)
 }
 
-// GoodputChart is the chart of PlotGoodput.
+// GoodputChart returns the chart of PlotGoodput.
 func GoodputChart(results []*Result) *plot.Chart {
 	return overLoad(results, "Goodput", "answers within target, each second", known(func(r *Result) float64 { return r.Goodput }))
 }
 
-// overLoad draws one figure of all results over their load.
+// overLoad returns the chart of one figure over load. Load is the share of the
+// stated capacity if all results have one, else the rate.
 func overLoad(results []*Result, title, yLabel string, value func(*Result) (float64, bool)) *plot.Chart {
 	c := &plot.Chart{Title: title, Subtitle: subtitle(results), XLabel: "requests offered, each second", YLabel: yLabel}
 	shares := len(results) > 0
@@ -84,7 +88,7 @@
 
 func displaySeries(r *Result, i int) string { return orElse(r.Policy, displayName(r, i)) }
 
-// seriesOf returns the chart's series of that name, new if there is none.
+// seriesOf returns the chart's series of that name, and adds it if there is none.
 func seriesOf(c *plot.Chart, name string) *plot.Series {
 	i := slices.IndexFunc(c.Series, func(s plot.Series) bool { return s.Name == name })
 	if i < 0 {
@@ -94,7 +98,7 @@
 	return &c.Series[i]
 }
 
-// subtitle says what the results have in common.
+// subtitle returns the settings that the results have in common.
 func subtitle(results []*Result) string {
 	if len(results) == 0 {
 		return ""
@@ -103,7 +107,8 @@
 	return fmt.Sprintf("mix %s, seed %d, %s s a run, targets scaled by %s", s.Mix, s.Seed, formatValue(s.Seconds), formatValue(s.TargetScale))
 }
 
-// TimelineChart draws one run's requests over its seconds, with its faults.
+// TimelineChart returns the chart of one run's requests to models over time, with
+// its faults.
 func TimelineChart(r *Result) *plot.Chart {
 	c := &plot.Chart{
 		Title: "Requests over time: " + displayName(r, 0), Subtitle: subtitle([]*Result{r}),
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -10,7 +10,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/workload"
 )
 
-// recorder collects outcomes. It is locked once a request, not once a token.
+// recorder collects outcomes. It is locked once for each request, not for each
+// token.
 type recorder struct {
 	plan   *workload.Plan
 	target latencyTarget
@@ -24,7 +25,7 @@
 	checks     Checks
 	orders     orders
 	reasons    map[string]int64
-	lag        *hdrhistogram.Histogram
+	lag        *hdrhistogram.Histogram // actual less intended send time
 }
 
 func newRecorder(p *workload.Plan, target latencyTarget) *recorder {
@@ -40,15 +41,15 @@
 	return r
 }
 
-// sent notes how late a request left. What is late here is the tool's own
-// fault, or its bound of requests at once, and still counts in the latencies.
+// sent records how late a request was sent. This lag is due to the load generator
+// or to its bound of concurrent requests, and is part of the measured latencies.
 func (r *recorder) sent(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record(r.lag, lag)
 }
 
-// tallies returns the tallies that a request counts in.
+// tallies returns the tallies in which a request counts.
 func (r *recorder) tallies(a *workload.Arrival) []*tally {
 	if r.plan.Mix.Kinds[a.Kind].Call != nil {
 		return []*tally{r.services, r.kinds[a.Kind]}
@@ -56,7 +57,7 @@
 	return []*tally{r.answers, r.kinds[a.Kind], r.workspaces[a.Workspace]}
 }
 
-// completion takes the outcome of a request to a model.
+// completion records the outcome of a request to a model.
 func (r *recorder) completion(a *workload.Arrival, intended time.Time, o *caller.Outcome, f findings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +69,7 @@
 	r.addMoment(a, intended, o, f.intact())
 }
 
-// call takes the outcome of a call of a plain service.
+// call records the outcome of a call of a plain service.
 func (r *recorder) call(a *workload.Arrival, intended time.Time, key string, o *caller.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// unsent takes a request that was not sent before the run ended.
+// unsent records a request that was not sent before the run ended.
 func (r *recorder) unsent(a *workload.Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -9,11 +9,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/workload"
 )
 
-// Schema is the version of Result's JSON form. It grows with every change that
-// an older reader would misread.
+// Schema is the version of the JSON encoding of Result. It is incremented with
+// every incompatible change.
 const Schema = 1
 
-// Result is one run's outcome.
+// Result is the outcome of one run.
 type Result struct {
 	Schema    int       `json:"schema"`
 	Name      string    `json:"name,omitempty"`
@@ -23,7 +23,7 @@
 	Settings  Settings  `json:"settings"`
 	Targets   Targets   `json:"targets"`
 
-	// Goodput is answers within the target a second of the schedule.
+	// Goodput is answers within the target per second of the schedule.
 	Goodput float64 `json:"goodput"`
 	Cost    Cost    `json:"cost"`
 	Engines Engines `json:"engines"`
@@ -34,21 +34,21 @@
 	Kinds      []NamedSection `json:"kinds"`
 	Workspaces []NamedSection `json:"workspaces"` // requests to models
 	Timeline   []Moment       `json:"timeline"`
-	// Reasons counts why attempts failed, most frequent first; many a request
-	// was answered all the same on a later attempt.
+	// Reasons counts failed attempts by reason, most frequent first. Their
+	// requests may have been answered on a later attempt.
 	Reasons   []ReasonCount `json:"reasons,omitempty"`
 	Faults    []FaultRecord `json:"faults,omitempty"`
 	Generator Generator     `json:"generator"`
 }
 
-// ReasonCount is how many attempts failed for a reason: the status and verdict
-// of a failure answer, or what became of the connection.
+// ReasonCount is the number of attempts that failed for a reason: the status and
+// verdict of a failure answer, or the fault of the connection.
 type ReasonCount struct {
 	Reason string `json:"reason"`
 	Count  int64  `json:"count"`
 }
 
-// Settings is what a run depended on.
+// Settings is the settings of a run.
 type Settings struct {
 	Seed         uint64               `json:"seed"`
 	Mix          string               `json:"mix"`
@@ -66,34 +66,37 @@
 	ScheduleHash uint64               `json:"scheduleHash,string"`
 }
 
-// Targets is the latency targets, already scaled.
+// Targets is the latency targets after scaling.
 type Targets struct {
 	Scale               float64 `json:"scale"`
 	FirstTokenMillis    float64 `json:"firstTokenMillis"`
 	BetweenTokensMillis float64 `json:"betweenTokensMillis"` // mean over an answer
 }
 
-// Cost is what the engines of the instance list cost during the schedule, in
-// the list's currency. Instances that start and are not listed yet are missing.
+// Cost is the cost of the engines of the instance list during the schedule, in
+// the list's currency. Instances that have started but are not listed yet are not
+// included.
 type Cost struct {
 	Known bool    `json:"known"`
 	Total float64 `json:"total"`
-	// PerThousandWithin is nil where the cost is not known or nothing came in time.
+	// PerThousandWithin is the cost of 1,000 answers within the target; nil if the
+	// cost is not known or no answer was within the target.
 	PerThousandWithin *float64 `json:"perThousandWithin"`
 }
 
-// Engines is the engines' own counters, after the run minus before. What an
-// engine counted between its last reading and its end is missing.
+// Engines is the sums of the engines' own counters over the run. Counts between
+// an engine's last reading and its end are not included.
 type Engines struct {
 	engineapi.Counters
 	Count          int `json:"count"`          // engines seen
 	FailedReadings int `json:"failedReadings"` // counters that could not be read
 }
 
-// Generator tells whether the tool kept up.
+// Generator is the figures of the load generator itself. They show whether it
+// kept to the schedule.
 type Generator struct {
-	SendLag     Distribution `json:"sendLag"` // actual less intended send time
-	AskedAfresh int          `json:"askedAfresh"`
+	SendLag     Distribution `json:"sendLag"`     // actual less intended send time
+	AskedAfresh int          `json:"askedAfresh"` // requests sent without their earlier turns
 }
 
 // Write writes the result as JSON.
--- a/internal/load/resultstable.go
+++ b/internal/load/resultstable.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// ResultsTable returns results as a table, a row a run.
+// ResultsTable returns the main figures of results, with a row for each run.
 func ResultsTable(results []*Result) *Table {
 	t := &Table{Head: []string{"policy", "load", "cost per 1,000 within", "within target", "first token in time", "gaps in time",
 		"goodput /s", "recomputed tokens", "first token p95 ms", "refused", "lost", "broken promises"}}
@@ -31,7 +31,8 @@
 	}
 }
 
-// loadText is the share of the stated capacity, or the rate where none was stated.
+// loadText returns the load as a share of the stated capacity, or the rate if no
+// capacity was stated.
 func loadText(s *Settings) string {
 	if s.Load > 0 {
 		return percent(s.Load)
@@ -41,8 +42,9 @@
 
 func percent(share float64) string { return strconv.FormatFloat(100*share, 'f', 1, 64) + "%" }
 
-// WorkspacesTable returns each workspace's p95 to the first token in
-// milliseconds, a row a run. It shows what one workspace's load does to others.
+// WorkspacesTable returns the p95 latency of the first token of each workspace,
+// in milliseconds, with a row for each run. It shows the effect of one
+// workspace's load on the others.
 func WorkspacesTable(results []*Result) *Table {
 	t := &Table{Head: []string{"run"}}
 	if len(results) == 0 {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -9,8 +9,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/workload"
 )
 
-// Run loads a deployment and returns what was measured. When ctx ends first
-// the result covers what was offered until then, and the error is ctx's.
+// Run sends the requests of a schedule to a deployment and returns the result. If
+// ctx ends first, the result covers the requests offered until then, and the error
+// is that of ctx.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	r, err := newRun(o)
 	if err != nil {
@@ -41,11 +42,11 @@
 	recorder *recorder
 	meter    *meter
 	start    time.Time
-	lasted   time.Duration // the part of the schedule that was offered
+	lasted   time.Duration // the part of the schedule that was run
 
-	slots    chan struct{} // bounds requests at once
+	slots    chan struct{} // semaphore of concurrent requests
 	requests sync.WaitGroup
-	live     context.Context // of requests; outlasts the schedule
+	live     context.Context // of requests; ends after the drain
 	kill     context.CancelFunc
 }
 
@@ -81,8 +82,8 @@
 	return tokens
 }
 
-// background starts the meter, the faults and the bound of the drain; the
-// returned function ends them.
+// background starts the meter, the faults and the timer of the drain. The
+// returned function stops them and ends the requests' context.
 func (r *run) background(ctx context.Context) func() {
 	stopped := context.AfterFunc(ctx, r.kill)
 	ctx, cancel := context.WithCancel(ctx)
@@ -128,8 +129,8 @@
 	sleepUntil(ctx, r.start.Add(r.plan.Duration))
 }
 
-// takeSlot waits for a free place among the requests at once. The wait counts
-// in the request's latency.
+// takeSlot waits until another concurrent request is allowed; false: the run
+// ended first. The wait is part of the request's latency.
 func (r *run) takeSlot(ctx context.Context) bool {
 	select {
 	case r.slots <- struct{}{}:
@@ -141,7 +142,7 @@
 	}
 }
 
-// skip notes requests that the end of the run kept from being sent.
+// skip records the requests that were due and not sent before the run ended.
 func (r *run) skip(rest []workload.Arrival) {
 	for i := range rest {
 		if time.Since(r.start) >= rest[i].At {
@@ -150,7 +151,7 @@
 	}
 }
 
-// sleepUntil waits for a time; false: ctx ended first.
+// sleepUntil waits until a time. It returns false if ctx ended first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -15,7 +15,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/workload"
 )
 
-// options load a deployment in memory with short prompts.
+// options returns options of a run against a fake deployment, with short prompts.
 func options(d *deployment) Options {
 	return Options{
 		Target: Target{Entries: []string{d.address}, Platform: d.address}, Seed: 1,
@@ -24,7 +24,8 @@
 	}
 }
 
-// runIn runs in virtual time against a deployment without sockets.
+// runIn runs in virtual time against a deployment without sockets and returns the
+// result.
 func runIn(t *testing.T, d *deployment, o Options) *Result {
 	t.Helper()
 	var res *Result
@@ -62,9 +63,9 @@
 	assert.ErrorContains(t, err, "schema 99")
 }
 
-// The first request stalls for a second and, with one request at once, all
-// others queue behind it in the tool. Counted from the moment of sending they
-// would seem quick, and a stall of a quarter of the run would vanish from the
+// Guards against coordinated omission. The first request stalls for a second and,
+// with one concurrent request, all others queue behind it in the load generator.
+// If latencies counted from the actual send time, the stall would not show in the
 // median.
 func TestQueueBehindAStallCounts(t *testing.T) {
 	d := newDeployment()
@@ -82,7 +83,7 @@
 	r := runIn(t, newDeployment(), options(newDeployment()))
 	assert.Equal(t, r.Answers.Within, r.Answers.Offered)
 	assert.Equal(t, r.Goodput, float64(r.Answers.Within)/4)
-	// 36 an hour is 0.01 a second.
+	// A price of 36 per hour is 0.01 per second.
 	assert.Assert(t, r.Cost.Known && r.Cost.Total > 0.0399 && r.Cost.Total < 0.0401, "%v", r.Cost.Total)
 	assert.Equal(t, *r.Cost.PerThousandWithin, r.Cost.Total/float64(r.Answers.Within)*1000)
 	offered := int64(0)
@@ -126,9 +127,9 @@
 	})
 }
 
-// The deployment hangs: nothing is answered and the bound of requests at once
-// is reached. The run must still end, by the schedule's end and the drain, and
-// count what it could not send as offered.
+// Guards against a run that does not end because the deployment hangs and the
+// bound of concurrent requests is reached. It must end after the schedule and the
+// drain, and count the requests that were not sent as offered.
 func TestRunAgainstAHangingDeploymentEnds(t *testing.T) {
 	d := newDeployment()
 	d.stall = time.Hour
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -21,7 +21,7 @@
 	Stream    bool                `json:"stream"`
 }
 
-// send sends one request and records how it ended.
+// send sends one request and records its outcome.
 func (r *run) send(a *workload.Arrival) {
 	intended := r.start.Add(a.At)
 	r.recorder.sent(time.Since(intended))
@@ -52,7 +52,7 @@
 		Messages: messages, MaxTokens: tokens, Stream: true,
 	})
 	if err != nil {
-		panic(err) // the type holds strings, numbers and booleans only
+		panic(err) // strings, numbers and booleans can always be encoded
 	}
 	return body
 }
@@ -76,6 +76,6 @@
 // partPlace is replaced by a part number in calls of plain services.
 const partPlace = "{part}"
 
-// newKey returns an idempotency key. Keys hold the time and are therefore not
-// a function of the seed.
+// newKey returns an idempotency key. Keys are UUIDv7, which contain the time, and
+// so they are not a function of the seed.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
--- a/internal/load/summarise.go
+++ b/internal/load/summarise.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// result puts together what was measured. executions is how often each order's
-// key ran, nil where that is not known.
+// result assembles the result of the run. executions is how often each order's
+// key ran, nil if that is not known.
 func (r *run) result(executions map[string]int) *Result {
 	c := r.recorder
 	c.mu.Lock()
@@ -37,7 +37,7 @@
 	return res
 }
 
-// reasonCounts returns the reasons, most frequent first.
+// reasonCounts returns the reasons of failed attempts, most frequent first.
 func (r *recorder) reasonCounts() []ReasonCount {
 	var all []ReasonCount
 	for reason, n := range r.reasons {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Table is figures as text. The first column holds names, the others numbers.
+// Table is a table of text. The first column holds names, the others numbers.
 type Table struct {
 	Head []string
 	Rows [][]string
@@ -36,8 +36,8 @@
 	b.WriteString("|\n")
 }
 
-// Table returns the comparison as text: each value with its ratio to the
-// first result's.
+// Table returns the comparison as a table: each value with its ratio to that of
+// the first result.
 func (c *Comparison) Table() *Table {
 	t := &Table{Head: append([]string{"figure"}, c.Names...)}
 	for _, r := range c.Rows {
@@ -82,7 +82,7 @@
 	return formatValue(c.Value)
 }
 
-// formatValue writes about four digits.
+// formatValue formats a value with three digits or more, and integers in full.
 func formatValue(v float64) string {
 	switch {
 	case v == float64(int64(v)) || v >= 1000 || v <= -1000:
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// tally collects a section while the run goes on.
+// tally collects the figures of a section during the run.
 type tally struct {
 	s           Section
 	firstWithin int64
@@ -33,7 +33,8 @@
 	return all
 }
 
-// add takes one request's outcome. intact says that its answer passed the checks.
+// add records the outcome of one request. intact is whether its answer passed the
+// checks.
 func (t *tally) add(target latencyTarget, intended time.Time, o *caller.Outcome, intact bool) {
 	t.s.Offered++
 	t.s.Tokens += int64(o.Tokens)
@@ -112,7 +113,7 @@
 	}
 }
 
-// unsent counts requests that the run's end kept from being sent.
+// unsent counts a request that was not sent before the run ended.
 func (t *tally) unsent() {
 	t.s.Offered++
 	t.s.Ends.Unsent++
@@ -131,7 +132,7 @@
 	return s
 }
 
-// share is part of whole, 0 where there is no whole.
+// share returns part divided by whole, 0 if whole is 0.
 func share(part, whole int64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/load/target.go
+++ b/internal/load/target.go
@@ -1,15 +1,16 @@
 package load
 
-// Target is the deployment that is loaded. Addresses are host:port.
+// Target is the deployment under load. Addresses are host:port.
 type Target struct {
-	// Entries are asked first which entries to use. At least one.
+	// Entries are those from which callers first request the list of entries. At
+	// least one.
 	Entries []string
-	// Platform answers the instance list, from which engines, services and
-	// prices are read. Empty: they are taken from the fields below alone.
+	// Platform is the address of the instance list, from which engines, services
+	// and prices are read. Empty: engines and services are those below alone.
 	Platform string
-	// Engines are asked for their counters, beside those of the list.
+	// Engines are those whose counters are read in addition to those of the list.
 	Engines []string
-	// Services are asked how often each idempotency key ran, beside those of
-	// the list.
+	// Services are those from which the executions of each idempotency key are
+	// read, in addition to those of the list.
 	Services []string
 }
