--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -32,15 +32,15 @@
 
 // Guards against a large negative rate when a daemon restarts between two
 // samples and its counter starts at zero again.
-func TestRateOverARestart(t *testing.T) {
-	p := Panel{Metric: "m", Reading: Rate}
+func TestRateAfterACounterReset(t *testing.T) {
+	p := Panel{Metric: "m", Transform: Rate}
 	c, ok := p.chart([]Sample{sampleAt(0, "a", "m", "", 100), sampleAt(10, "a", "m", "", 120), sampleAt(20, "a", "m", "", 30)})
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, c.Series[0].Points, []plot.Point{{X: 10, Y: 2}, {X: 20, Y: 3}})
 }
 
-func TestVersionsBehindTheNewest(t *testing.T) {
-	p := Panel{Metric: "v", Reading: Behind}
+func TestLagIsTheDistanceToTheNewestVersion(t *testing.T) {
+	p := Panel{Metric: "v", Transform: Lag}
 	c, ok := p.chart([]Sample{
 		sampleAt(0, "a", "v", "x", 4), sampleAt(1, "b", "v", "x", 4),
 		sampleAt(2, "a", "v", "x", 7), sampleAt(3, "b", "v", "x", 5), sampleAt(4, "b", "v", "x", 7),
@@ -50,14 +50,14 @@
 	assert.DeepEqual(t, c.Series[1].Points, []plot.Point{{X: 1, Y: 0}, {X: 3, Y: 2}, {X: 4, Y: 0}})
 }
 
-func TestFollowLeavesOutWhoCannotBeRead(t *testing.T) {
+func TestFollowSkipsUnreachableDaemons(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte("path{p=\"" + r.URL.Path + "\"} 1\n"))
 	}))
 	defer s.Close()
 	live := strings.TrimPrefix(s.URL, "http://")
 	ctx, cancel := context.WithCancel(t.Context())
-	out := &cancelling{cancel: cancel}
+	out := &cancelOnWrite{cancel: cancel}
 	assert.NilError(t, Follow(ctx, out, s.Client(), []string{"127.0.0.1:0", live}, time.Hour))
 	samples, err := ReadSamples(out)
 	assert.NilError(t, err)
@@ -66,18 +66,18 @@
 	assert.DeepEqual(t, samples[0].Values, []Value{{"path", `p="/metrics"`, 1}})
 }
 
-// cancelling cancels a context at the first write.
-type cancelling struct {
+// cancelOnWrite cancels a context at the first write.
+type cancelOnWrite struct {
 	bytes.Buffer
 	cancel context.CancelFunc
 }
 
-func (c *cancelling) Write(p []byte) (int, error) {
+func (c *cancelOnWrite) Write(p []byte) (int, error) {
 	c.cancel()
 	return c.Buffer.Write(p)
 }
 
-func TestSamplesCutOffAtTheEnd(t *testing.T) {
+func TestReadSamplesSkipsATruncatedLastLine(t *testing.T) {
 	samples, err := ReadSamples(strings.NewReader("{\"daemon\":\"a\"}\n{\"daemon\":\"b\",\"val"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(samples), 1)
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestPageOfNothing(t *testing.T) {
+func TestPageWithoutInput(t *testing.T) {
 	var b bytes.Buffer
 	assert.NilError(t, Write(&b, Input{}))
 	assert.Assert(t, !strings.Contains(b.String(), "<svg "))
