--- a/internal/load/caller/call.go
+++ b/internal/load/caller/call.go
@@ -28,12 +28,12 @@
 	k := &callState{c: c, r: r, cache: c.cache(r.Workspace, r.Seed), backoff: newBackoff(r.Seed)}
 	for {
 		s := k.attempt(ctx)
-		d, more := k.settle(ctx, s)
+		d, more := k.afterAttempt(ctx, s)
 		if !more {
 			return &k.out
 		}
 		if !pause.For(ctx, d) {
-			k.finish(k.cutOff(ctx), breakOff(ctx.Err()))
+			k.finish(k.endByContext(ctx), brokenStep(ctx.Err()))
 			return &k.out
 		}
 	}
@@ -53,13 +53,13 @@
 func (k *callState) attempt(ctx context.Context) step {
 	k.address = k.cache.pick(ctx, k.address)
 	if k.address == "" {
-		return breakOff(Error.New("no entry address is known"))
+		return brokenStep(Error.New("no entry address is known"))
 	}
-	ctx, silence := newWatch(ctx, k.c.o.ProgressTimeout)
-	defer silence.stop()
+	ctx, progress := newProgressTimer(ctx, k.c.o.ProgressTimeout)
+	defer progress.stop()
 	r, err := k.c.request(ctx, k.r.Method, k.address, ServicesPath+k.r.Service+k.r.Path, k.r.Workspace, k.r.Body)
 	if err != nil {
-		return breakOff(err)
+		return brokenStep(err)
 	}
 	if k.r.Key != "" {
 		r.Header.Set(keyHeader, k.r.Key)
@@ -67,7 +67,7 @@
 	k.out.Sent++
 	resp, err := k.c.http.Do(r)
 	if err != nil {
-		return breakSilent(ctx, Error.Wrap(err))
+		return brokenStepIn(ctx, Error.Wrap(err))
 	}
 	if resp.StatusCode/100 != 2 {
 		return step{kind: failed, failure: readFailure(resp)}
@@ -80,7 +80,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := readAll(resp.Body)
 	if err != nil {
-		return breakOff(err)
+		return brokenStep(err)
 	}
 	k.out.Text = text
 	k.out.Done = time.Now()
@@ -88,20 +88,20 @@
 	return step{kind: whole}
 }
 
-// settle processes the end of an attempt. It returns how long to wait before the
+// afterAttempt processes the end of an attempt. It returns how long to wait before the
 // next one, or false if there is none.
-func (k *callState) settle(ctx context.Context, s step) (time.Duration, bool) {
+func (k *callState) afterAttempt(ctx context.Context, s step) (time.Duration, bool) {
 	switch {
 	case s.kind == whole:
 		k.out.End = Answered
 		return 0, false
 	case ctx.Err() != nil:
-		k.finish(k.cutOff(ctx), s)
+		k.finish(k.endByContext(ctx), s)
 		return 0, false
 	}
-	k.c.failed(k.cache, k.address, s, &k.out)
-	if !again(s) || k.out.Sent > k.c.o.MaxRetries {
-		k.finish(refusedOr(s), s)
+	k.c.recordFailure(k.cache, k.address, s, &k.out)
+	if !shouldRetry(s) || k.out.Sent > k.c.o.MaxRetries {
+		k.finish(endBeforeAcceptance(s), s)
 		return 0, false
 	}
 	k.out.Ambiguous = k.out.Ambiguous || s.verdictOf() == verdict.MayHaveRun
@@ -111,9 +111,9 @@
 	return k.backoff.next(s.failure.retryAfter), true
 }
 
-// cutOff returns the end of a call whose context ended: by the call's own timeout
+// endByContext returns the end of a call whose context ended: by the call's own timeout
 // or, else, with the run.
-func (k *callState) cutOff(ctx context.Context) End {
+func (k *callState) endByContext(ctx context.Context) End {
 	if ctx.Err() == context.DeadlineExceeded {
 		return Unreached
 	}
--- a/internal/load/caller/call_test.go
+++ b/internal/load/caller/call_test.go
@@ -18,7 +18,7 @@
 // reused connection and closes it without an answer, net/http by itself sends
 // the request again if it has an idempotency key; the client would then report
 // one attempt less than the entry received.
-func TestEverySendingIsCounted(t *testing.T) {
+func TestEveryAttemptIsCounted(t *testing.T) {
 	var seen, orders atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == EntriesPath {
@@ -64,7 +64,7 @@
 		assert.Assert(t, out.FromServer && !out.Ambiguous)
 		assert.Equal(t, c.Call(t.Context(), call).End, Answered)
 		// Later requests avoid the entry that answered 503 as well.
-		assert.DeepEqual(t, s.asked, []string{
+		assert.DeepEqual(t, s.requests, []string{
 			"GET a /v1/services/parts/stock/1 ", "GET b /v1/services/parts/stock/1 ", "GET b /v1/services/parts/stock/1 ",
 		})
 	})
--- a/internal/load/caller/client.go
+++ b/internal/load/caller/client.go
@@ -38,8 +38,8 @@
 	for i := range caches {
 		caches[i] = &entryCache{
 			seeds: c.o.Seeds,
-			ask: func(ctx context.Context, address string) ([]string, time.Duration, error) {
-				return c.askEntries(ctx, address, workspace)
+			fetch: func(ctx context.Context, address string) ([]string, time.Duration, error) {
+				return c.fetchEntries(ctx, address, workspace)
 			},
 		}
 		if c.o.Choice == Spread {
@@ -58,17 +58,17 @@
 	return caches[seed%uint64(len(caches))]
 }
 
-// failed records a failed attempt. An entry that closed the connection or
+// recordFailure records a recordFailure attempt. An entry that closed the connection or
 // answered 503 is avoided until the list of entries is refreshed. After a
 // progress timeout, other connections opened along with the unresponsive one are
 // likely to be dead as well; closing the idle ones saves later requests the same
 // wait.
-func (c *Client) failed(cache *entryCache, address string, s step, o *Outcome) {
+func (c *Client) recordFailure(cache *entryCache, address string, s step, o *Outcome) {
 	o.Reasons = append(o.Reasons, s.reason())
 	if s.kind == broken || s.failure.status == http.StatusServiceUnavailable {
-		cache.fail(address)
+		cache.markFailed(address)
 	}
-	if errors.Is(s.err, errSilent) {
+	if errors.Is(s.err, errNoProgress) {
 		c.http.CloseIdleConnections()
 	}
 }
--- a/internal/load/caller/completion.go
+++ b/internal/load/caller/completion.go
@@ -24,69 +24,69 @@
 func (c *Client) Complete(ctx context.Context, r *Completion) *Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.o.RequestTimeout)
 	defer cancel()
-	f := newFollower(c, r)
+	f := newCompletionState(c, r)
 	for {
 		s := f.attempt(ctx)
-		wait, again := f.settle(ctx, s)
-		if !again || !f.pause(ctx, wait) {
+		wait, more := f.afterAttempt(ctx, s)
+		if !more || !f.pause(ctx, wait) {
 			return &f.out
 		}
 	}
 }
 
-// follower is the state of one completion across its attempts.
-type follower struct {
-	c       *Client
-	r       *Completion
-	cache   *entryCache
-	backoff backoff
-	reader  tokenReader
-	out     Outcome
-	next    string // address to resume at after a move, empty for any
-	address string // of the last attempt
+// completionState is the state of one completion across its attempts.
+type completionState struct {
+	c        *Client
+	r        *Completion
+	cache    *entryCache
+	backoff  backoff
+	reader   tokenReader
+	out      Outcome
+	resumeAt string // address to resume at after a move, empty for any
+	address  string // of the last attempt
 }
 
-func newFollower(c *Client, r *Completion) *follower {
-	f := &follower{c: c, r: r, cache: c.cache(r.Workspace, r.Seed), backoff: newBackoff(r.Seed)}
+func newCompletionState(c *Client, r *Completion) *completionState {
+	f := &completionState{c: c, r: r, cache: c.cache(r.Workspace, r.Seed), backoff: newBackoff(r.Seed)}
 	f.reader.out = &f.out
 	return f
 }
 
 // attempt sends the request or, once it was accepted, resumes its stream.
-func (f *follower) attempt(ctx context.Context) step {
+func (f *completionState) attempt(ctx context.Context) step {
 	f.address = f.pick(ctx)
 	if f.address == "" {
-		return breakOff(Error.New("no entry address is known"))
+		return brokenStep(Error.New("no entry address is known"))
 	}
-	ctx, silence := newWatch(ctx, f.c.o.ProgressTimeout)
-	defer silence.stop()
+	ctx, progress := newProgressTimer(ctx, f.c.o.ProgressTimeout)
+	defer progress.stop()
 	resp, err := f.send(ctx)
 	if err != nil {
-		return breakSilent(ctx, err)
+		return brokenStepIn(ctx, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return step{kind: failed, failure: readFailure(resp)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	f.out.Accepted = true
-	s := f.reader.read(resp.Body, silence.extend)
+	s := f.reader.read(resp.Body, progress.extend)
 	if s.kind == broken {
-		return breakSilent(ctx, s.err)
+		return brokenStepIn(ctx, s.err)
 	}
 	return s
 }
 
 // pick returns the address that the last step named, or else an entry other than
 // that of the last attempt.
-func (f *follower) pick(ctx context.Context) string {
-	if next := f.next; next != "" {
-		f.next = ""
+func (f *completionState) pick(ctx context.Context) string {
+	if next := f.resumeAt; next != "" {
+		f.resumeAt = ""
 		return next
 	}
 	return f.cache.pick(ctx, f.address)
 }
 
-func (f *follower) send(ctx context.Context) (*http.Response, error) {
+func (f *completionState) send(ctx context.Context) (*http.Response, error) {
 	r, err := f.build(ctx)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 
 // build returns the request to send, or to resume its stream after the tokens
 // received so far.
-func (f *follower) build(ctx context.Context) (*http.Request, error) {
+func (f *completionState) build(ctx context.Context) (*http.Request, error) {
 	if f.out.Accepted {
 		path := RequestsPath + f.r.Key + EventsSuffix
 		r, err := f.c.request(ctx, http.MethodGet, f.address, path, f.r.Workspace, nil)
@@ -116,40 +116,40 @@
 	return r, nil
 }
 
-// settle processes the end of an attempt. It returns how long to wait before the
+// afterAttempt processes the end of an attempt. It returns how long to wait before the
 // next one, or false if there is none.
-func (f *follower) settle(ctx context.Context, s step) (time.Duration, bool) {
+func (f *completionState) afterAttempt(ctx context.Context, s step) (time.Duration, bool) {
 	switch {
 	case s.kind == whole:
 		f.out.End = Answered
 		return 0, false
 	case ctx.Err() != nil:
-		f.finish(f.cutOff(ctx), s)
+		f.finish(f.endByContext(ctx), s)
 		return 0, false
 	case s.kind == moved:
-		return f.settleMoved(s)
+		return f.afterMove(s)
 	}
-	f.c.failed(f.cache, f.address, s, &f.out)
+	f.c.recordFailure(f.cache, f.address, s, &f.out)
 	if f.out.Accepted {
-		return f.settleAccepted(s)
+		return f.resumeOrEnd(s)
 	}
-	return f.settleNew(s)
+	return f.retryOrEnd(s)
 }
 
-func (f *follower) settleMoved(s step) (time.Duration, bool) {
+func (f *completionState) afterMove(s step) (time.Duration, bool) {
 	f.out.Moves++
 	if f.out.Moves > f.c.o.MaxResumes {
 		f.finish(Lost, step{kind: broken, err: Error.New("moved %d times", f.out.Moves)})
 		return 0, false
 	}
-	f.next = s.address
+	f.resumeAt = s.address
 	return 0, true
 }
 
-// settleAccepted resumes the stream unless a verdict ended the request or
+// resumeOrEnd resumes the stream unless a verdict ended the request or
 // MaxResumes is reached.
-func (f *follower) settleAccepted(s step) (time.Duration, bool) {
-	if s.kind == failed && !elsewhere(s.failure.status) {
+func (f *completionState) resumeOrEnd(s step) (time.Duration, bool) {
+	if s.kind == failed && !retryElsewhere(s.failure.status) {
 		f.finish(Failed, s)
 		return 0, false
 	}
@@ -158,29 +158,29 @@
 		return 0, false
 	}
 	f.out.Resumes++
-	return f.before(s), true
+	return f.waitBefore(s), true
 }
 
-// settleNew retries a request that was not accepted, unless the failure is final
+// retryOrEnd retries a request that was not accepted, unless the failure is final
 // or MaxRetries is reached.
-func (f *follower) settleNew(s step) (time.Duration, bool) {
-	if !again(s) || f.out.Sent > f.c.o.MaxRetries {
-		f.finish(refusedOr(s), s)
+func (f *completionState) retryOrEnd(s step) (time.Duration, bool) {
+	if !shouldRetry(s) || f.out.Sent > f.c.o.MaxRetries {
+		f.finish(endBeforeAcceptance(s), s)
 		return 0, false
 	}
 	f.out.Ambiguous = f.out.Ambiguous || s.verdictOf() == verdict.MayHaveRun
-	return f.before(s), true
+	return f.waitBefore(s), true
 }
 
-// before returns the wait before the next attempt.
-func (f *follower) before(s step) time.Duration {
+// waitBefore returns the wait waitBefore the next attempt.
+func (f *completionState) waitBefore(s step) time.Duration {
 	if s.kind == broken {
 		return f.backoff.next(0)
 	}
 	return f.backoff.next(s.failure.retryAfter)
 }
 
-func (f *follower) finish(end End, s step) {
+func (f *completionState) finish(end End, s step) {
 	f.out.fail(end, s.verdictOf(), s.cause())
 	if s.kind == failed {
 		f.out.FromServer = s.failure.hasVerdict
@@ -188,9 +188,9 @@
 	}
 }
 
-// cutOff returns the end of a request whose context ended: by the request's own
+// endByContext returns the end of a request whose context ended: by the request's own
 // timeout or, else, with the run.
-func (f *follower) cutOff(ctx context.Context) End {
+func (f *completionState) endByContext(ctx context.Context) End {
 	switch {
 	case ctx.Err() != context.DeadlineExceeded:
 		return Unfinished
@@ -203,10 +203,10 @@
 
 // pause waits before the next attempt. It returns false if ctx ended first, and
 // then the request has ended.
-func (f *follower) pause(ctx context.Context, d time.Duration) bool {
+func (f *completionState) pause(ctx context.Context, d time.Duration) bool {
 	if d == 0 || pause.For(ctx, d) {
 		return true
 	}
-	f.finish(f.cutOff(ctx), breakOff(ctx.Err()))
+	f.finish(f.endByContext(ctx), brokenStep(ctx.Err()))
 	return false
 }
--- a/internal/load/caller/completion_test.go
+++ b/internal/load/caller/completion_test.go
@@ -24,9 +24,9 @@
 // order, and records the requests. Requests for the list of entries are answered
 // with entries and not recorded.
 type script struct {
-	entries []string
-	answers []func() (*http.Response, error)
-	asked   []string // "METHOD host path last-event-id"
+	entries  []string
+	answers  []func() (*http.Response, error)
+	requests []string // "METHOD host path last-event-id"
 }
 
 func (s *script) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -34,7 +34,7 @@
 		list := `{"entries":[{"address":"` + strings.Join(s.entries, `"},{"address":"`) + `"}]}`
 		return response(200, list, "Cache-Control", "max-age=10"), nil
 	}
-	s.asked = append(s.asked, fmt.Sprintf("%s %s %s %s", r.Method, r.URL.Host, r.URL.Path, r.Header.Get(lastEventHeader)))
+	s.requests = append(s.requests, fmt.Sprintf("%s %s %s %s", r.Method, r.URL.Host, r.URL.Path, r.Header.Get(lastEventHeader)))
 	if len(s.answers) == 0 {
 		return nil, errors.New("the script has no more answers")
 	}
@@ -55,8 +55,8 @@
 	return func() (*http.Response, error) { return response(status, body, header...), nil }
 }
 
-// breaks answers with the body, after which reading fails.
-func breaks(body string) func() (*http.Response, error) {
+// breaksAfter answers with the body, after which reading fails.
+func breaksAfter(body string) func() (*http.Response, error) {
 	return func() (*http.Response, error) {
 		r := response(200, "")
 		r.Body = io.NopCloser(io.MultiReader(strings.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)))
@@ -87,10 +87,10 @@
 	return c.Complete(context.Background(), &Completion{Key: "k", Body: []byte("{}")})
 }
 
-func TestAnswerOverBreakAndMove(t *testing.T) {
+func TestAnswerContinuesAfterFailuresAndMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []func() (*http.Response, error){
-			breaks(acceptance + tokens(1, 2)),
+			breaksAfter(acceptance + tokens(1, 2)),
 			answers(404, `{"verdict":"not-run"}`),
 			answers(200, acceptance+tokens(3, 3)+"id: 3\nevent: moved\ndata: {\"address\":\"c\"}\n\n"),
 			answers(200, acceptance+tokens(4, 4)+ending),
@@ -101,7 +101,7 @@
 		assert.DeepEqual(t, []int{out.Tokens, out.Missing, out.Duplicated, out.Sent, out.Resumes, out.Moves}, []int{4, 0, 0, 1, 2, 1})
 		assert.Equal(t, out.Usage.CompletionTokens, 4)
 		assert.DeepEqual(t, out.Reasons, []string{"connection broken", "404 not-run"})
-		assert.DeepEqual(t, s.asked, []string{
+		assert.DeepEqual(t, s.requests, []string{
 			"POST a /v1/chat/completions ",
 			"GET b /v1/requests/k/events 2",
 			"GET b /v1/requests/k/events 2",
@@ -113,10 +113,10 @@
 // Guards against an entry that, after a resume, repeats a token and skips
 // another: the answer would look whole but have the wrong text. The check of
 // offsets must count both.
-func TestTokensLostAndSentTwiceAreCounted(t *testing.T) {
+func TestMissingAndDuplicatedTokensAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := complete(t, &script{answers: []func() (*http.Response, error){
-			breaks(acceptance + tokens(1, 2)),
+			breaksAfter(acceptance + tokens(1, 2)),
 			answers(200, acceptance+tokens(2, 2)+tokens(4, 4)+ending),
 		}})
 		assert.Equal(t, out.End, Answered)
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestRefusalIsRetriedAfterItsHintAndKeepsItsVerdict(t *testing.T) {
+func TestRefusalIsRetriedAfterRetryAfterAndKeepsItsVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		busy := answers(429, `{"status":429}`, "Retry-After", "2", verdict.Header, "not-run")
 		start := time.Now()
@@ -165,21 +165,21 @@
 // Guards against a connection that a middlebox between caller and entry no longer
 // tracks: the stream stops without an error and a read would block for ever.
 // After the progress timeout the caller must close it and resume at another entry.
-func TestSilentStreamIsResumedElsewhere(t *testing.T) {
+func TestStalledStreamIsResumedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []func() (*http.Response, error){nil, answers(200, tokens(2, 4)+ending)}}
 		s.answers[0] = func() (*http.Response, error) {
 			r := response(200, "")
-			r.Body = &silent{Reader: strings.NewReader(acceptance + tokens(1, 1)), closed: make(chan struct{})}
+			r.Body = &stalledBody{Reader: strings.NewReader(acceptance + tokens(1, 1)), closed: make(chan struct{})}
 			return r, nil
 		}
 		// The real transport closes the body when the request's context ends.
-		c := New(Options{Transport: closing{s}, Seeds: []string{"a", "b"}, ProgressTimeout: time.Second}, []string{"token"})
+		c := New(Options{Transport: closeOnCancel{s}, Seeds: []string{"a", "b"}, ProgressTimeout: time.Second}, []string{"token"})
 		s.entries = []string{"a", "b"}
 		out := c.Complete(context.Background(), &Completion{Key: "k"})
 		assert.Equal(t, out.End, Answered, "%v", out.Err)
 		assert.Equal(t, string(out.Text), " w1 w2 w3 w4")
-		assert.Equal(t, s.asked[1], "GET b /v1/requests/k/events 1")
+		assert.Equal(t, s.requests[1], "GET b /v1/requests/k/events 1")
 	})
 }
 
@@ -207,13 +207,13 @@
 	})
 }
 
-// silent returns its text and then blocks until it is closed.
-type silent struct {
+// stalledBody returns its text and then blocks until it is closed.
+type stalledBody struct {
 	io.Reader
 	closed chan struct{}
 }
 
-func (s *silent) Read(p []byte) (int, error) {
+func (s *stalledBody) Read(p []byte) (int, error) {
 	if n, err := s.Reader.Read(p); err == nil {
 		return n, nil
 	}
@@ -221,17 +221,17 @@
 	return 0, io.ErrClosedPipe
 }
 
-func (s *silent) Close() error { return nil }
+func (s *stalledBody) Close() error { return nil }
 
-// closing closes silent bodies when their request's context ends.
-type closing struct{ http.RoundTripper }
+// closeOnCancel closes silent bodies when their request's context ends.
+type closeOnCancel struct{ http.RoundTripper }
 
-func (c closing) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c closeOnCancel) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := c.RoundTripper.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if s, ok := resp.Body.(*silent); ok {
+	if s, ok := resp.Body.(*stalledBody); ok {
 		context.AfterFunc(r.Context(), func() { close(s.closed) })
 	}
 	return resp, nil
--- a/internal/load/caller/decide.go
+++ b/internal/load/caller/decide.go
@@ -6,37 +6,37 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// again reports whether a request that was not accepted is retried. The
+// shouldRetry reports whether a request that was not accepted is retried. The
 // idempotency key makes that safe where it may have run. If it ran, its answer is
 // final.
-func again(s step) bool {
+func shouldRetry(s step) bool {
 	if s.kind == broken {
 		return true
 	}
-	return s.failure.verdict != verdict.Ran && passing(s.failure.status)
+	return s.failure.verdict != verdict.Ran && transient(s.failure.status)
 }
 
-// passing reports whether a status is transient: the same request may succeed
+// transient reports whether a status is transient: the same request may succeed
 // later.
-func passing(status int) bool {
+func transient(status int) bool {
 	return status >= http.StatusInternalServerError ||
 		status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout ||
 		status == http.StatusConflict
 }
 
-// elsewhere reports whether the status of a failed resume is about the entry and
+// retryElsewhere reports whether the status of a failed resume is about the entry and
 // not about the request: the entry does not have the request, or accepts no
 // requests now. The resume may then succeed at another entry.
-func elsewhere(status int) bool {
+func retryElsewhere(status int) bool {
 	return status == http.StatusNotFound ||
 		status == http.StatusTooManyRequests ||
 		status == http.StatusServiceUnavailable
 }
 
-// refusedOr returns the end of a request that was never accepted: Refused if the
+// endBeforeAcceptance returns the end of a request that was never accepted: Refused if the
 // last attempt was answered, else Unreached.
-func refusedOr(s step) End {
+func endBeforeAcceptance(s step) End {
 	if s.kind == failed {
 		return Refused
 	}
--- a/internal/load/caller/entries.go
+++ b/internal/load/caller/entries.go
@@ -20,9 +20,9 @@
 	MaxAgeSeconds int `json:"maxAgeSeconds"`
 }
 
-// askEntries requests a workspace's list of entries from one entry. It returns
+// fetchEntries requests a workspace's list of entries from one entry. It returns
 // their addresses and how long to cache them.
-func (c *Client) askEntries(ctx context.Context, address string, workspace int) ([]string, time.Duration, error) {
+func (c *Client) fetchEntries(ctx context.Context, address string, workspace int) ([]string, time.Duration, error) {
 	r, err := c.request(ctx, http.MethodGet, address, EntriesPath, workspace, nil)
 	if err != nil {
 		return nil, 0, err
--- a/internal/load/caller/entrycache.go
+++ b/internal/load/caller/entrycache.go
@@ -9,30 +9,30 @@
 
 // Times of requests for the list of entries.
 const (
-	// askTimeout bounds one request, so that an unresponsive entry delays a caller
+	// fetchTimeout bounds one request, so that an unresponsive entry delays a caller
 	// only briefly before it tries the next. It is also the wait before another
 	// refresh after all have failed.
-	askTimeout = time.Second
+	fetchTimeout = time.Second
 	// defaultMaxAge is used where an answer has no maximum age.
 	defaultMaxAge = 5 * time.Second
 )
 
-// asker requests the list of entries to use, and how long to cache it, from one
+// entriesFetcher requests the list of entries to use, and how long to cache it, from one
 // entry.
-type asker func(ctx context.Context, address string) ([]string, time.Duration, error)
+type entriesFetcher func(ctx context.Context, address string) ([]string, time.Duration, error)
 
 // entryCache is one caller's cache of the list of entries. It refreshes the list
 // after its maximum age. An entry that failed is avoided until the next refresh.
 // Safe for concurrent use.
 type entryCache struct {
-	ask    asker
+	fetch  entriesFetcher
 	seeds  []string
 	offset int // index of the entry to prefer
 
-	mu      sync.Mutex
-	entries []string
-	gone    []string  // entries that failed since the last refresh
-	until   time.Time // the next refresh is due
+	mu        sync.Mutex
+	entries   []string
+	failed    []string  // entries that failed since the last refresh
+	refreshAt time.Time // the next refresh is due
 }
 
 // pick returns the entry to use, if possible another than avoid. It is empty
@@ -40,7 +40,7 @@
 func (c *entryCache) pick(ctx context.Context, avoid string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !time.Now().Before(c.until) || len(c.usable("")) == 0 {
+	if !time.Now().Before(c.refreshAt) || len(c.usable("")) == 0 {
 		c.refresh(ctx)
 	}
 	if usable := c.usable(avoid); len(usable) > 0 {
@@ -50,7 +50,7 @@
 		return usable[c.offset%len(usable)]
 	}
 	// All have failed, which is more likely a transient fault on this side.
-	c.gone = nil
+	c.failed = nil
 	all := c.known()
 	if len(all) == 0 {
 		return ""
@@ -58,12 +58,12 @@
 	return all[c.offset%len(all)]
 }
 
-// fail marks an entry as failed.
-func (c *entryCache) fail(address string) {
+// markFailed marks an entry as failed.
+func (c *entryCache) markFailed(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !slices.Contains(c.gone, address) {
-		c.gone = append(c.gone, address)
+	if !slices.Contains(c.failed, address) {
+		c.failed = append(c.failed, address)
 	}
 }
 
@@ -71,18 +71,18 @@
 // answers. If none does, the old list stays in use for askTimeout.
 func (c *entryCache) refresh(ctx context.Context) {
 	for _, address := range c.known() {
-		ask, cancel := context.WithTimeout(ctx, askTimeout)
-		entries, age, err := c.ask(ask, address)
+		fetchCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
+		entries, age, err := c.fetch(fetchCtx, address)
 		cancel()
 		if err != nil || len(entries) == 0 {
 			continue
 		}
 		c.entries = entries
-		c.gone = nil
-		c.until = time.Now().Add(age)
+		c.failed = nil
+		c.refreshAt = time.Now().Add(age)
 		return
 	}
-	c.until = time.Now().Add(askTimeout)
+	c.refreshAt = time.Now().Add(fetchTimeout)
 }
 
 // known returns the entries of the last answer, those that have not failed first,
@@ -104,7 +104,7 @@
 func (c *entryCache) usable(avoid string) []string {
 	usable := make([]string, 0, len(c.entries))
 	for _, address := range c.entries {
-		if address != avoid && !slices.Contains(c.gone, address) {
+		if address != avoid && !slices.Contains(c.failed, address) {
 			usable = append(usable, address)
 		}
 	}
--- a/internal/load/caller/entrycache_test.go
+++ b/internal/load/caller/entrycache_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAnswerIsKeptForItsAgeAndThenAskedForAgain(t *testing.T) {
+func TestEntriesAreCachedForTheirMaxAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
-		c := &entryCache{seeds: []string{"s"}, ask: func(context.Context, string) ([]string, time.Duration, error) {
+		c := &entryCache{seeds: []string{"s"}, fetch: func(context.Context, string) ([]string, time.Duration, error) {
 			asked++
 			return []string{"a", "b"}, 10 * time.Second, nil
 		}}
@@ -28,10 +28,10 @@
 // Guards against sending to an entry that has failed: until the list expires the
 // caller must use the others. The refresh then must try the seeds as well, since
 // the listed entries may not answer.
-func TestDeadEntryIsPassedOver(t *testing.T) {
+func TestFailedEntryIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var askedAt []string
-		c := &entryCache{seeds: []string{"s"}, ask: func(_ context.Context, at string) ([]string, time.Duration, error) {
+		c := &entryCache{seeds: []string{"s"}, fetch: func(_ context.Context, at string) ([]string, time.Duration, error) {
 			askedAt = append(askedAt, at)
 			if at == "s" {
 				return []string{"a", "b"}, time.Second, nil
@@ -39,7 +39,7 @@
 			return nil, 0, errors.New("refused")
 		}}
 		assert.Equal(t, c.pick(t.Context(), ""), "a")
-		c.fail("a")
+		c.markFailed("a")
 		assert.Equal(t, c.pick(t.Context(), ""), "b")
 		assert.Equal(t, c.pick(t.Context(), "b"), "b")
 		time.Sleep(time.Second)
--- a/internal/load/caller/failure.go
+++ b/internal/load/caller/failure.go
@@ -66,9 +66,9 @@
 	return 0
 }
 
-// ownVerdict derives a verdict from a transport error. Only a failed dial proves
+// transportVerdict derives a verdict from a transport error. Only a failed dial proves
 // that nothing was sent.
-func ownVerdict(err error) verdict.Verdict {
+func transportVerdict(err error) verdict.Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return verdict.NotRun
--- a/internal/load/caller/outcome.go
+++ b/internal/load/caller/outcome.go
@@ -39,8 +39,8 @@
 	Moves   int // times its stream was resumed elsewhere after a moved event
 }
 
-// token records the arrival of one event's tokens; last is the arrival before.
-func (o *Outcome) token(now, last time.Time, text []byte) {
+// addToken records the arrival of one event's tokens; last is the arrival before.
+func (o *Outcome) addToken(now, last time.Time, text []byte) {
 	if o.First.IsZero() {
 		o.First = now
 	} else {
--- a/internal/load/caller/plaintoken_test.go
+++ b/internal/load/caller/plaintoken_test.go
@@ -29,7 +29,7 @@
 // Guards against text left over in the reused chunk. A token with an escape goes
 // through the JSON decoder, which stores its text there. The last chunk has no
 // text, so a text that was not cleared would appear twice in the answer.
-func TestTextOfAnEarlierPieceDoesNotComeBack(t *testing.T) {
+func TestTextOfAnEarlierChunkIsNotRepeated(t *testing.T) {
 	r := tokenReader{out: &Outcome{}}
 	stream := tokens(1, 1) +
 		"id: 2\ndata: {\"choices\":[{\"delta\":{\"content\":\" \\\"w2\\\"\"},\"finish_reason\":null}]}\n\n" + ending
--- a/internal/load/caller/sse_test.go
+++ b/internal/load/caller/sse_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestDecoderTakesWhatTheStandardAllows(t *testing.T) {
+func TestDecoderAcceptsWhatTheStandardAllows(t *testing.T) {
 	long := strings.Repeat("x", 3*readBuffer)
 	text := ": comment\r\n\r\n" +
 		"id: 1\r\nevent: accepted\r\ndata: {}\r\n\r\n" +
@@ -44,7 +44,7 @@
 // Guards against a partial token when the connection fails within an event. What
 // arrived looks like a whole event except for the empty line. If it counted, the
 // answer would hold a part of the token and the resume would skip the rest.
-func TestDecoderDropsTheEventThatTheEndCutsOff(t *testing.T) {
+func TestDecoderDropsATruncatedEvent(t *testing.T) {
 	for _, tail := range []string{"id: 2\ndata: par", "id: 2\ndata: part\n", "id: 2\n"} {
 		got, err := decodeAll(t, strings.NewReader("id: 1\ndata: whole\n\n"+tail))
 		assert.ErrorIs(t, err, io.EOF)
@@ -53,14 +53,14 @@
 }
 
 func TestDecoderBoundsAnEvent(t *testing.T) {
-	_, err := decodeAll(t, io.MultiReader(strings.NewReader("data: "), endless{}))
+	_, err := decodeAll(t, io.MultiReader(strings.NewReader("data: "), endlessLine{}))
 	assert.ErrorContains(t, err, "above")
 }
 
-// endless is a reader of a line without an end.
-type endless struct{}
+// endlessLine is a reader of a line without an end.
+type endlessLine struct{}
 
-func (endless) Read(p []byte) (int, error) {
+func (endlessLine) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
--- a/internal/load/caller/step.go
+++ b/internal/load/caller/step.go
@@ -26,15 +26,15 @@
 	failure *failure
 }
 
-// breakOff returns the step of an attempt that err ended.
-func breakOff(err error) step { return step{kind: broken, err: err} }
+// brokenStep returns the step of an attempt that err ended.
+func brokenStep(err error) step { return step{kind: broken, err: err} }
 
 // verdictOf returns the verdict of a broken or failed step.
 func (s step) verdictOf() verdict.Verdict {
 	if s.kind == failed {
 		return s.failure.verdict
 	}
-	return ownVerdict(s.err)
+	return transportVerdict(s.err)
 }
 
 func (s step) cause() error {
@@ -51,7 +51,7 @@
 	switch {
 	case s.kind == failed:
 		return strconv.Itoa(s.failure.status) + " " + s.failure.verdict.String()
-	case errors.Is(s.err, errSilent):
+	case errors.Is(s.err, errNoProgress):
 		return "silence"
 	case errors.As(s.err, &op):
 		return op.Op + " failed"
--- a/internal/load/caller/tokenreader.go
+++ b/internal/load/caller/tokenreader.go
@@ -27,21 +27,21 @@
 	for {
 		ev, err := t.dec.next()
 		if err != nil {
-			return breakOff(Error.Wrap(err))
+			return brokenStep(Error.Wrap(err))
 		}
 		progress()
-		if s, end := t.event(ev); end {
+		if s, end := t.handleEvent(ev); end {
 			return s
 		}
 	}
 }
 
-// event processes one event. It returns true and a step if the stream ends with
+// handleEvent processes one handleEvent. It returns true and a step if the stream ends with
 // it.
-func (t *tokenReader) event(ev *event) (step, bool) {
+func (t *tokenReader) handleEvent(ev *event) (step, bool) {
 	switch string(ev.name) {
 	case "", "message":
-		return t.piece(ev)
+		return t.handleChunk(ev)
 	case movedEvent:
 		var m movedTo
 		// A move whose data can't be decoded still means another entry: any.
@@ -54,21 +54,21 @@
 	}
 }
 
-// piece processes one chunk of the answer.
-func (t *tokenReader) piece(ev *event) (step, bool) {
+// handleChunk processes one chunk of the answer.
+func (t *tokenReader) handleChunk(ev *event) (step, bool) {
 	if bytes.Equal(ev.data, []byte(doneData)) {
 		t.finish()
 		return step{kind: whole}, true
 	}
 	if text, ok := plainToken(ev.data); ok {
-		t.token(ev, text)
+		t.handleToken(ev, text)
 		return step{}, false
 	}
 	if err := t.chunk.parse(ev.data); err != nil {
-		return breakOff(err), true
+		return brokenStep(err), true
 	}
 	if text := t.chunk.content(); text != "" {
-		t.token(ev, []byte(text))
+		t.handleToken(ev, []byte(text))
 	}
 	if t.chunk.finished() {
 		t.out.Usage = t.chunk.Usage
@@ -83,10 +83,10 @@
 	t.out.Done = time.Now()
 }
 
-// token processes the text of one event. The event's id is the number of tokens
+// handleToken processes the text of one event. The event's id is the number of tokens
 // up to and including it, so an id that does not follow the last one reveals
 // missing or duplicated tokens.
-func (t *tokenReader) token(ev *event, text []byte) {
+func (t *tokenReader) handleToken(ev *event, text []byte) {
 	n := 1
 	id, err := strconv.Atoi(string(ev.id))
 	if err != nil {
@@ -105,7 +105,7 @@
 		t.out.Missing += ahead - n
 	}
 	now := time.Now()
-	t.out.token(now, t.last, text)
+	t.out.addToken(now, t.last, text)
 	t.last = now
 	t.out.Tokens = id
 }
