--- a/internal/load/plot/axis.go
+++ b/internal/load/plot/axis.go
@@ -26,11 +26,11 @@
 )
 
 // linearAxis returns an axis that covers low to high, with ticks at round values.
-func linearAxis(low, high float64, most int, from, to float64) axis {
+func linearAxis(low, high float64, maxTicks int, from, to float64) axis {
 	if high <= low {
 		high = low + 1
 	}
-	step := roundStep((high - low) / float64(most))
+	step := roundStep((high - low) / float64(maxTicks))
 	first := math.Floor(low/step + 1e-9)
 	last := math.Ceil(high/step - 1e-9)
 	a := axis{low: first * step, high: last * step, from: from, to: to}
--- a/internal/load/plot/chart.go
+++ b/internal/load/plot/chart.go
@@ -65,7 +65,7 @@
 
 // bounds returns the bounding box of points, events and marks, or false if no
 // point is drawn.
-func (c *Chart) bounds() (low, high Point, any bool) {
+func (c *Chart) bounds() (low, high Point, drawn bool) {
 	low = Point{math.Inf(1), math.Inf(1)}
 	high = Point{math.Inf(-1), math.Inf(-1)}
 	for _, s := range c.Series {
@@ -73,20 +73,20 @@
 			if !c.drawable(p) {
 				continue
 			}
-			any = true
+			drawn = true
 			low = Point{min(low.X, p.X), min(low.Y, p.Y)}
 			high = Point{max(high.X, p.X), max(high.Y, p.Y)}
 		}
 	}
 	for _, e := range c.Events {
-		if any {
+		if drawn {
 			low.X, high.X = min(low.X, e.X), max(high.X, e.X)
 		}
 	}
 	for _, m := range c.Marks {
-		if any && c.drawable(Point{Y: m.Y}) {
+		if drawn && c.drawable(Point{Y: m.Y}) {
 			low.Y, high.Y = min(low.Y, m.Y), max(high.Y, m.Y)
 		}
 	}
-	return low, high, any
+	return low, high, drawn
 }
--- a/internal/load/plot/chart_test.go
+++ b/internal/load/plot/chart_test.go
@@ -61,7 +61,7 @@
 	assert.Assert(t, !strings.Contains(svg, "NaN") && !strings.Contains(svg, "Inf"))
 }
 
-func TestChartWithoutValuesSaysSo(t *testing.T) {
+func TestChartWithoutValuesShowsAMessage(t *testing.T) {
 	svg, err := (&Chart{Title: "empty"}).SVG()
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(svg, "no values"))
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestLabelsDoNotLieOnEachOther(t *testing.T) {
+func TestLabelsDoNotOverlap(t *testing.T) {
 	lines := make([]line, 4)
 	for i, y := range []float64{98, 10, 99, 97} {
 		lines[i] = line{LabelY: y, Markers: make([]marker, 1)}
--- a/internal/load/plot/layout.go
+++ b/internal/load/plot/layout.go
@@ -69,13 +69,13 @@
 	}
 	l.XMiddle = (l.Left + l.Right) / 2
 	l.YMiddle = (l.Top + l.Bottom) / 2
-	low, high, any := c.bounds()
-	if !any {
+	low, high, drawn := c.bounds()
+	if !drawn {
 		l.Empty = true
 		return l
 	}
 	x, y := l.axes(low, high)
-	l.XTicks, l.YTicks = place(x), place(y)
+	l.XTicks, l.YTicks = placeTicks(x), placeTicks(y)
 	l.addLines(x, y)
 	l.addLegend()
 	for _, m := range c.Marks {
@@ -99,7 +99,7 @@
 	return x, linearAxis(min(0, low.Y), high.Y, maxYTicks, l.Bottom, l.Top)
 }
 
-func place(a axis) []placedTick {
+func placeTicks(a axis) []placedTick {
 	placed := make([]placedTick, len(a.ticks))
 	for i, t := range a.ticks {
 		placed[i] = placedTick{At: a.pixel(t.At), Label: t.Label}
@@ -142,14 +142,14 @@
 		}
 	}
 	slices.SortStableFunc(order, func(a, b *line) int { return cmp.Compare(a.LabelY, b.LabelY) })
-	least := top
+	minY := top
 	for _, ln := range order {
-		ln.LabelY = max(ln.LabelY, least)
-		least = ln.LabelY + labelHeight
+		ln.LabelY = max(ln.LabelY, minY)
+		minY = ln.LabelY + labelHeight
 	}
-	most := bottom
+	maxY := bottom
 	for _, ln := range slices.Backward(order) {
-		ln.LabelY = min(ln.LabelY, most)
-		most = ln.LabelY - labelHeight
+		ln.LabelY = min(ln.LabelY, maxY)
+		maxY = ln.LabelY - labelHeight
 	}
 }
--- a/internal/load/plot/line.go
+++ b/internal/load/plot/line.go
@@ -8,15 +8,15 @@
 
 // line is one series with its coordinates.
 type line struct {
-	Name    string
-	Colour  string
-	Shape   string
-	Markers []marker
-	EndX    float64 // of the last point
-	EndY    float64
-	LabelY  float64
-	path    []byte
-	open    bool // the next point continues the path
+	Name      string
+	Colour    string
+	Shape     string
+	Markers   []marker
+	EndX      float64 // of the last point
+	EndY      float64
+	LabelY    float64
+	path      []byte
+	connected bool // the next point continues the path
 }
 
 // marker is one drawn point.
@@ -38,16 +38,16 @@
 // add appends a point, or a gap for one that is not drawable.
 func (l *line) add(drawable bool, x float64, y axis, v float64) {
 	if !drawable {
-		l.open = false
+		l.connected = false
 		return
 	}
 	command := 'M'
-	if l.open {
+	if l.connected {
 		command = 'L'
 	}
 	py := y.pixel(v)
 	l.path = fmt.Appendf(l.path, "%c%.1f %.1f", command, x, py)
-	l.open = true
+	l.connected = true
 	l.Markers = append(l.Markers, marker{Shape: l.Shape, X: x, Y: py, Colour: l.Colour})
 	l.EndX, l.EndY, l.LabelY = x, py, py
 }
@@ -55,12 +55,12 @@
 // Path returns the line as SVG path data.
 func (l *line) Path() string { return string(l.path) }
 
-// manyPoints is the number of points above which no markers are drawn, since they
+// maxMarkers is the number of points above which no markers are drawn, since they
 // would hide the line.
-const manyPoints = 40
+const maxMarkers = 40
 
 // Marked reports whether the line's points are drawn with markers.
-func (l *line) Marked() bool { return len(l.Markers) <= manyPoints }
+func (l *line) Marked() bool { return len(l.Markers) <= maxMarkers }
 
 // Path returns the marker's outline as SVG path data.
 func (m marker) Path() string {
@@ -77,8 +77,8 @@
 	}
 }
 
-// trimZero formats a coordinate with at most one decimal; more would not be
+// formatPixel formats a coordinate with at most one decimal; more would not be
 // visible.
-func trimZero(v float64) string {
+func formatPixel(v float64) string {
 	return strings.TrimSuffix(strconv.FormatFloat(v, 'f', 1, 64), ".0")
 }
--- a/internal/load/plot/template.go
+++ b/internal/load/plot/template.go
@@ -10,7 +10,7 @@
 // escaped.
 var svgTemplate = template.Must(template.New("svg").Funcs(template.FuncMap{
 	"text": escape,
-	"px":   func(v float64) string { return trimZero(v) },
+	"px":   func(v float64) string { return formatPixel(v) },
 	"add":  func(a, b float64) float64 { return a + b },
 }).Parse(`<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {{.Width}} {{.Height}}" width="{{.Width}}" height="{{.Height}}" role="img" aria-label="{{text .Title}}" font-family="system-ui, sans-serif" font-size="12" fill="#222">
 <rect width="{{.Width}}" height="{{.Height}}" fill="#fff"/>
--- a/internal/load/workload/arrival.go
+++ b/internal/load/workload/arrival.go
@@ -21,8 +21,8 @@
 	Last         bool // no later turn follows in this schedule
 }
 
-// append adds the arrival's fields to buf, for hashing.
-func (a *Arrival) append(buf []byte) []byte {
+// appendTo adds the arrival's fields to buf, for hashing.
+func (a *Arrival) appendTo(buf []byte) []byte {
 	for _, v := range []uint64{
 		uint64(a.At), uint64(a.Workspace), uint64(a.Kind), uint64(a.Subject),
 		a.Seed, uint64(a.Conversation), uint64(a.Turn),
--- a/internal/load/workload/sampler.go
+++ b/internal/load/workload/sampler.go
@@ -18,22 +18,22 @@
 	kind    int
 	subject int
 	turns   int           // so far
-	next    time.Duration // earliest time of the next turn
+	dueAt   time.Duration // earliest time of the next turn
 }
 
-// dealer draws the requests of one workspace at its arrival times.
-type dealer struct {
-	plan  *Plan
-	src   *rand.Rand
-	total float64      // sum of the kinds' shares
-	zipf  []*rand.Zipf // of subjects, by kind; nil for a kind without subjects
-	open  []openConversation
+// sampler draws the requests of one workspace at its arrival times.
+type sampler struct {
+	plan       *Plan
+	src        *rand.Rand
+	totalShare float64      // sum of the kinds' shares
+	zipf       []*rand.Zipf // of subjects, by kind; nil for a kind without subjects
+	open       []openConversation
 }
 
-func newDealer(p *Plan, src *rand.Rand) *dealer {
-	d := &dealer{plan: p, src: src, zipf: make([]*rand.Zipf, len(p.Mix.Kinds))}
+func newSampler(p *Plan, src *rand.Rand) *sampler {
+	d := &sampler{plan: p, src: src, zipf: make([]*rand.Zipf, len(p.Mix.Kinds))}
 	for i, k := range p.Mix.Kinds {
-		d.total += k.Share
+		d.totalShare += k.Share
 		if k.Subjects > 0 {
 			d.zipf[i] = rand.NewZipf(src, subjectExponent, subjectOffset, uint64(k.Subjects-1))
 		}
@@ -41,9 +41,9 @@
 	return d
 }
 
-// deal draws the request at one time. conversations is the number of
-// conversations in the schedule so far, which deal updates.
-func (d *dealer) deal(at time.Duration, conversations *int) Arrival {
+// sample draws the request at one time. conversations is the number of
+// conversations in the schedule so far, which sample updates.
+func (d *sampler) sample(at time.Duration, conversations *int) Arrival {
 	kind := d.drawKind()
 	k := &d.plan.Mix.Kinds[kind]
 	a := Arrival{At: at, Kind: kind, Subject: -1, Conversation: -1, Seed: d.seed(k)}
@@ -61,8 +61,8 @@
 	return a
 }
 
-func (d *dealer) drawKind() int {
-	x := d.src.Float64() * d.total
+func (d *sampler) drawKind() int {
+	x := d.src.Float64() * d.totalShare
 	for i, k := range d.plan.Mix.Kinds {
 		if x -= k.Share; x < 0 {
 			return i
@@ -73,7 +73,7 @@
 
 // seed draws the seed of a question: one from the kind's pool or, for a kind
 // without a pool, a new one.
-func (d *dealer) seed(k *Kind) uint64 {
+func (d *sampler) seed(k *Kind) uint64 {
 	if k.Questions > 0 {
 		return uint64(d.src.IntN(k.Questions))
 	}
@@ -82,9 +82,9 @@
 
 // resume makes the arrival the next turn of the conversation of its kind that
 // became due first. It returns false if none is due.
-func (d *dealer) resume(a *Arrival) bool {
+func (d *sampler) resume(a *Arrival) bool {
 	for i, c := range d.open {
-		if c.kind != a.Kind || c.next > a.At {
+		if c.kind != a.Kind || c.dueAt > a.At {
 			continue
 		}
 		d.open = append(d.open[:i], d.open[i+1:]...)
@@ -97,11 +97,11 @@
 }
 
 // keepOpen allows a conversation to be continued unless it has all its turns.
-func (d *dealer) keepOpen(k *Kind, c openConversation, at time.Duration) {
+func (d *sampler) keepOpen(k *Kind, c openConversation, at time.Duration) {
 	if c.turns >= k.Turns {
 		return
 	}
 	pause := float64(k.Think) * d.plan.LatencyScale * (1 + d.src.Float64())
-	c.next = at + time.Duration(pause)
+	c.dueAt = at + time.Duration(pause)
 	d.open = append(d.open, c)
 }
--- a/internal/load/workload/schedule.go
+++ b/internal/load/workload/schedule.go
@@ -42,7 +42,7 @@
 	h := xxh3.New()
 	var buf []byte
 	for _, a := range s.Arrivals {
-		buf = a.append(buf[:0])
+		buf = a.appendTo(buf[:0])
 		_, _ = h.Write(buf)
 	}
 	return h.Sum64()
@@ -88,9 +88,9 @@
 
 // addWorkspace adds the requests of one workspace at its arrival times.
 func (s *Schedule) addWorkspace(p *Plan, workspace int, times []time.Duration, src *rand.Rand) {
-	d := newDealer(p, src)
+	d := newSampler(p, src)
 	for _, at := range times {
-		a := d.deal(at, &s.Conversations)
+		a := d.sample(at, &s.Conversations)
 		a.Workspace = workspace
 		s.Arrivals = append(s.Arrivals, a)
 	}
--- a/internal/load/workload/schedule_test.go
+++ b/internal/load/workload/schedule_test.go
@@ -62,7 +62,7 @@
 
 // Guards against a shared random source: if one workspace's factor changed the
 // others' arrivals, slower answers for them could be due to the schedule.
-func TestFactorOfOneWorkspaceMovesNoOthersArrivals(t *testing.T) {
+func TestFactorOfOneWorkspaceKeepsTheOthersArrivals(t *testing.T) {
 	calm := plan(t, TallerVivo, 3)
 	flood := plan(t, TallerVivo, 3)
 	flood.Workspaces[0].Factor = 10
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestPlanAndMixNameTheirMistake(t *testing.T) {
+func TestErrorsOfPlanAndMixNameTheMistake(t *testing.T) {
 	p := plan(t, Magnolia, 1)
 	p.Bursts.Share = 1
 	_, err := Build(p)
--- a/internal/load/workload/writer.go
+++ b/internal/load/workload/writer.go
@@ -33,15 +33,15 @@
 	seed       uint64
 	system     string
 
-	mu      sync.Mutex
-	records map[recordKey]string
+	mu       sync.Mutex
+	prefixes map[subjectKey]string
 }
 
-type recordKey struct{ workspace, kind, subject int }
+type subjectKey struct{ workspace, kind, subject int }
 
 // NewWriter returns a writer for a plan's requests.
 func NewWriter(p *Plan) *Writer {
-	w := &Writer{mix: p.Mix, workspaces: p.Workspaces, seed: p.Seed, records: make(map[recordKey]string)}
+	w := &Writer{mix: p.Mix, workspaces: p.Workspaces, seed: p.Seed, prefixes: make(map[subjectKey]string)}
 	var b strings.Builder
 	appendWords(&b, w.source(p.Mix.Name), p.Mix.SystemTokens)
 	w.system = b.String()
@@ -72,7 +72,7 @@
 // the earlier turns and the question.
 func (w *Writer) Messages(a *Arrival, earlier []Turn, question string) []engineapi.Message {
 	m := make([]engineapi.Message, 0, 2+2*len(earlier))
-	m = append(m, engineapi.Message{Role: roleSystem, Content: w.head(a)})
+	m = append(m, engineapi.Message{Role: roleSystem, Content: w.prefix(a)})
 	for _, t := range earlier {
 		m = append(m,
 			engineapi.Message{Role: roleUser, Content: t.Question},
@@ -87,25 +87,25 @@
 	return fmt.Sprintf("P-%05d", a.Seed%uint64(parts))
 }
 
-// head returns the start of the prompt, which all questions about one subject
+// prefix returns the start of the prompt, which all questions about one subject
 // share: the instructions and the subject's record.
-func (w *Writer) head(a *Arrival) string {
+func (w *Writer) prefix(a *Arrival) string {
 	if a.Subject < 0 {
 		return w.system
 	}
-	key := recordKey{workspace: a.Workspace, kind: a.Kind, subject: a.Subject}
+	key := subjectKey{workspace: a.Workspace, kind: a.Kind, subject: a.Subject}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	head, ok := w.records[key]
+	prefix, ok := w.prefixes[key]
 	if !ok {
-		head = w.record(key)
-		w.records[key] = head
+		prefix = w.newPrefix(key)
+		w.prefixes[key] = prefix
 	}
-	return head
+	return prefix
 }
 
-// record generates the head of the prompts about one subject.
-func (w *Writer) record(key recordKey) string {
+// newPrefix generates the head of the prompts about one subject.
+func (w *Writer) newPrefix(key subjectKey) string {
 	k := &w.mix.Kinds[key.kind]
 	name := fmt.Sprintf("%s/%s/%d", w.workspaces[key.workspace].Name, k.Name, key.subject)
 	src := w.source(name)
--- a/internal/load/workload/writer_test.go
+++ b/internal/load/workload/writer_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestQuestionsAboutOneMachineShareTheirHead(t *testing.T) {
+func TestQuestionsAboutOneMachineShareAPrefix(t *testing.T) {
 	p := plan(t, TallerVivo, 5)
 	w := NewWriter(p)
 	a := Arrival{Kind: 0, Subject: 2, Seed: 11, Conversation: 0}
@@ -25,7 +25,7 @@
 	assert.Assert(t, n >= p.Mix.SystemTokens+k.SubjectTokens.Min && n <= p.Mix.SystemTokens+k.SubjectTokens.Max)
 }
 
-func TestRepeatedQuestionRepeatsItsLength(t *testing.T) {
+func TestEqualQuestionsHaveEqualAnswerLengths(t *testing.T) {
 	p := plan(t, TallerVivo, 5)
 	a := Arrival{Kind: 1, Subject: -1, Seed: 3}
 	b := Arrival{Kind: 1, Subject: -1, Seed: 3, Workspace: 1}
