--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -23,8 +23,8 @@
 const devEntriesMaxAge = time.Second
 
 // devStartSpread is the time over which daemons that start together spread their
-// first reads of the object API. It is short because a few daemons don't
-// overload that.
+// first reads of the object API. It is short because a few
+// daemons don't overload it.
 const devStartSpread = 100 * time.Millisecond
 
 func newDev(a *app) *cobra.Command {
--- a/internal/cli/help_test.go
+++ b/internal/cli/help_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// documents are the documents that show commands, relative to this package.
+// documents show commands. The paths are relative to this package.
 var documents = []string{"../../README.md", "../../docs/OPERATIONS.md"}
 
 // Guards against a document that shows a command with a removed flag: an
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -44,8 +44,8 @@
 	return tw.Flush()
 }
 
-// printListing writes a listing in the given format: v as JSON or YAML, or else t as a
-// table.
+// printListing writes a listing in the given format: v as JSON or YAML, or else
+// t as a table.
 func printListing(w io.Writer, format string, v any, t *table) error {
 	switch format {
 	case "json":
--- a/internal/cli/templatechange.go
+++ b/internal/cli/templatechange.go
@@ -26,7 +26,7 @@
 	_ = cmd.MarkFlagRequired("why")
 }
 
-// operationID returns the operation's operationID, a new one where --operation gave none.
+// operationID returns the operation's id, a new one where --operation gave none.
 func (f *changeFlags) operationID() string {
 	if f.operation == "" {
 		f.operation = uuid.Must(uuid.NewV7()).String()
@@ -83,8 +83,8 @@
 	return a.reportChange(f, r, change.operation)
 }
 
-// expectedVersion returns the expectedVersion to expect: that of --expected, or else the one
-// stored now, 0 if there is none.
+// expectedVersion returns the version to expect: that of --expected, or else the
+// one stored now, 0 if there is none.
 func (f *changeFlags) expectedVersion(cmd *cobra.Command, c *operator.Client, name string) (uint64, error) {
 	if f.expected >= 0 {
 		return uint64(f.expected), nil
--- a/internal/load/caller/call.go
+++ b/internal/load/caller/call.go
@@ -88,8 +88,8 @@
 	return step{kind: whole}
 }
 
-// afterAttempt processes the end of an attempt. It returns how long to wait before the
-// next one, or false if there is none.
+// afterAttempt processes the end of an attempt. It returns how long to wait
+// before the next one, or false if there is none.
 func (k *callState) afterAttempt(ctx context.Context, s step) (time.Duration, bool) {
 	switch {
 	case s.kind == whole:
@@ -111,8 +111,8 @@
 	return k.backoff.next(s.failure.retryAfter), true
 }
 
-// endByContext returns the end of a call whose context ended: by the call's own timeout
-// or, else, with the run.
+// endByContext returns the end of a call whose context ended: by the call's own
+// timeout or, else, with the run.
 func (k *callState) endByContext(ctx context.Context) End {
 	if ctx.Err() == context.DeadlineExceeded {
 		return Unreached
--- a/internal/load/caller/client.go
+++ b/internal/load/caller/client.go
@@ -58,7 +58,7 @@
 	return caches[seed%uint64(len(caches))]
 }
 
-// recordFailure records a recordFailure attempt. An entry that closed the connection or
+// recordFailure records a failed attempt. An entry that closed the connection or
 // answered 503 is avoided until the list of entries is refreshed. After a
 // progress timeout, other connections opened along with the unresponsive one are
 // likely to be dead as well; closing the idle ones saves later requests the same
--- a/internal/load/caller/completion.go
+++ b/internal/load/caller/completion.go
@@ -116,8 +116,8 @@
 	return r, nil
 }
 
-// afterAttempt processes the end of an attempt. It returns how long to wait before the
-// next one, or false if there is none.
+// afterAttempt processes the end of an attempt. It returns how long to wait
+// before the next one, or false if there is none.
 func (f *completionState) afterAttempt(ctx context.Context, s step) (time.Duration, bool) {
 	switch {
 	case s.kind == whole:
@@ -136,6 +136,7 @@
 	return f.retryOrEnd(s)
 }
 
+// afterMove resumes the stream at another entry unless it moved too often.
 func (f *completionState) afterMove(s step) (time.Duration, bool) {
 	f.out.Moves++
 	if f.out.Moves > f.c.o.MaxResumes {
@@ -172,7 +173,7 @@
 	return f.waitBefore(s), true
 }
 
-// waitBefore returns the wait waitBefore the next attempt.
+// waitBefore returns the wait before the next attempt.
 func (f *completionState) waitBefore(s step) time.Duration {
 	if s.kind == broken {
 		return f.backoff.next(0)
@@ -188,8 +189,8 @@
 	}
 }
 
-// endByContext returns the end of a request whose context ended: by the request's own
-// timeout or, else, with the run.
+// endByContext returns the end of a request whose context ended: by the request's
+// own timeout or, else, with the run.
 func (f *completionState) endByContext(ctx context.Context) End {
 	switch {
 	case ctx.Err() != context.DeadlineExceeded:
--- a/internal/load/caller/completion_test.go
+++ b/internal/load/caller/completion_test.go
@@ -143,7 +143,7 @@
 		answers []func() (*http.Response, error)
 		end     End
 		verdict verdict.Verdict
-		silent  bool // the answer had no verdict
+		silent  bool // the failure answer has no verdict
 	}{
 		"wrong request":                 {[]func() (*http.Response, error){answers(400, `{"verdict":"not-run"}`)}, Refused, verdict.NotRun, false},
 		"refused without verdict":       {[]func() (*http.Response, error){answers(404, "gone")}, Refused, verdict.MayHaveRun, true},
@@ -223,7 +223,7 @@
 
 func (s *stalledBody) Close() error { return nil }
 
-// closeOnCancel closes silent bodies when their request's context ends.
+// closeOnCancel closes stalled bodies when their request's context ends.
 type closeOnCancel struct{ http.RoundTripper }
 
 func (c closeOnCancel) RoundTrip(r *http.Request) (*http.Response, error) {
--- a/internal/load/caller/decide.go
+++ b/internal/load/caller/decide.go
@@ -25,8 +25,8 @@
 		status == http.StatusConflict
 }
 
-// retryElsewhere reports whether the status of a failed resume is about the entry and
-// not about the request: the entry does not have the request, or accepts no
+// retryElsewhere reports whether the status of a failed resume is about the entry
+// and not about the request: the entry does not have the request, or accepts no
 // requests now. The resume may then succeed at another entry.
 func retryElsewhere(status int) bool {
 	return status == http.StatusNotFound ||
@@ -34,8 +34,8 @@
 		status == http.StatusServiceUnavailable
 }
 
-// endBeforeAcceptance returns the end of a request that was never accepted: Refused if the
-// last attempt was answered, else Unreached.
+// endBeforeAcceptance returns the end of a request that was never accepted:
+// Refused if the last attempt was answered, else Unreached.
 func endBeforeAcceptance(s step) End {
 	if s.kind == failed {
 		return Refused
--- a/internal/load/caller/entrycache.go
+++ b/internal/load/caller/entrycache.go
@@ -17,8 +17,8 @@
 	defaultMaxAge = 5 * time.Second
 )
 
-// entriesFetcher requests the list of entries to use, and how long to cache it, from one
-// entry.
+// entriesFetcher requests the list of entries to use, and how long to cache it,
+// from one entry.
 type entriesFetcher func(ctx context.Context, address string) ([]string, time.Duration, error)
 
 // entryCache is one caller's cache of the list of entries. It refreshes the list
@@ -68,7 +68,7 @@
 }
 
 // refresh requests the list from the known entries and then the seeds until one
-// answers. If none does, the old list stays in use for askTimeout.
+// answers. If none does, the old list stays in use for fetchTimeout.
 func (c *entryCache) refresh(ctx context.Context) {
 	for _, address := range c.known() {
 		fetchCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
--- a/internal/load/caller/failure.go
+++ b/internal/load/caller/failure.go
@@ -66,8 +66,8 @@
 	return 0
 }
 
-// transportVerdict derives a verdict from a transport error. Only a failed dial proves
-// that nothing was sent.
+// transportVerdict derives a verdict from a transport error. Only a failed dial
+// proves that nothing was sent.
 func transportVerdict(err error) verdict.Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/load/caller/progress.go
+++ b/internal/load/caller/progress.go
@@ -9,9 +9,9 @@
 // errNoProgress is the cause of an attempt's end by the progress timeout.
 var errNoProgress = errors.New("nothing was received within the progress timeout")
 
-// progressTimer cancels its context when extend was not called for timeout. A middlebox
-// may no longer track an open connection: reads on it then block for ever, while
-// new connections work.
+// progressTimer cancels its context when extend was not called for timeout. A
+// middlebox may no longer track an open connection: reads on it then block for
+// ever, while new connections work.
 type progressTimer struct {
 	timer   *time.Timer
 	timeout time.Duration
@@ -32,7 +32,8 @@
 	w.cancel(nil)
 }
 
-// brokenStepIn is breakOff(err), but with errSilent if that cancelled ctx.
+// brokenStepIn returns brokenStep(err), but with errNoProgress if that cancelled
+// ctx.
 func brokenStepIn(ctx context.Context, err error) step {
 	if context.Cause(ctx) == errNoProgress {
 		return brokenStep(errNoProgress)
--- a/internal/load/caller/step.go
+++ b/internal/load/caller/step.go
@@ -15,7 +15,7 @@
 	whole  stepKind = iota // the whole answer was read
 	moved                  // the stream continues at address, or at any entry if it is empty
 	broken                 // err ended the attempt without a failure answer
-	failed                 // the entry answered with failure
+	failed                 // the entry answered with a failure
 )
 
 // step is the result of one attempt.
--- a/internal/load/caller/tokenreader.go
+++ b/internal/load/caller/tokenreader.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// handleEvent processes one handleEvent. It returns true and a step if the stream ends with
-// it.
+// handleEvent processes one event. It returns true and a step if the stream ends
+// with it.
 func (t *tokenReader) handleEvent(ev *event) (step, bool) {
 	switch string(ev.name) {
 	case "", "message":
@@ -83,9 +83,9 @@
 	t.out.Done = time.Now()
 }
 
-// handleToken processes the text of one event. The event's id is the number of tokens
-// up to and including it, so an id that does not follow the last one reveals
-// missing or duplicated tokens.
+// handleToken processes the text of one event. The event's id is the number of
+// tokens up to and including it, so an id that does not follow the last one
+// reveals missing or duplicated tokens.
 func (t *tokenReader) handleToken(ev *event, text []byte) {
 	n := 1
 	id, err := strconv.Atoi(string(ev.id))
