--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -95,7 +95,7 @@
 			return err
 		}
 	}
-	if n := r.Checks.Broken(); n > 0 {
+	if n := r.Checks.Violations(); n > 0 {
 		return Error.New("%d broken promises; see the checks in the result", n)
 	}
 	return nil
--- a/internal/load/checks.go
+++ b/internal/load/checks.go
@@ -40,8 +40,8 @@
 	AnsweredButNotRun int64 `json:"answeredButNotRun"`
 }
 
-// Broken returns the number of violations.
-func (c *Checks) Broken() int64 {
+// Violations returns the number of violations.
+func (c *Checks) Violations() int64 {
 	o := &c.Orders
 	return c.Lost + c.FailedAccepted + c.DuplicatedTokens + c.MissingTokens + c.WrongLength + c.WrongText + c.NoVerdict +
 		o.RanTwice + o.NotRunButRan + o.AnsweredButNotRun
--- a/internal/load/compare_test.go
+++ b/internal/load/compare_test.go
@@ -43,7 +43,7 @@
 	assert.ErrorContains(t, err, "two results")
 }
 
-func TestChartsHaveALineForEachPolicy(t *testing.T) {
+func TestChartsHaveASeriesForEachPolicy(t *testing.T) {
 	results := []*Result{
 		sampleResult("ours", 1.3, 800, 300), sampleResult("least", 0.3, 120, 900),
 		sampleResult("ours", 0.3, 100, 200), sampleResult("least", 1.3, 3000, 2000),
@@ -63,7 +63,7 @@
 
 // Guards against answers that differ between policies for the same prompts: no
 // check within one run can detect that.
-func TestExperimentComparesTextsOverPolicies(t *testing.T) {
+func TestExperimentComparesTextsAcrossPolicies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log []string
 		current := newDeployment()
@@ -90,7 +90,7 @@
 		assert.Assert(t, results[1].Checks.WrongText > results[1].Answers.Offered/2)
 		assert.Equal(t, results[0].Settings.ScheduleHash, results[1].Settings.ScheduleHash)
 		assert.Equal(t, results[3].Settings.Rate, 100.0)
-		assert.Equal(t, results[3].Checks.Broken(), int64(0))
+		assert.Equal(t, results[3].Checks.Violations(), int64(0))
 
 		var table bytes.Buffer
 		assert.NilError(t, ResultsTable(results).WriteMarkdown(&table))
--- a/internal/load/conversations.go
+++ b/internal/load/conversations.go
@@ -9,9 +9,9 @@
 // conversations holds the answered turns, which the prompts of later requests
 // contain. Safe for concurrent use.
 type conversations struct {
-	mu     sync.Mutex
-	open   map[int]conversation
-	afresh int
+	mu             sync.Mutex
+	open           map[int]conversation // by the schedule's number
+	withoutHistory int                  // requests sent without their earlier turns
 }
 
 type conversation struct {
@@ -34,7 +34,7 @@
 	defer c.mu.Unlock()
 	known, ok := c.open[a.Conversation]
 	if !ok || known.answered != a.Turn-1 {
-		c.afresh++
+		c.withoutHistory++
 		return nil
 	}
 	return known.turns
@@ -58,9 +58,10 @@
 	c.open[a.Conversation] = conversation{turns: turns, answered: a.Turn}
 }
 
-// askedAfresh returns how many requests were sent without their earlier turns.
-func (c *conversations) askedAfresh() int {
+// sentWithoutHistory returns how many requests were sent without their earlier
+// turns.
+func (c *conversations) sentWithoutHistory() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.afresh
+	return c.withoutHistory
 }
--- a/internal/load/deployment_test.go
+++ b/internal/load/deployment_test.go
@@ -24,12 +24,12 @@
 // deployment is a fake of an entry, the instance list, an engine and a plain
 // service, all at one address.
 type deployment struct {
-	address  string
-	salt     string        // part of the hash that determines each text
-	stall    time.Duration // delay of the first completion
-	twice    bool          // orders run twice
-	lie      bool          // orders run and are answered with not-run
-	counters engineapi.Counters
+	address     string
+	salt        string        // part of the hash that determines each text
+	stall       time.Duration // delay of the first completion
+	runTwice    bool          // orders run twice
+	falseNotRun bool          // orders run and are answered with not-run
+	counters    engineapi.Counters
 
 	mu   sync.Mutex
 	seen int
@@ -89,10 +89,10 @@
 		d.ran[key]++
 	}
 	switch {
-	case key != "" && d.lie:
+	case key != "" && d.falseNotRun:
 		problem.Write(w, problem.New(http.StatusBadRequest, verdict.NotRun, "no"))
 		return
-	case key != "" && d.twice:
+	case key != "" && d.runTwice:
 		d.ran[key]++
 	}
 	_, _ = io.WriteString(w, `{}`)
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -35,7 +35,7 @@
 	var results []*Result
 	for _, load := range e.Loads {
 		for _, policy := range e.Policies {
-			r, err := e.one(ctx, policy, load, book)
+			r, err := e.runOne(ctx, policy, load, book)
 			if err != nil {
 				return results, Error.New("policy %s at load %v: %w", policy, load, err)
 			}
@@ -48,8 +48,8 @@
 	return results, nil
 }
 
-// one runs one policy at one load.
-func (e *Experiment) one(ctx context.Context, policy string, load float64, book *AnswerBook) (*Result, error) {
+// runOne runs one policy at one load.
+func (e *Experiment) runOne(ctx context.Context, policy string, load float64, book *AnswerBook) (*Result, error) {
 	target, stop, err := e.Deploy(ctx, policy)
 	if err != nil {
 		return nil, err
--- a/internal/load/findings.go
+++ b/internal/load/findings.go
@@ -8,16 +8,16 @@
 
 // findings is the faults of an answer.
 type findings struct {
-	offsets     bool // tokens missing or duplicated
-	wrongLength bool
-	wrongText   bool
+	wrongOffsets bool // tokens missing or duplicated
+	wrongLength  bool
+	wrongText    bool
 }
 
-func (f findings) intact() bool { return !f.offsets && !f.wrongLength && !f.wrongText }
+func (f findings) intact() bool { return !f.wrongOffsets && !f.wrongLength && !f.wrongText }
 
-// examine checks an answer to the request with the given body, whose max_tokens
-// was tokens.
-func examine(book *AnswerBook, body []byte, tokens int, o *caller.Outcome) findings {
+// checkAnswer checks an answer to the request with the given body, whose
+// max_tokens was tokens.
+func checkAnswer(book *AnswerBook, body []byte, tokens int, o *caller.Outcome) findings {
 	if o.End != caller.Answered {
 		return findings{}
 	}
@@ -26,8 +26,8 @@
 		length = -1
 	}
 	return findings{
-		offsets:     o.Duplicated > 0 || o.Missing > 0,
-		wrongLength: length != tokens,
-		wrongText:   !book.Agrees(xxh3.Hash(body), xxh3.Hash(o.Text)),
+		wrongOffsets: o.Duplicated > 0 || o.Missing > 0,
+		wrongLength:  length != tokens,
+		wrongText:    !book.Agrees(xxh3.Hash(body), xxh3.Hash(o.Text)),
 	}
 }
--- a/internal/load/meter.go
+++ b/internal/load/meter.go
@@ -27,23 +27,23 @@
 
 // meter reads the counters and prices of engines during a run.
 type meter struct {
-	target Target
-	client *http.Client
-	fixed  float64 // price per hour if there is no instance list
-
-	mu       sync.Mutex
-	engines  map[string]*engineTotal
-	services []string
-	unread   int       // readings that failed
-	price    float64   // of all engines, per hour
-	spent    float64   // price times hours, up to since
-	since    time.Time // zero while not charging
-	started  bool      // the run has started
+	target     Target
+	client     *http.Client
+	fixedPrice float64 // price per hour if there is no instance list
+
+	mu           sync.Mutex
+	engines      map[string]*engineTotal
+	services     []string
+	unread       int       // readings that failed
+	price        float64   // of all engines, per hour
+	spent        float64   // price times hours, up to chargedUntil
+	chargedUntil time.Time // zero while not charging
+	started      bool      // the run has started
 }
 
 func newMeter(t Target, hourPrice float64, transport http.RoundTripper) *meter {
 	return &meter{
-		target: t, client: &http.Client{Transport: transport}, fixed: hourPrice,
+		target: t, client: &http.Client{Transport: transport}, fixedPrice: hourPrice,
 		engines: make(map[string]*engineTotal), services: slices.Clone(t.Services),
 	}
 }
@@ -59,15 +59,15 @@
 	if m.target.Platform != "" {
 		var list listapi.List
 		if err := m.read(ctx, m.target.Platform, listapi.ListPath, &list); err == nil {
-			addresses = append(addresses, m.takeList(&list)...)
+			addresses = append(addresses, m.recordList(&list)...)
 		}
 	}
 	slices.Sort(addresses)
 	m.readCounters(ctx, slices.Compact(addresses))
 }
 
-// takeList records prices and services, and returns the engines' addresses.
-func (m *meter) takeList(list *listapi.List) []string {
+// recordList records prices and services, and returns the engines' addresses.
+func (m *meter) recordList(list *listapi.List) []string {
 	var engines []string
 	price := 0.0
 	m.mu.Lock()
@@ -87,9 +87,9 @@
 
 // charge adds the cost since the last charge. The caller holds the lock.
 func (m *meter) charge(now time.Time) {
-	if !m.since.IsZero() {
-		m.spent += m.price * now.Sub(m.since).Hours()
-		m.since = now
+	if !m.chargedUntil.IsZero() {
+		m.spent += m.price * now.Sub(m.chargedUntil).Hours()
+		m.chargedUntil = now
 	}
 }
 
@@ -98,9 +98,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.target.Platform == "" {
-		m.price = m.fixed
+		m.price = m.fixedPrice
 	}
-	m.since = now
+	m.chargedUntil = now
 	m.started = true
 }
 
@@ -109,7 +109,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.charge(now)
-	m.since = time.Time{}
+	m.chargedUntil = time.Time{}
 }
 
 // cost returns the cost of the engines between startCost and stopCost.
@@ -128,27 +128,27 @@
 			defer func() { <-slots }()
 			var c engineapi.Counters
 			err := m.read(ctx, address, engineapi.CountersPath, &c)
-			m.takeCounters(address, c, err)
+			m.recordCounters(address, c, err)
 		})
 	}
 	wg.Wait()
 }
 
-// takeCounters records one reading. An engine that appears during the run counted
-// nothing before the run.
-func (m *meter) takeCounters(address string, c engineapi.Counters, err error) {
+// recordCounters records one reading. An engine that appears during the run
+// counted nothing before the run.
+func (m *meter) recordCounters(address string, c engineapi.Counters, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t, ok := m.engines[address]
 	if !ok {
-		t = &engineTotal{early: !m.started}
+		t = &engineTotal{preexisting: !m.started}
 		m.engines[address] = t
 	}
 	if err != nil {
 		m.unread++
 		return
 	}
-	t.see(c)
+	t.add(c)
 }
 
 // totals returns the sum of all engines' counters since the start of the run.
--- a/internal/load/metric.go
+++ b/internal/load/metric.go
@@ -26,7 +26,7 @@
 	{"answered", "requests", known(func(r *Result) float64 { return float64(r.Answers.Answered) })},
 	{"refused", "requests", known(func(r *Result) float64 { return float64(r.Answers.Ends.Refused) })},
 	{"callers' retries", "", known(func(r *Result) float64 { return float64(r.Answers.Retries) })},
-	{"broken promises", "", known(func(r *Result) float64 { return float64(r.Checks.Broken()) })},
+	{"broken promises", "", known(func(r *Result) float64 { return float64(r.Checks.Violations()) })},
 }
 
 // known adapts the function of a figure that every result has.
--- a/internal/load/orders.go
+++ b/internal/load/orders.go
@@ -12,9 +12,9 @@
 type orderEnd uint8
 
 const (
-	orderOpen     orderEnd = iota // ran at most once
-	orderAnswered                 // ran exactly once
-	orderNotRun                   // did not run
+	orderMayHaveRun orderEnd = iota // ran at most once
+	orderAnswered                   // ran exactly once
+	orderNotRun                     // did not run
 )
 
 func (o orders) add(key string, out *caller.Outcome) {
@@ -24,7 +24,7 @@
 	case out.FromServer && out.Verdict == verdict.NotRun && !out.Ambiguous:
 		o[key] = orderNotRun
 	default:
-		o[key] = orderOpen
+		o[key] = orderMayHaveRun
 	}
 }
 
--- a/internal/load/parts_test.go
+++ b/internal/load/parts_test.go
@@ -30,17 +30,17 @@
 // would be negative.
 func TestCountersOfAReplacedEngineAddUp(t *testing.T) {
 	var e engineTotal
-	e.early = true
+	e.preexisting = true
 	for _, n := range []int64{100, 160, 20, 50} {
-		e.see(engineapi.Counters{RecomputedTokens: n, PromptTokens: n, Executions: n})
+		e.add(engineapi.Counters{RecomputedTokens: n, PromptTokens: n, Executions: n})
 	}
 	assert.Equal(t, e.total().RecomputedTokens, int64(60+50))
 	late := engineTotal{}
-	late.see(engineapi.Counters{PromptTokens: 30})
+	late.add(engineapi.Counters{PromptTokens: 30})
 	assert.Equal(t, late.total().PromptTokens, int64(30))
 }
 
-func TestOrdersAreHeldToWhatTheirCallersWereTold(t *testing.T) {
+func TestOrderChecksCompareOutcomesWithExecutions(t *testing.T) {
 	o := orders{}
 	notRun := caller.Outcome{End: caller.Refused, Verdict: verdict.NotRun, FromServer: true}
 	retried := notRun
@@ -58,7 +58,7 @@
 // Guards against a late answer in the wrong place. When the next turn is due
 // before the last one is answered, the request is sent without the earlier turns.
 // The late answer must not replace the turns that follow it.
-func TestQuestionWithoutAnAnswerIsAskedAfresh(t *testing.T) {
+func TestQuestionAfterAnUnansweredTurnHasNoHistory(t *testing.T) {
 	c := newConversations()
 	turn := func(n int) *workload.Arrival { return &workload.Arrival{Conversation: 4, Turn: n} }
 	c.answer(turn(0), nil, workload.Turn{Question: "q0"})
@@ -67,7 +67,7 @@
 	c.answer(turn(2), nil, workload.Turn{Question: "q2"})
 	c.answer(turn(1), []workload.Turn{{Question: "q0"}}, workload.Turn{Question: "q1"})
 	assert.DeepEqual(t, c.earlier(turn(3)), []workload.Turn{{Question: "q2"}})
-	assert.Equal(t, c.askedAfresh(), 1)
+	assert.Equal(t, c.sentWithoutHistory(), 1)
 	last := turn(3)
 	last.Last = true
 	c.answer(last, nil, workload.Turn{})
--- a/internal/load/plots.go
+++ b/internal/load/plots.go
@@ -29,7 +29,7 @@
 
 // LatencyChart returns the chart of PlotLatency.
 func LatencyChart(results []*Result) *plot.Chart {
-	c := overLoad(results, "Latency to the first token", "p95 from the intended send time, ms", func(r *Result) (float64, bool) {
+	c := chartOverLoad(results, "Latency to the first token", "p95 from the intended send time, ms", func(r *Result) (float64, bool) {
 		return r.Answers.FirstToken.P95, r.Answers.FirstToken.Count > 0
 	})
 	c.LogY = true
@@ -42,24 +42,24 @@
 
 // RecomputedChart returns the chart of PlotRecomputed.
 func RecomputedChart(results []*Result) *plot.Chart {
-	return overLoad(results, "Tokens recomputed", "tokens recomputed in the run", func(r *Result) (float64, bool) {
+	return chartOverLoad(results, "Tokens recomputed", "tokens recomputed in the run", func(r *Result) (float64, bool) {
 		return float64(r.Engines.RecomputedTokens), r.Engines.Count > 0
 	})
 }
 
 // CostChart returns the chart of PlotCost.
 func CostChart(results []*Result) *plot.Chart {
-	return overLoad(results, "Cost at the latency target", "cost of 1,000 answers within target", costPerThousand)
+	return chartOverLoad(results, "Cost at the latency target", "cost of 1,000 answers within target", costPerThousand)
 }
 
 // GoodputChart returns the chart of PlotGoodput.
 func GoodputChart(results []*Result) *plot.Chart {
-	return overLoad(results, "Goodput", "answers within target, each second", known(func(r *Result) float64 { return r.Goodput }))
+	return chartOverLoad(results, "Goodput", "answers within target, each second", known(func(r *Result) float64 { return r.Goodput }))
 }
 
-// overLoad returns the chart of one figure over load. Load is the share of the
-// stated capacity if all results have one, else the rate.
-func overLoad(results []*Result, title, yLabel string, value func(*Result) (float64, bool)) *plot.Chart {
+// chartOverLoad returns the chart of one figure over load. Load is the share of
+// the stated capacity if all results have one, else the rate.
+func chartOverLoad(results []*Result, title, yLabel string, value func(*Result) (float64, bool)) *plot.Chart {
 	c := &plot.Chart{Title: title, Subtitle: subtitle(results), XLabel: "requests offered, each second", YLabel: yLabel}
 	shares := len(results) > 0
 	for _, r := range results {
@@ -77,7 +77,7 @@
 		if shares {
 			x = 100 * r.Settings.Load
 		}
-		s := seriesOf(c, displaySeries(r, i))
+		s := seriesOf(c, seriesName(r, i))
 		s.Points = append(s.Points, plot.Point{X: x, Y: v})
 	}
 	for i := range c.Series {
@@ -86,7 +86,7 @@
 	return c
 }
 
-func displaySeries(r *Result, i int) string { return orElse(r.Policy, displayName(r, i)) }
+func seriesName(r *Result, i int) string { return orElse(r.Policy, displayName(r, i)) }
 
 // seriesOf returns the chart's series of that name, and adds it if there is none.
 func seriesOf(c *plot.Chart, name string) *plot.Series {
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -77,7 +77,7 @@
 		r.orders.add(key, o)
 	}
 	r.addReasons(o)
-	r.checks.NoVerdict += count(o.NoVerdict)
+	r.checks.NoVerdict += countIf(o.NoVerdict)
 	for _, t := range r.tallies(a) {
 		t.add(r.target, intended, o, true)
 	}
@@ -96,12 +96,12 @@
 	c := &r.checks
 	c.DuplicatedTokens += int64(o.Duplicated)
 	c.MissingTokens += int64(o.Missing)
-	c.Lost += count(o.End == caller.Lost)
-	c.FailedAccepted += count(o.End == caller.Failed)
-	c.Open += count(o.End == caller.Unfinished && o.Accepted)
-	c.WrongLength += count(f.wrongLength)
-	c.WrongText += count(f.wrongText)
-	c.NoVerdict += count(o.NoVerdict)
+	c.Lost += countIf(o.End == caller.Lost)
+	c.FailedAccepted += countIf(o.End == caller.Failed)
+	c.Open += countIf(o.End == caller.Unfinished && o.Accepted)
+	c.WrongLength += countIf(f.wrongLength)
+	c.WrongText += countIf(f.wrongText)
+	c.NoVerdict += countIf(o.NoVerdict)
 }
 
 func (r *recorder) addReasons(o *caller.Outcome) {
@@ -113,18 +113,18 @@
 func (r *recorder) addMoment(a *workload.Arrival, intended time.Time, o *caller.Outcome, intact bool) {
 	m := &r.timeline[min(int(a.At/time.Second), len(r.timeline)-1)]
 	m.Offered++
-	m.Refused += count(o.End == caller.Refused)
+	m.Refused += countIf(o.End == caller.Refused)
 	if o.End != caller.Answered {
 		return
 	}
 	first := o.First.Sub(intended)
 	m.Answered++
-	m.firstSum += first.Seconds() * 1000
-	m.FirstTokenMs = m.firstSum / float64(m.Answered)
-	m.Within += count(intact && r.target.met(first, o))
+	m.firstTokenSum += first.Seconds() * 1000
+	m.FirstTokenMs = m.firstTokenSum / float64(m.Answered)
+	m.Within += countIf(intact && r.target.met(first, o))
 }
 
-func count(b bool) int64 {
+func countIf(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -95,8 +95,8 @@
 // Generator is the figures of the load generator itself. They show whether it
 // kept to the schedule.
 type Generator struct {
-	SendLag     Distribution `json:"sendLag"`     // actual less intended send time
-	AskedAfresh int          `json:"askedAfresh"` // requests sent without their earlier turns
+	SendLag            Distribution `json:"sendLag"`     // actual less intended send time
+	SentWithoutHistory int          `json:"askedAfresh"` // requests sent without their earlier turns
 }
 
 // Write writes the result as JSON.
--- a/internal/load/resultstable.go
+++ b/internal/load/resultstable.go
@@ -27,7 +27,7 @@
 		formatValue(a.FirstToken.P95),
 		strconv.FormatInt(a.Ends.Refused, 10),
 		strconv.FormatInt(r.Checks.Lost+r.Checks.FailedAccepted, 10),
-		strconv.FormatInt(r.Checks.Broken(), 10),
+		strconv.FormatInt(r.Checks.Violations(), 10),
 	}
 }
 
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -23,7 +23,7 @@
 	r.meter.startCost(r.start)
 	end := r.background(ctx)
 	r.dispatch(ctx)
-	r.lasted = min(time.Since(r.start), r.plan.Duration)
+	r.elapsed = min(time.Since(r.start), r.plan.Duration)
 	r.requests.Wait()
 	end()
 	last := context.WithoutCancel(ctx)
@@ -33,21 +33,21 @@
 
 // run is the state of one run.
 type run struct {
-	o        Options
-	plan     *workload.Plan
-	schedule *workload.Schedule
-	writer   *workload.Writer
-	talks    *conversations
-	client   *caller.Client
-	recorder *recorder
-	meter    *meter
-	start    time.Time
-	lasted   time.Duration // the part of the schedule that was run
+	o             Options
+	plan          *workload.Plan
+	schedule      *workload.Schedule
+	writer        *workload.Writer
+	conversations *conversations
+	client        *caller.Client
+	recorder      *recorder
+	meter         *meter
+	start         time.Time
+	elapsed       time.Duration // the part of the schedule that was run
 
-	slots    chan struct{} // semaphore of concurrent requests
-	requests sync.WaitGroup
-	live     context.Context // of requests; ends after the drain
-	kill     context.CancelFunc
+	slots          chan struct{} // semaphore of concurrent requests
+	requests       sync.WaitGroup
+	requestsCtx    context.Context // of requests; ends after the drain
+	cancelRequests context.CancelFunc
 }
 
 func newRun(o Options) (*run, error) {
@@ -64,13 +64,13 @@
 		return nil, Error.Wrap(err)
 	}
 	r := &run{
-		o: o, plan: p, schedule: s, writer: workload.NewWriter(p), talks: newConversations(),
+		o: o, plan: p, schedule: s, writer: workload.NewWriter(p), conversations: newConversations(),
 		recorder: newRecorder(p, newLatencyTarget(o.TargetScale)),
 		meter:    newMeter(o.Target, o.HourPrice, o.Caller.Transport),
 		slots:    make(chan struct{}, o.InFlight),
 	}
 	r.client = caller.New(o.Caller, credentials(o.Workspaces))
-	r.live, r.kill = context.WithCancel(context.Background())
+	r.requestsCtx, r.cancelRequests = context.WithCancel(context.Background())
 	return r, nil
 }
 
@@ -85,7 +85,7 @@
 // background starts the meter, the faults and the timer of the drain. The
 // returned function stops them and ends the requests' context.
 func (r *run) background(ctx context.Context) func() {
-	stopped := context.AfterFunc(ctx, r.kill)
+	stopped := context.AfterFunc(ctx, r.cancelRequests)
 	ctx, cancel := context.WithCancel(ctx)
 	end := r.start.Add(r.plan.Duration)
 	var wg sync.WaitGroup
@@ -94,7 +94,7 @@
 		sleepUntil(ctx, end)
 		r.meter.stopCost(time.Now())
 		if sleepUntil(ctx, end.Add(r.o.Drain)) {
-			r.kill()
+			r.cancelRequests()
 		}
 	})
 	for _, f := range r.o.Faults {
@@ -108,7 +108,7 @@
 		cancel()
 		wg.Wait()
 		stopped()
-		r.kill()
+		r.cancelRequests()
 	}
 }
 
@@ -117,8 +117,8 @@
 func (r *run) dispatch(ctx context.Context) {
 	for i := range r.schedule.Arrivals {
 		a := &r.schedule.Arrivals[i]
-		if !sleepUntil(ctx, r.start.Add(a.At)) || !r.takeSlot(ctx) {
-			r.skip(r.schedule.Arrivals[i:])
+		if !sleepUntil(ctx, r.start.Add(a.At)) || !r.acquireSlot(ctx) {
+			r.recordUnsent(r.schedule.Arrivals[i:])
 			return
 		}
 		r.requests.Go(func() {
@@ -129,21 +129,22 @@
 	sleepUntil(ctx, r.start.Add(r.plan.Duration))
 }
 
-// takeSlot waits until another concurrent request is allowed; false: the run
+// acquireSlot waits until another concurrent request is allowed; false: the run
 // ended first. The wait is part of the request's latency.
-func (r *run) takeSlot(ctx context.Context) bool {
+func (r *run) acquireSlot(ctx context.Context) bool {
 	select {
 	case r.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-r.live.Done():
+	case <-r.requestsCtx.Done():
 		return false
 	}
 }
 
-// skip records the requests that were due and not sent before the run ended.
-func (r *run) skip(rest []workload.Arrival) {
+// recordUnsent records the requests that were due and not sent before the run
+// ended.
+func (r *run) recordUnsent(rest []workload.Arrival) {
 	for i := range rest {
 		if time.Since(r.start) >= rest[i].At {
 			r.recorder.unsent(&rest[i])
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -49,7 +49,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, r.Answers.Ends.Answered, r.Answers.Offered)
 	assert.Equal(t, int(r.Answers.Offered+r.Services.Offered), r.Settings.Requests)
-	assert.Equal(t, r.Checks.Broken(), int64(0))
+	assert.Equal(t, r.Checks.Violations(), int64(0))
 	assert.Assert(t, r.Checks.Orders.Checked && r.Checks.Orders.Answered > 0)
 	assert.Equal(t, r.Engines.RecomputedTokens, 10*r.Answers.Answered)
 
@@ -67,7 +67,7 @@
 // with one concurrent request, all others queue behind it in the load generator.
 // If latencies counted from the actual send time, the stall would not show in the
 // median.
-func TestQueueBehindAStallCounts(t *testing.T) {
+func TestLatencyIncludesTheQueueBehindAStall(t *testing.T) {
 	d := newDeployment()
 	d.stall = time.Second
 	o := options(d)
@@ -93,20 +93,20 @@
 	assert.Equal(t, offered, r.Answers.Offered)
 }
 
-func TestBrokenPromisesAboutOrdersAreFound(t *testing.T) {
+func TestOrderViolationsAreCounted(t *testing.T) {
 	d := newDeployment()
-	d.twice = true
+	d.runTwice = true
 	r := runIn(t, d, options(d))
 	assert.Assert(t, r.Checks.Orders.RanTwice > 0)
 	assert.Equal(t, r.Checks.Orders.RanTwice, r.Checks.Orders.Sent)
 	d = newDeployment()
-	d.lie = true
+	d.falseNotRun = true
 	r = runIn(t, d, options(d))
 	assert.Equal(t, r.Checks.Orders.NotRunButRan, r.Checks.Orders.Sent)
 	assert.Equal(t, r.Services.Verdicts.NotRun, r.Checks.Orders.Sent)
 }
 
-func TestFaultsComeAtTheirTimeAndEndWithTheRun(t *testing.T) {
+func TestFaultsStartOnTimeAndEndWithTheRun(t *testing.T) {
 	d := newDeployment()
 	o := options(d)
 	var at atomic.Int64
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -33,17 +33,17 @@
 }
 
 func (r *run) sendCompletion(a *workload.Arrival, intended time.Time) {
-	earlier := r.talks.earlier(a)
+	earlier := r.conversations.earlier(a)
 	question := r.writer.Question(a)
 	tokens := r.writer.AnswerTokens(a)
 	body := r.body(r.writer.Messages(a, earlier, question), tokens)
-	out := r.client.Complete(r.live, &caller.Completion{
+	out := r.client.Complete(r.requestsCtx, &caller.Completion{
 		Workspace: a.Workspace, Seed: a.Seed, Key: newKey(), Body: body,
 	})
 	if out.End == caller.Answered {
-		r.talks.answer(a, earlier, workload.Turn{Question: question, Answer: string(out.Text)})
+		r.conversations.answer(a, earlier, workload.Turn{Question: question, Answer: string(out.Text)})
 	}
-	r.recorder.completion(a, intended, out, examine(r.o.Answers, body, tokens, out))
+	r.recorder.completion(a, intended, out, checkAnswer(r.o.Answers, body, tokens, out))
 }
 
 func (r *run) body(messages []engineapi.Message, tokens int) []byte {
@@ -62,19 +62,19 @@
 	part := r.writer.Part(a)
 	call := &caller.Call{
 		Workspace: a.Workspace, Seed: a.Seed, Service: spec.Service, Method: spec.Method,
-		Path: strings.ReplaceAll(spec.Path, partPlace, part),
+		Path: strings.ReplaceAll(spec.Path, partPlaceholder, part),
 	}
 	if spec.Body != "" {
-		call.Body = []byte(strings.ReplaceAll(spec.Body, partPlace, part))
+		call.Body = []byte(strings.ReplaceAll(spec.Body, partPlaceholder, part))
 	}
 	if spec.NonIdempotent {
 		call.Key = newKey()
 	}
-	r.recorder.call(a, intended, call.Key, r.client.Call(r.live, call))
+	r.recorder.call(a, intended, call.Key, r.client.Call(r.requestsCtx, call))
 }
 
-// partPlace is replaced by a part number in calls of plain services.
-const partPlace = "{part}"
+// partPlaceholder is replaced by a part number in calls of plain services.
+const partPlaceholder = "{part}"
 
 // newKey returns an idempotency key. Keys are UUIDv7, which contain the time, and
 // so they are not a function of the seed.
--- a/internal/load/summarise.go
+++ b/internal/load/summarise.go
@@ -20,10 +20,10 @@
 		Settings: r.settings(), Targets: r.targets(), Checks: c.checks,
 		Answers: c.answers.section(), Services: c.services.section(),
 		Timeline: c.timeline, Reasons: c.reasonCounts(),
-		Generator: Generator{SendLag: newDistribution(c.lag), AskedAfresh: r.talks.askedAfresh()},
+		Generator: Generator{SendLag: newDistribution(c.lag), SentWithoutHistory: r.conversations.sentWithoutHistory()},
 	}
 	res.Engines.Counters, res.Engines.Count, res.Engines.FailedReadings = r.meter.totals()
-	res.Goodput = float64(res.Answers.Within) / r.lasted.Seconds()
+	res.Goodput = float64(res.Answers.Within) / r.elapsed.Seconds()
 	res.Cost = r.cost(r.meter.cost(), res.Answers.Within)
 	for i, k := range r.plan.Mix.Kinds {
 		res.Kinds = append(res.Kinds, NamedSection{Name: k.Name, Section: c.kinds[i].section()})
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -73,7 +73,7 @@
 	p.OrdersChecked = true
 	for _, r := range results {
 		p.OrdersChecked = p.OrdersChecked && r.Checks.Orders.Checked
-		if r.Checks.Broken() > 0 {
+		if r.Checks.Violations() > 0 {
 			p.Broken = append(p.Broken, brokenRun{Name: r.Name + " " + r.Policy, Checks: r.Checks})
 		}
 	}
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -45,9 +45,9 @@
 	if scale == 0 {
 		scale = 1
 	}
-	w := p.transformer()
+	t := p.transformer()
 	for _, r := range all {
-		v, ok := w.apply(r)
+		v, ok := t.apply(r)
 		if !ok {
 			continue
 		}
@@ -93,9 +93,9 @@
 // reset by a restart and has counted from zero.
 type rateTransformer struct{ last map[string]reading }
 
-func (w *rateTransformer) apply(r reading) (float64, bool) {
-	before, ok := w.last[r.daemon]
-	w.last[r.daemon] = r
+func (t *rateTransformer) apply(r reading) (float64, bool) {
+	before, ok := t.last[r.daemon]
+	t.last[r.daemon] = r
 	seconds := r.at.Sub(before.at).Seconds()
 	if !ok || seconds <= 0 {
 		return 0, false
@@ -110,13 +110,13 @@
 // far, summed over the labels.
 type lagTransformer struct{ newest map[string]float64 }
 
-func (w *lagTransformer) apply(r reading) (float64, bool) {
-	behind := 0.0
+func (t *lagTransformer) apply(r reading) (float64, bool) {
+	lag := 0.0
 	for labels, v := range r.byLabels {
-		w.newest[labels] = max(w.newest[labels], v)
+		t.newest[labels] = max(t.newest[labels], v)
 	}
-	for labels, newest := range w.newest {
-		behind += newest - r.byLabels[labels]
+	for labels, newest := range t.newest {
+		lag += newest - r.byLabels[labels]
 	}
-	return behind, true
+	return lag, true
 }
