--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -96,8 +96,8 @@
 
 // group makes cmd a command that only groups subcommands. Without its RunE,
 // cobra would answer a mistyped subcommand with the help text and exit status 0.
-func group(cmd *cobra.Command, below ...*cobra.Command) *cobra.Command {
-	cmd.AddCommand(below...)
+func group(cmd *cobra.Command, subcommands ...*cobra.Command) *cobra.Command {
+	cmd.AddCommand(subcommands...)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if len(args) > 0 {
 			return Error.New("unknown command %q for %q", args[0], cmd.CommandPath())
--- a/internal/load/caller/progress.go
+++ b/internal/load/caller/progress.go
@@ -20,16 +20,16 @@
 
 func newProgressTimer(ctx context.Context, timeout time.Duration) (context.Context, *progressTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &progressTimer{timeout: timeout, cancel: cancel}
-	w.timer = time.AfterFunc(timeout, func() { cancel(errNoProgress) })
-	return ctx, w
+	t := &progressTimer{timeout: timeout, cancel: cancel}
+	t.timer = time.AfterFunc(timeout, func() { cancel(errNoProgress) })
+	return ctx, t
 }
 
-func (w *progressTimer) extend() { w.timer.Reset(w.timeout) }
+func (t *progressTimer) extend() { t.timer.Reset(t.timeout) }
 
-func (w *progressTimer) stop() {
-	w.timer.Stop()
-	w.cancel(nil)
+func (t *progressTimer) stop() {
+	t.timer.Stop()
+	t.cancel(nil)
 }
 
 // brokenStepIn returns brokenStep(err), but with errNoProgress if that cancelled
--- a/internal/load/plots.go
+++ b/internal/load/plots.go
@@ -77,7 +77,7 @@
 		if shares {
 			x = 100 * r.Settings.Load
 		}
-		s := seriesOf(c, seriesName(r, i))
+		s := findSeries(c, seriesName(r, i))
 		s.Points = append(s.Points, plot.Point{X: x, Y: v})
 	}
 	for i := range c.Series {
@@ -88,8 +88,8 @@
 
 func seriesName(r *Result, i int) string { return orElse(r.Policy, displayName(r, i)) }
 
-// seriesOf returns the chart's series of that name, and adds it if there is none.
-func seriesOf(c *plot.Chart, name string) *plot.Series {
+// findSeries returns the chart's series of that name, and adds it if there is none.
+func findSeries(c *plot.Chart, name string) *plot.Series {
 	i := slices.IndexFunc(c.Series, func(s plot.Series) bool { return s.Name == name })
 	if i < 0 {
 		i = len(c.Series)
--- a/internal/load/workload/writer.go
+++ b/internal/load/workload/writer.go
@@ -25,16 +25,16 @@
 	Answer   string
 }
 
-// Writer generates the text of requests. It caches the records of subjects, at
+// Writer generates the text of requests. It caches the prefixes of prompts, at
 // most one for each workspace, kind and subject. Safe for concurrent use.
 type Writer struct {
 	mix        *Mix
 	workspaces []Workspace
 	seed       uint64
-	system     string
+	system     string // the mix's instructions
 
 	mu       sync.Mutex
-	prefixes map[subjectKey]string
+	prefixes map[subjectKey]string // of prompts; see prefix
 }
 
 type subjectKey struct{ workspace, kind, subject int }
@@ -60,7 +60,7 @@
 }
 
 // AnswerTokens returns the length of the answer to an arrival's question. It
-// depends on the question alone, so a repeated question repeats its answer.
+// depends on the question alone, so answers to equal questions are equally long.
 func (w *Writer) AnswerTokens(a *Arrival) int {
 	src := w.questionSource(a)
 	k := &w.mix.Kinds[a.Kind]
@@ -104,7 +104,7 @@
 	return prefix
 }
 
-// newPrefix generates the head of the prompts about one subject.
+// newPrefix generates the prefix of the prompts about one subject.
 func (w *Writer) newPrefix(key subjectKey) string {
 	k := &w.mix.Kinds[key.kind]
 	name := fmt.Sprintf("%s/%s/%d", w.workspaces[key.workspace].Name, k.Name, key.subject)
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -51,14 +51,14 @@
 		if !ok {
 			continue
 		}
-		s := seriesOf(c, r.daemon)
+		s := findSeries(c, r.daemon)
 		s.Points = append(s.Points, plot.Point{X: r.at.Sub(all[0].at).Seconds(), Y: v * scale})
 	}
 	return c, true
 }
 
-// seriesOf returns the chart's series of that name, and adds it if there is none.
-func seriesOf(c *plot.Chart, name string) *plot.Series {
+// findSeries returns the chart's series of that name, and adds it if there is none.
+func findSeries(c *plot.Chart, name string) *plot.Series {
 	i := slices.IndexFunc(c.Series, func(s plot.Series) bool { return s.Name == name })
 	if i < 0 {
 		i = len(c.Series)
