--- a/internal/load/caller/call.go
+++ b/internal/load/caller/call.go
@@ -75,7 +75,7 @@
 	return k.readAnswer(resp)
 }
 
-// readAnswer reads the whole answer. A truncated one is a broken attempt.
+// readAnswer reads the whole answer. The attempt is broken if reading fails.
 func (k *callState) readAnswer(resp *http.Response) step {
 	defer func() { _ = resp.Body.Close() }()
 	text, err := readAll(resp.Body)
--- a/internal/load/workload/sampler.go
+++ b/internal/load/workload/sampler.go
@@ -80,8 +80,8 @@
 	return s.src.Uint64()
 }
 
-// resume makes the arrival the next turn of the conversation of its kind that
-// became due first. It returns false if none is due.
+// resume makes the arrival the next turn of the conversation of its kind that was
+// kept open first among those that are due. It returns false if none is due.
 func (s *sampler) resume(a *Arrival) bool {
 	for i, c := range s.open {
 		if c.kind != a.Kind || c.dueAt > a.At {
