--- a/internal/cli/help_test.go
+++ b/internal/cli/help_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestCompletionNamesCommandsAndFlags(t *testing.T) {
+func TestCompletionSuggestsCommandsAndFlags(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"temp", "template"},
 		{"template ap", "apply"},
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -79,7 +79,7 @@
 	assert.Equal(t, r.Answers.Ends.Answered, r.Answers.Offered)
 }
 
-func TestCostAndGoodputAreOfTheSchedule(t *testing.T) {
+func TestCostAndGoodputCoverTheSchedule(t *testing.T) {
 	r := runIn(t, newDeployment(), options(newDeployment()))
 	assert.Equal(t, r.Answers.Within, r.Answers.Offered)
 	assert.Equal(t, r.Goodput, float64(r.Answers.Within)/4)
