--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -107,9 +107,9 @@
 	return cmd
 }
 
-// withExitStatus wraps a command's function so that its errors have the exit status
-// exitFailed, unless they carry another. Cobra's own errors, of arguments and
-// flags, have exitUsage.
+// withExitStatus wraps a command's function so that its errors have the exit
+// status exitFailed, unless they carry another. Cobra's own errors, of arguments
+// and flags, have exitUsage.
 func withExitStatus(f func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		err := f(cmd, args)
