--- a/internal/cli/help_test.go
+++ b/internal/cli/help_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// commandsOf returns a command and all below it, without cobra's own.
+// commandsOf returns a command and all its subcommands, except those that cobra
+// adds.
 func commandsOf(c *cobra.Command) []*cobra.Command {
 	all := []*cobra.Command{c}
 	for _, sub := range c.Commands() {
@@ -22,8 +23,9 @@
 	return all
 }
 
-// wordsOf splits an example's line as a shell does, as far as examples go.
-func wordsOf(line string) []string {
+// splitWords splits an example's line into words as a shell does. It supports
+// double quotes, and drops a redirection of the output.
+func splitWords(line string) []string {
 	line, _, _ = strings.Cut(line, " > ")
 	var words []string
 	for i, part := range strings.Split(line, `"`) {
@@ -36,11 +38,11 @@
 	return words
 }
 
-// assertParses fails unless a line is a command with flags and arguments that
-// it takes, and returns the command.
+// assertParses fails unless a line is a runnable command with valid flags and
+// arguments, and returns the command.
 func assertParses(t *testing.T, root *cobra.Command, line string) *cobra.Command {
 	t.Helper()
-	words := wordsOf(line)
+	words := splitWords(line)
 	assert.Equal(t, words[0], "cyclamenbeam", line)
 	root.InitDefaultCompletionCmd()
 	target, rest, err := root.Find(words[1:])
@@ -53,8 +55,8 @@
 	return target
 }
 
-// A flag is renamed and an example keeps the old name. Whoever copies it is
-// told that the flag is unknown, by the page that named it.
+// Guards against an example that keeps the old name of a renamed flag: copied
+// from the help, it would fail with an unknown flag.
 func TestEveryCommandHasExamplesThatParse(t *testing.T) {
 	a := &app{stdout: &bytes.Buffer{}, stderr: &bytes.Buffer{}}
 	for _, c := range commandsOf(newRoot(a))[1:] {
@@ -68,15 +70,15 @@
 	}
 }
 
-// pages are those that show commands, relative to this package.
-var pages = []string{"../../README.md", "../../docs/OPERATIONS.md"}
+// documents show commands. The paths are relative to this package.
+var documents = []string{"../../README.md", "../../docs/OPERATIONS.md"}
 
-// A page shows a command with a flag that is gone. Whoever goes through it is
-// stopped half-way through a closing.
-func TestCommandsInPagesParse(t *testing.T) {
+// Guards against a document that shows a command with a removed flag: an
+// operator who follows it would have to stop half-way through a month-end closing.
+func TestCommandsInDocumentsParse(t *testing.T) {
 	commands := regexp.MustCompile(`(?m)^[ \t]*(?:[A-Z_]+=\S+ |timeout \d+ |go run \./cmd/)?(cyclamenbeam [^|;&>#\n]*)`)
 	variable := regexp.MustCompile(`\$\w+`)
-	for _, page := range pages {
+	for _, page := range documents {
 		text, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		found := commands.FindAllStringSubmatch(strings.ReplaceAll(string(text), "\\\n", " "), -1)
@@ -87,7 +89,7 @@
 	}
 }
 
-func TestCompletionNamesCommandsAndFlags(t *testing.T) {
+func TestCompletionSuggestsCommandsAndFlags(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"temp", "template"},
 		{"template ap", "apply"},
@@ -96,10 +98,10 @@
 	} {
 		var out bytes.Buffer
 		args := append([]string{cobra.ShellCompRequestCmd}, strings.Split(c.line, " ")...)
-		assert.Equal(t, Execute(args, &out, &bytes.Buffer{}), exitDone)
+		assert.Equal(t, Execute(args, &out, &bytes.Buffer{}), exitOK)
 		assert.Assert(t, strings.HasPrefix(out.String(), c.want), out.String())
 	}
 	var script bytes.Buffer
-	assert.Equal(t, Execute([]string{"completion", "bash"}, &script, &bytes.Buffer{}), exitDone)
+	assert.Equal(t, Execute([]string{"completion", "bash"}, &script, &bytes.Buffer{}), exitOK)
 	assert.Assert(t, strings.Contains(script.String(), "complete -o default"))
 }
--- a/internal/load/caller/tokenreader.go
+++ b/internal/load/caller/tokenreader.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// tokenReader reads streams of one answer and checks that each token follows
-// the one before, over all the streams.
+// tokenReader reads the streams of one answer and checks that the tokens are
+// consecutive across all of them.
 type tokenReader struct {
 	dec   *decoder
 	chunk chunk
@@ -27,47 +27,48 @@
 	for {
 		ev, err := t.dec.next()
 		if err != nil {
-			return breakOff(Error.Wrap(err))
+			return brokenStep(Error.Wrap(err))
 		}
 		progress()
-		if s, end := t.event(ev); end {
+		if s, end := t.handleEvent(ev); end {
 			return s
 		}
 	}
 }
 
-// event takes one event; true: the stream ends with it.
-func (t *tokenReader) event(ev *event) (step, bool) {
+// handleEvent processes one event. It returns true and a step if the stream ends
+// with it.
+func (t *tokenReader) handleEvent(ev *event) (step, bool) {
 	switch string(ev.name) {
 	case "", "message":
-		return t.piece(ev)
+		return t.handleChunk(ev)
 	case movedEvent:
 		var m movedTo
-		// A move that can't be read still says: not here.
+		// A move whose data can't be decoded still means another entry: any.
 		_ = json.Unmarshal(ev.data, &m)
 		return step{kind: moved, address: m.Address}, true
 	case errorEvent:
 		return step{kind: failed, failure: parseProblem(ev.data)}, true
 	default:
-		return step{}, false // accepted, and names of later versions
+		return step{}, false // accepted, or an event of a later version
 	}
 }
 
-// piece takes a part of the answer.
-func (t *tokenReader) piece(ev *event) (step, bool) {
+// handleChunk processes one chunk of the answer.
+func (t *tokenReader) handleChunk(ev *event) (step, bool) {
 	if bytes.Equal(ev.data, []byte(doneData)) {
 		t.finish()
 		return step{kind: whole}, true
 	}
 	if text, ok := plainToken(ev.data); ok {
-		t.token(ev, text)
+		t.handleToken(ev, text)
 		return step{}, false
 	}
 	if err := t.chunk.parse(ev.data); err != nil {
-		return breakOff(err), true
+		return brokenStep(err), true
 	}
 	if text := t.chunk.content(); text != "" {
-		t.token(ev, []byte(text))
+		t.handleToken(ev, []byte(text))
 	}
 	if t.chunk.finished() {
 		t.out.Usage = t.chunk.Usage
@@ -77,14 +78,15 @@
 	return step{}, false
 }
 
-// finish notes the arrival of the answer's end.
+// finish records the arrival of the answer's end.
 func (t *tokenReader) finish() {
 	t.out.Done = time.Now()
 }
 
-// token takes the text of one event. Its id is how many tokens the caller has
-// after it, so an id that does not follow tells of tokens lost or sent twice.
-func (t *tokenReader) token(ev *event, text []byte) {
+// handleToken processes the text of one event. The event's id is the number of
+// tokens up to and including it, so an id that does not follow the last one
+// reveals missing or duplicated tokens.
+func (t *tokenReader) handleToken(ev *event, text []byte) {
 	n := 1
 	id, err := strconv.Atoi(string(ev.id))
 	if err != nil {
@@ -103,7 +105,7 @@
 		t.out.Missing += ahead - n
 	}
 	now := time.Now()
-	t.out.token(now, t.last, text)
+	t.out.addToken(now, t.last, text)
 	t.last = now
 	t.out.Tokens = id
 }
--- a/internal/load/compare_test.go
+++ b/internal/load/compare_test.go
@@ -43,7 +43,7 @@
 	assert.ErrorContains(t, err, "two results")
 }
 
-func TestChartsHaveALineForEachPolicy(t *testing.T) {
+func TestChartsHaveASeriesForEachPolicy(t *testing.T) {
 	results := []*Result{
 		sampleResult("ours", 1.3, 800, 300), sampleResult("least", 0.3, 120, 900),
 		sampleResult("ours", 0.3, 100, 200), sampleResult("least", 1.3, 3000, 2000),
@@ -61,9 +61,9 @@
 	assert.Assert(t, strings.HasPrefix(svg.String(), "<svg") && strings.Contains(svg.String(), "target 450 ms"))
 }
 
-// Two policies meet the same prompts. The second deployment's answers differ,
-// which no check within its own run could see.
-func TestExperimentComparesTextsOverPolicies(t *testing.T) {
+// Guards against answers that differ between policies for the same prompts: no
+// check within one run can detect that.
+func TestExperimentComparesTextsAcrossPolicies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log []string
 		current := newDeployment()
@@ -85,12 +85,12 @@
 		assert.NilError(t, err)
 		assert.Equal(t, strings.Join(log, " "), "start plain stop start other stop start plain stop start other stop")
 		assert.Equal(t, results[0].Checks.WrongText, int64(0))
-		// Later turns repeat the differing answers, so their prompts differ too
-		// and have no answer to agree with.
+		// The prompts of later turns contain the different answers, so they
+		// differ too and have no earlier answer to compare with.
 		assert.Assert(t, results[1].Checks.WrongText > results[1].Answers.Offered/2)
 		assert.Equal(t, results[0].Settings.ScheduleHash, results[1].Settings.ScheduleHash)
 		assert.Equal(t, results[3].Settings.Rate, 100.0)
-		assert.Equal(t, results[3].Checks.Broken(), int64(0))
+		assert.Equal(t, results[3].Checks.Violations(), int64(0))
 
 		var table bytes.Buffer
 		assert.NilError(t, ResultsTable(results).WriteMarkdown(&table))
--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -2,33 +2,34 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/engineapi"
 
-// engineTotal follows one engine's counters over the run.
+// engineTotal sums one engine's counters over the run.
 type engineTotal struct {
-	base engineapi.Counters // when the engine was first seen
-	last engineapi.Counters
-	done engineapi.Counters // of earlier lives at the same address
-	// early: the engine was there before the run. What it had counted when it
-	// was first read is not the run's, also where that reading came late.
-	early bool
-	read  bool
+	base     engineapi.Counters // counts before the run, zero for an engine that appeared in it
+	last     engineapi.Counters // the last reading
+	replaced engineapi.Counters // total of earlier engines at the same address
+	// preexisting is whether the engine was listed before the run. Its counts at the
+	// first reading, even a late one, are then not part of the run.
+	preexisting bool
+	read        bool // whether there was a reading
 }
 
-// see takes a reading. Counters that fell are those of a new engine at the old
-// one's address; what the old one had counted is kept.
-func (t *engineTotal) see(c engineapi.Counters) {
-	if t.early && !t.read {
+// add processes a reading. Counters that fell are those of a new engine at the
+// old one's address; the old one's counts are kept in
+// replaced.
+func (t *engineTotal) add(c engineapi.Counters) {
+	if t.preexisting && !t.read {
 		t.base, t.last = c, c
 	}
 	t.read = true
 	if c.PromptTokens < t.last.PromptTokens || c.Executions < t.last.Executions {
-		t.done = plus(t.done, minus(t.last, t.base))
+		t.replaced = plus(t.replaced, minus(t.last, t.base))
 		t.base = engineapi.Counters{}
 	}
 	t.last = c
 }
 
-// total is what the engine counted since it was first seen.
-func (t *engineTotal) total() engineapi.Counters { return plus(t.done, minus(t.last, t.base)) }
+// total returns the counts of the run.
+func (t *engineTotal) total() engineapi.Counters { return plus(t.replaced, minus(t.last, t.base)) }
 
 func plus(a, b engineapi.Counters) engineapi.Counters {
 	return engineapi.Counters{
--- a/internal/load/meter.go
+++ b/internal/load/meter.go
@@ -15,35 +15,35 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// Bounds of readings.
+// Times and number of readings.
 const (
-	// samplePeriod is short against the notice before a reclaim, so that little
-	// of what a vanishing engine counted is missed, and costs the platform half
-	// a call a second.
+	// samplePeriod is short compared with the notice of a reclaim, so that little
+	// of a reclaimed engine's counts is missed, and causes only half a call per
+	// second to the platform.
 	samplePeriod  = 2 * time.Second
 	readTimeout   = time.Second
 	parallelReads = 16
 )
 
-// meter reads engines' counters and prices over a run.
+// meter reads the counters and prices of engines during a run.
 type meter struct {
-	target Target
-	client *http.Client
-	fixed  float64 // price an hour where there is no list
-
-	mu       sync.Mutex
-	engines  map[string]*engineTotal
-	services []string
-	unread   int // readings that failed
-	price    float64
-	spent    float64 // price times hours so far
-	since    time.Time
-	started  bool
+	target     Target
+	client     *http.Client
+	fixedPrice float64 // price per hour if there is no instance list
+
+	mu           sync.Mutex
+	engines      map[string]*engineTotal
+	services     []string
+	unread       int       // readings that failed
+	price        float64   // of all engines, per hour
+	spent        float64   // price times hours, up to chargedUntil
+	chargedUntil time.Time // zero while not charging
+	started      bool      // the run has started
 }
 
 func newMeter(t Target, hourPrice float64, transport http.RoundTripper) *meter {
 	return &meter{
-		target: t, client: &http.Client{Transport: transport}, fixed: hourPrice,
+		target: t, client: &http.Client{Transport: transport}, fixedPrice: hourPrice,
 		engines: make(map[string]*engineTotal), services: slices.Clone(t.Services),
 	}
 }
@@ -53,21 +53,21 @@
 	pause.Every(ctx, samplePeriod, func() { m.sample(ctx) })
 }
 
-// sample reads the list, then every engine's counters.
+// sample reads the instance list, then every engine's counters.
 func (m *meter) sample(ctx context.Context) {
 	addresses := slices.Clone(m.target.Engines)
 	if m.target.Platform != "" {
 		var list listapi.List
 		if err := m.read(ctx, m.target.Platform, listapi.ListPath, &list); err == nil {
-			addresses = append(addresses, m.takeList(&list)...)
+			addresses = append(addresses, m.recordList(&list)...)
 		}
 	}
 	slices.Sort(addresses)
 	m.readCounters(ctx, slices.Compact(addresses))
 }
 
-// takeList notes prices and services and returns the engines' addresses.
-func (m *meter) takeList(list *listapi.List) []string {
+// recordList records prices and services, and returns the engines' addresses.
+func (m *meter) recordList(list *listapi.List) []string {
 	var engines []string
 	price := 0.0
 	m.mu.Lock()
@@ -85,22 +85,22 @@
 	return engines
 }
 
-// charge adds the cost since the last change of price. Callers hold the lock.
+// charge adds the cost since the last charge. The caller holds the lock.
 func (m *meter) charge(now time.Time) {
-	if !m.since.IsZero() {
-		m.spent += m.price * now.Sub(m.since).Hours()
-		m.since = now
+	if !m.chargedUntil.IsZero() {
+		m.spent += m.price * now.Sub(m.chargedUntil).Hours()
+		m.chargedUntil = now
 	}
 }
 
-// startCost begins to charge.
+// startCost starts charging, at the start of the run.
 func (m *meter) startCost(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.target.Platform == "" {
-		m.price = m.fixed
+		m.price = m.fixedPrice
 	}
-	m.since = now
+	m.chargedUntil = now
 	m.started = true
 }
 
@@ -109,10 +109,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.charge(now)
-	m.since = time.Time{}
+	m.chargedUntil = time.Time{}
 }
 
-// cost is what the engines cost between startCost and stopCost.
+// cost returns the cost of the engines between startCost and stopCost.
 func (m *meter) cost() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,27 +128,27 @@
 			defer func() { <-slots }()
 			var c engineapi.Counters
 			err := m.read(ctx, address, engineapi.CountersPath, &c)
-			m.takeCounters(address, c, err)
+			m.recordCounters(address, c, err)
 		})
 	}
 	wg.Wait()
 }
 
-// takeCounters notes one reading. An engine that appears during the run has
-// counted nothing before it.
-func (m *meter) takeCounters(address string, c engineapi.Counters, err error) {
+// recordCounters records one reading. An engine that appears during the run
+// counted nothing before the run.
+func (m *meter) recordCounters(address string, c engineapi.Counters, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t, ok := m.engines[address]
 	if !ok {
-		t = &engineTotal{early: !m.started}
+		t = &engineTotal{preexisting: !m.started}
 		m.engines[address] = t
 	}
 	if err != nil {
 		m.unread++
 		return
 	}
-	t.see(c)
+	t.add(c)
 }
 
 // totals returns the sum of all engines' counters since the start of the run.
@@ -161,7 +161,7 @@
 	return sum, len(m.engines), m.unread
 }
 
-// read gets one JSON answer.
+// read requests a path and decodes its JSON answer.
 func (m *meter) read(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/load/parts_test.go
+++ b/internal/load/parts_test.go
@@ -13,7 +13,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// hanging answers completions never; a request ends with its context.
+// hanging is a transport that never answers completions; a request ends with its
+// context.
 type hanging struct{ *deployment }
 
 func (h hanging) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -24,21 +25,22 @@
 	return nil, context.Cause(r.Context())
 }
 
-// An engine is replaced by another at the same address, whose counters begin
-// at zero. The plain difference would be negative and hide what both did.
+// Guards against lost counts when an engine is replaced by another at the same
+// address, whose counters start at zero: the difference of first and last reading
+// would be negative.
 func TestCountersOfAReplacedEngineAddUp(t *testing.T) {
 	var e engineTotal
-	e.early = true
+	e.preexisting = true
 	for _, n := range []int64{100, 160, 20, 50} {
-		e.see(engineapi.Counters{RecomputedTokens: n, PromptTokens: n, Executions: n})
+		e.add(engineapi.Counters{RecomputedTokens: n, PromptTokens: n, Executions: n})
 	}
 	assert.Equal(t, e.total().RecomputedTokens, int64(60+50))
 	late := engineTotal{}
-	late.see(engineapi.Counters{PromptTokens: 30})
+	late.add(engineapi.Counters{PromptTokens: 30})
 	assert.Equal(t, late.total().PromptTokens, int64(30))
 }
 
-func TestOrdersAreHeldToWhatTheirCallersWereTold(t *testing.T) {
+func TestOrderChecksCompareOutcomesWithExecutions(t *testing.T) {
 	o := orders{}
 	notRun := caller.Outcome{End: caller.Refused, Verdict: verdict.NotRun, FromServer: true}
 	retried := notRun
@@ -53,10 +55,10 @@
 	assert.Assert(t, !o.check(nil).Checked)
 }
 
-// A mechanic's next question is due before the last answer is there. The
-// schedule does not wait: the request leaves without the earlier turns, and the
-// late answer must not become part of a conversation that has gone on.
-func TestQuestionWithoutAnAnswerIsAskedAfresh(t *testing.T) {
+// Guards against a late answer in the wrong place. When the next turn is due
+// before the last one is answered, the request is sent without the earlier turns.
+// The late answer must not replace the turns that follow it.
+func TestQuestionAfterAnUnansweredTurnHasNoHistory(t *testing.T) {
 	c := newConversations()
 	turn := func(n int) *workload.Arrival { return &workload.Arrival{Conversation: 4, Turn: n} }
 	c.answer(turn(0), nil, workload.Turn{Question: "q0"})
@@ -65,7 +67,7 @@
 	c.answer(turn(2), nil, workload.Turn{Question: "q2"})
 	c.answer(turn(1), []workload.Turn{{Question: "q0"}}, workload.Turn{Question: "q1"})
 	assert.DeepEqual(t, c.earlier(turn(3)), []workload.Turn{{Question: "q2"}})
-	assert.Equal(t, c.askedAfresh(), 1)
+	assert.Equal(t, c.sentWithoutHistory(), 1)
 	last := turn(3)
 	last.Last = true
 	c.answer(last, nil, workload.Turn{})
--- a/internal/load/plot/line.go
+++ b/internal/load/plot/line.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// line is one series with its places.
+// line is one series with its coordinates.
 type line struct {
-	Name    string
-	Colour  string
-	Shape   string
-	Markers []marker
-	EndX    float64 // of the last point
-	EndY    float64
-	LabelY  float64
-	path    []byte
-	open    bool // the path goes on from its last point
+	Name      string
+	Colour    string
+	Shape     string
+	Markers   []marker
+	EndX      float64 // of the last point
+	EndY      float64
+	LabelY    float64
+	path      []byte
+	connected bool // the next point continues the path
 }
 
 // marker is one drawn point.
@@ -29,25 +29,25 @@
 // shapes of markers, in the order of the series.
 var shapes = []string{"circle", "square", "diamond", "triangle"}
 
-// shapeOf shifts the shapes each time that the colours begin again, so that no
-// two of the first 32 series look the same.
+// shapeOf returns the marker shape of a series. The shapes shift each time the
+// colours repeat, so that no two of the first 32 series look the same.
 func shapeOf(series int) string {
 	return shapes[(series+series/len(palette))%len(shapes)]
 }
 
-// add appends a point; one that can't be drawn leaves a gap.
+// add appends a point, or a gap for one that is not drawable.
 func (l *line) add(drawable bool, x float64, y axis, v float64) {
 	if !drawable {
-		l.open = false
+		l.connected = false
 		return
 	}
 	command := 'M'
-	if l.open {
+	if l.connected {
 		command = 'L'
 	}
 	py := y.pixel(v)
 	l.path = fmt.Appendf(l.path, "%c%.1f %.1f", command, x, py)
-	l.open = true
+	l.connected = true
 	l.Markers = append(l.Markers, marker{Shape: l.Shape, X: x, Y: py, Colour: l.Colour})
 	l.EndX, l.EndY, l.LabelY = x, py, py
 }
@@ -55,11 +55,12 @@
 // Path returns the line as SVG path data.
 func (l *line) Path() string { return string(l.path) }
 
-// manyPoints is the number of points above which markers would hide the line.
-const manyPoints = 40
+// maxMarkers is the number of points above which no markers are drawn, since they
+// would hide the line.
+const maxMarkers = 40
 
-// Marked reports whether the line's points are marked.
-func (l *line) Marked() bool { return len(l.Markers) <= manyPoints }
+// Marked reports whether the line's points are drawn with markers.
+func (l *line) Marked() bool { return len(l.Markers) <= maxMarkers }
 
 // Path returns the marker's outline as SVG path data.
 func (m marker) Path() string {
@@ -76,7 +77,8 @@
 	}
 }
 
-// trimZero writes a place with one decimal, which is as exact as is seen.
-func trimZero(v float64) string {
+// formatPixel formats a coordinate with at most one decimal; more would not be
+// visible.
+func formatPixel(v float64) string {
 	return strings.TrimSuffix(strconv.FormatFloat(v, 'f', 1, 64), ".0")
 }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -10,7 +10,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/workload"
 )
 
-// recorder collects outcomes. It is locked once a request, not once a token.
+// recorder collects outcomes. It is locked once for each request, not for each
+// token.
 type recorder struct {
 	plan   *workload.Plan
 	target latencyTarget
@@ -24,7 +25,7 @@
 	checks     Checks
 	orders     orders
 	reasons    map[string]int64
-	lag        *hdrhistogram.Histogram
+	lag        *hdrhistogram.Histogram // actual less intended send time
 }
 
 func newRecorder(p *workload.Plan, target latencyTarget) *recorder {
@@ -40,15 +41,15 @@
 	return r
 }
 
-// sent notes how late a request left. What is late here is the tool's own
-// fault, or its bound of requests at once, and still counts in the latencies.
+// sent records how late a request was sent. This lag is due to the load generator
+// or to its bound of concurrent requests, and is part of the measured latencies.
 func (r *recorder) sent(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record(r.lag, lag)
 }
 
-// tallies returns the tallies that a request counts in.
+// tallies returns the tallies in which a request counts.
 func (r *recorder) tallies(a *workload.Arrival) []*tally {
 	if r.plan.Mix.Kinds[a.Kind].Call != nil {
 		return []*tally{r.services, r.kinds[a.Kind]}
@@ -56,7 +57,7 @@
 	return []*tally{r.answers, r.kinds[a.Kind], r.workspaces[a.Workspace]}
 }
 
-// completion takes the outcome of a request to a model.
+// completion records the outcome of a request to a model.
 func (r *recorder) completion(a *workload.Arrival, intended time.Time, o *caller.Outcome, f findings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +69,7 @@
 	r.addMoment(a, intended, o, f.intact())
 }
 
-// call takes the outcome of a call of a plain service.
+// call records the outcome of a call of a plain service.
 func (r *recorder) call(a *workload.Arrival, intended time.Time, key string, o *caller.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,13 +77,13 @@
 		r.orders.add(key, o)
 	}
 	r.addReasons(o)
-	r.checks.NoVerdict += count(o.NoVerdict)
+	r.checks.NoVerdict += countIf(o.NoVerdict)
 	for _, t := range r.tallies(a) {
 		t.add(r.target, intended, o, true)
 	}
 }
 
-// unsent takes a request that was not sent before the run ended.
+// unsent records a request that was not sent before the run ended.
 func (r *recorder) unsent(a *workload.Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,12 +96,12 @@
 	c := &r.checks
 	c.DuplicatedTokens += int64(o.Duplicated)
 	c.MissingTokens += int64(o.Missing)
-	c.Lost += count(o.End == caller.Lost)
-	c.FailedAccepted += count(o.End == caller.Failed)
-	c.Open += count(o.End == caller.Unfinished && o.Accepted)
-	c.WrongLength += count(f.wrongLength)
-	c.WrongText += count(f.wrongText)
-	c.NoVerdict += count(o.NoVerdict)
+	c.Lost += countIf(o.End == caller.Lost)
+	c.FailedAccepted += countIf(o.End == caller.Failed)
+	c.Open += countIf(o.End == caller.Unfinished && o.Accepted)
+	c.WrongLength += countIf(f.wrongLength)
+	c.WrongText += countIf(f.wrongText)
+	c.NoVerdict += countIf(o.NoVerdict)
 }
 
 func (r *recorder) addReasons(o *caller.Outcome) {
@@ -112,18 +113,18 @@
 func (r *recorder) addMoment(a *workload.Arrival, intended time.Time, o *caller.Outcome, intact bool) {
 	m := &r.timeline[min(int(a.At/time.Second), len(r.timeline)-1)]
 	m.Offered++
-	m.Refused += count(o.End == caller.Refused)
+	m.Refused += countIf(o.End == caller.Refused)
 	if o.End != caller.Answered {
 		return
 	}
 	first := o.First.Sub(intended)
 	m.Answered++
-	m.firstSum += first.Seconds() * 1000
-	m.FirstTokenMs = m.firstSum / float64(m.Answered)
-	m.Within += count(intact && r.target.met(first, o))
+	m.firstTokenSum += first.Seconds() * 1000
+	m.FirstTokenMs = m.firstTokenSum / float64(m.Answered)
+	m.Within += countIf(intact && r.target.met(first, o))
 }
 
-func count(b bool) int64 {
+func countIf(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -21,7 +21,7 @@
 	Stream    bool                `json:"stream"`
 }
 
-// send sends one request and records how it ended.
+// send sends one request and records its outcome.
 func (r *run) send(a *workload.Arrival) {
 	intended := r.start.Add(a.At)
 	r.recorder.sent(time.Since(intended))
@@ -33,17 +33,17 @@
 }
 
 func (r *run) sendCompletion(a *workload.Arrival, intended time.Time) {
-	earlier := r.talks.earlier(a)
+	earlier := r.conversations.earlier(a)
 	question := r.writer.Question(a)
 	tokens := r.writer.AnswerTokens(a)
 	body := r.body(r.writer.Messages(a, earlier, question), tokens)
-	out := r.client.Complete(r.live, &caller.Completion{
+	out := r.client.Complete(r.requestsCtx, &caller.Completion{
 		Workspace: a.Workspace, Seed: a.Seed, Key: newKey(), Body: body,
 	})
 	if out.End == caller.Answered {
-		r.talks.answer(a, earlier, workload.Turn{Question: question, Answer: string(out.Text)})
+		r.conversations.answer(a, earlier, workload.Turn{Question: question, Answer: string(out.Text)})
 	}
-	r.recorder.completion(a, intended, out, examine(r.o.Answers, body, tokens, out))
+	r.recorder.completion(a, intended, out, checkAnswer(r.o.Answers, body, tokens, out))
 }
 
 func (r *run) body(messages []engineapi.Message, tokens int) []byte {
@@ -52,7 +52,7 @@
 		Messages: messages, MaxTokens: tokens, Stream: true,
 	})
 	if err != nil {
-		panic(err) // the type holds strings, numbers and booleans only
+		panic(err) // strings, numbers and booleans can always be encoded
 	}
 	return body
 }
@@ -62,20 +62,20 @@
 	part := r.writer.Part(a)
 	call := &caller.Call{
 		Workspace: a.Workspace, Seed: a.Seed, Service: spec.Service, Method: spec.Method,
-		Path: strings.ReplaceAll(spec.Path, partPlace, part),
+		Path: strings.ReplaceAll(spec.Path, partPlaceholder, part),
 	}
 	if spec.Body != "" {
-		call.Body = []byte(strings.ReplaceAll(spec.Body, partPlace, part))
+		call.Body = []byte(strings.ReplaceAll(spec.Body, partPlaceholder, part))
 	}
 	if spec.NonIdempotent {
 		call.Key = newKey()
 	}
-	r.recorder.call(a, intended, call.Key, r.client.Call(r.live, call))
+	r.recorder.call(a, intended, call.Key, r.client.Call(r.requestsCtx, call))
 }
 
-// partPlace is replaced by a part number in calls of plain services.
-const partPlace = "{part}"
+// partPlaceholder is replaced by a part number in calls of plain services.
+const partPlaceholder = "{part}"
 
-// newKey returns an idempotency key. Keys hold the time and are therefore not
-// a function of the seed.
+// newKey returns an idempotency key. Keys are UUIDv7, which contain the time, and
+// so they are not a function of the seed.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
--- a/internal/load/summarise.go
+++ b/internal/load/summarise.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// result puts together what was measured. executions is how often each order's
-// key ran, nil where that is not known.
+// result assembles the result of the run. executions is how often each order's
+// key ran, nil if that is not known.
 func (r *run) result(executions map[string]int) *Result {
 	c := r.recorder
 	c.mu.Lock()
@@ -20,10 +20,10 @@
 		Settings: r.settings(), Targets: r.targets(), Checks: c.checks,
 		Answers: c.answers.section(), Services: c.services.section(),
 		Timeline: c.timeline, Reasons: c.reasonCounts(),
-		Generator: Generator{SendLag: newDistribution(c.lag), AskedAfresh: r.talks.askedAfresh()},
+		Generator: Generator{SendLag: newDistribution(c.lag), SentWithoutHistory: r.conversations.sentWithoutHistory()},
 	}
 	res.Engines.Counters, res.Engines.Count, res.Engines.FailedReadings = r.meter.totals()
-	res.Goodput = float64(res.Answers.Within) / r.lasted.Seconds()
+	res.Goodput = float64(res.Answers.Within) / r.elapsed.Seconds()
 	res.Cost = r.cost(r.meter.cost(), res.Answers.Within)
 	for i, k := range r.plan.Mix.Kinds {
 		res.Kinds = append(res.Kinds, NamedSection{Name: k.Name, Section: c.kinds[i].section()})
@@ -37,7 +37,7 @@
 	return res
 }
 
-// reasonCounts returns the reasons, most frequent first.
+// reasonCounts returns the reasons of failed attempts, most frequent first.
 func (r *recorder) reasonCounts() []ReasonCount {
 	var all []ReasonCount
 	for reason, n := range r.reasons {
--- a/internal/load/workload/schedule_test.go
+++ b/internal/load/workload/schedule_test.go
@@ -57,13 +57,12 @@
 	}
 	near(north/n, 0.75)
 	near(diagnoses/n, 0.30)
-	assert.Assert(t, resumed/diagnoses > 0.3, "too few turns go on with a conversation: %v", resumed/diagnoses)
+	assert.Assert(t, resumed/diagnoses > 0.3, "too few requests continue a conversation: %v", resumed/diagnoses)
 }
 
-// One workspace sends ten times its share. Were the others' arrivals drawn from
-// the same source they would move as well, and a slower answer for them could
-// be the schedule's doing.
-func TestFactorOfOneWorkspaceMovesNoOthersArrivals(t *testing.T) {
+// Guards against a shared random source: if one workspace's factor changed the
+// others' arrivals, slower answers for them could be due to the schedule.
+func TestFactorOfOneWorkspaceKeepsTheOthersArrivals(t *testing.T) {
 	calm := plan(t, TallerVivo, 3)
 	flood := plan(t, TallerVivo, 3)
 	flood.Workspaces[0].Factor = 10
@@ -111,7 +110,7 @@
 	})
 }
 
-func TestPlanAndMixNameTheirMistake(t *testing.T) {
+func TestErrorsOfPlanAndMixNameTheMistake(t *testing.T) {
 	p := plan(t, Magnolia, 1)
 	p.Bursts.Share = 1
 	_, err := Build(p)
--- a/internal/load/workload/writer.go
+++ b/internal/load/workload/writer.go
@@ -25,30 +25,30 @@
 	Answer   string
 }
 
-// Writer writes the text of requests. It keeps the records of subjects, which
-// are as many as workspaces times subjects. Safe for concurrent use.
+// Writer generates the text of requests. It caches the prefixes of prompts, at
+// most one for each workspace, kind and subject. Safe for concurrent use.
 type Writer struct {
 	mix        *Mix
 	workspaces []Workspace
 	seed       uint64
-	system     string
+	system     string // the mix's instructions
 
-	mu      sync.Mutex
-	records map[recordKey]string
+	mu       sync.Mutex
+	prefixes map[subjectKey]string // of prompts; see prefix
 }
 
-type recordKey struct{ workspace, kind, subject int }
+type subjectKey struct{ workspace, kind, subject int }
 
-// NewWriter returns the writer of a plan's texts.
+// NewWriter returns a writer for a plan's requests.
 func NewWriter(p *Plan) *Writer {
-	w := &Writer{mix: p.Mix, workspaces: p.Workspaces, seed: p.Seed, records: make(map[recordKey]string)}
+	w := &Writer{mix: p.Mix, workspaces: p.Workspaces, seed: p.Seed, prefixes: make(map[subjectKey]string)}
 	var b strings.Builder
 	appendWords(&b, w.source(p.Mix.Name), p.Mix.SystemTokens)
 	w.system = b.String()
 	return w
 }
 
-// Question returns the new question of an arrival.
+// Question returns the text of an arrival's question.
 func (w *Writer) Question(a *Arrival) string {
 	k := &w.mix.Kinds[a.Kind]
 	src := w.questionSource(a)
@@ -60,7 +60,7 @@
 }
 
 // AnswerTokens returns the length of the answer to an arrival's question. It
-// depends on the question alone, so a repeated question repeats its answer.
+// depends on the question alone, so answers to equal questions are equally long.
 func (w *Writer) AnswerTokens(a *Arrival) int {
 	src := w.questionSource(a)
 	k := &w.mix.Kinds[a.Kind]
@@ -72,7 +72,7 @@
 // the earlier turns and the question.
 func (w *Writer) Messages(a *Arrival, earlier []Turn, question string) []engineapi.Message {
 	m := make([]engineapi.Message, 0, 2+2*len(earlier))
-	m = append(m, engineapi.Message{Role: roleSystem, Content: w.head(a)})
+	m = append(m, engineapi.Message{Role: roleSystem, Content: w.prefix(a)})
 	for _, t := range earlier {
 		m = append(m,
 			engineapi.Message{Role: roleUser, Content: t.Question},
@@ -87,23 +87,25 @@
 	return fmt.Sprintf("P-%05d", a.Seed%uint64(parts))
 }
 
-// head is what all questions about one subject share.
-func (w *Writer) head(a *Arrival) string {
+// prefix returns the start of the prompt, which all questions about one subject
+// share: the instructions and the subject's record.
+func (w *Writer) prefix(a *Arrival) string {
 	if a.Subject < 0 {
 		return w.system
 	}
-	key := recordKey{workspace: a.Workspace, kind: a.Kind, subject: a.Subject}
+	key := subjectKey{workspace: a.Workspace, kind: a.Kind, subject: a.Subject}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	head, ok := w.records[key]
+	prefix, ok := w.prefixes[key]
 	if !ok {
-		head = w.record(key)
-		w.records[key] = head
+		prefix = w.newPrefix(key)
+		w.prefixes[key] = prefix
 	}
-	return head
+	return prefix
 }
 
-func (w *Writer) record(key recordKey) string {
+// newPrefix generates the prefix of the prompts about one subject.
+func (w *Writer) newPrefix(key subjectKey) string {
 	k := &w.mix.Kinds[key.kind]
 	name := fmt.Sprintf("%s/%s/%d", w.workspaces[key.workspace].Name, k.Name, key.subject)
 	src := w.source(name)
@@ -113,11 +115,13 @@
 	return b.String()
 }
 
-// questionSource draws the same numbers for the same question of a kind.
+// questionSource returns a random source that is the same for equal questions of
+// a kind.
 func (w *Writer) questionSource(a *Arrival) *rand.Rand {
 	return w.source(w.mix.Kinds[a.Kind].Name + "?" + strconv.FormatUint(a.Seed, 10))
 }
 
+// source returns a random source that depends on the plan's seed and the name.
 func (w *Writer) source(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(w.seed, xxh3.HashString(name)))
 }
--- a/internal/report/series.go
+++ b/internal/report/series.go
@@ -7,26 +7,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/load/plot"
 )
 
-// reading is one daemon's value of a metric at a time.
+// reading is one daemon's value of a metric at one time.
 type reading struct {
-	daemon string
-	at     time.Time
-	value  float64
-	labels map[string]float64 // by labels
+	daemon   string
+	at       time.Time
+	value    float64            // sum over all labels
+	byLabels map[string]float64 // value by labels
 }
 
-// readings picks one metric out of samples, in the order of time.
+// readings returns the readings of one metric in chronological order.
 func readings(samples []Sample, metric string) []reading {
 	var all []reading
 	for _, s := range samples {
-		r := reading{daemon: s.Daemon, at: s.At, labels: map[string]float64{}}
+		r := reading{daemon: s.Daemon, at: s.At, byLabels: map[string]float64{}}
 		for _, v := range s.Values {
 			if v.Metric == metric {
 				r.value += v.Value
-				r.labels[v.Labels] += v.Value
+				r.byLabels[v.Labels] += v.Value
 			}
 		}
-		if len(r.labels) > 0 {
+		if len(r.byLabels) > 0 {
 			all = append(all, r)
 		}
 	}
@@ -34,7 +34,7 @@
 	return all
 }
 
-// chart draws a panel; false: no daemon has its metric.
+// chart returns the panel's chart, or false if no sample has its metric.
 func (p *Panel) chart(samples []Sample) (*plot.Chart, bool) {
 	all := readings(samples, p.Metric)
 	if len(all) == 0 {
@@ -45,19 +45,20 @@
 	if scale == 0 {
 		scale = 1
 	}
-	w := p.reader()
+	t := p.transformer()
 	for _, r := range all {
-		v, ok := w.read(r)
+		v, ok := t.apply(r)
 		if !ok {
 			continue
 		}
-		s := lineOf(c, r.daemon)
+		s := findSeries(c, r.daemon)
 		s.Points = append(s.Points, plot.Point{X: r.at.Sub(all[0].at).Seconds(), Y: v * scale})
 	}
 	return c, true
 }
 
-func lineOf(c *plot.Chart, name string) *plot.Series {
+// findSeries returns the chart's series of that name, and adds it if there is none.
+func findSeries(c *plot.Chart, name string) *plot.Series {
 	i := slices.IndexFunc(c.Series, func(s plot.Series) bool { return s.Name == name })
 	if i < 0 {
 		i = len(c.Series)
@@ -66,33 +67,35 @@
 	return &c.Series[i]
 }
 
-// reader turns readings, in the order of time, into what a panel draws.
-type reader interface {
-	read(r reading) (float64, bool)
+// transformer computes the values that a panel draws from readings in
+// chronological order.
+type transformer interface {
+	// apply returns the value to draw, or false to draw none.
+	apply(r reading) (float64, bool)
 }
 
-func (p *Panel) reader() reader {
-	switch p.Reading {
+func (p *Panel) transformer() transformer {
+	switch p.Transform {
 	case Rate:
-		return &rateReader{last: map[string]reading{}}
-	case Behind:
-		return &behindReader{newest: map[string]float64{}}
+		return &rateTransformer{last: map[string]reading{}}
+	case Lag:
+		return &lagTransformer{newest: map[string]float64{}}
 	default:
-		return plainReader{}
+		return plainTransformer{}
 	}
 }
 
-type plainReader struct{}
+type plainTransformer struct{}
 
-func (plainReader) read(r reading) (float64, bool) { return r.value, true }
+func (plainTransformer) apply(r reading) (float64, bool) { return r.value, true }
 
-// rateReader draws a counter's increase. After a restart, when a counter falls,
-// it has counted from zero.
-type rateReader struct{ last map[string]reading }
+// rateTransformer computes a counter's increase per second. A counter that fell was
+// reset by a restart and has counted from zero.
+type rateTransformer struct{ last map[string]reading }
 
-func (w *rateReader) read(r reading) (float64, bool) {
-	before, ok := w.last[r.daemon]
-	w.last[r.daemon] = r
+func (t *rateTransformer) apply(r reading) (float64, bool) {
+	before, ok := t.last[r.daemon]
+	t.last[r.daemon] = r
 	seconds := r.at.Sub(before.at).Seconds()
 	if !ok || seconds <= 0 {
 		return 0, false
@@ -103,16 +106,17 @@
 	return (r.value - before.value) / seconds, true
 }
 
-// behindReader draws how far a daemon's values are behind the highest ones.
-type behindReader struct{ newest map[string]float64 }
+// lagTransformer computes how far a daemon's values are below the highest seen so
+// far, summed over the labels.
+type lagTransformer struct{ newest map[string]float64 }
 
-func (w *behindReader) read(r reading) (float64, bool) {
-	behind := 0.0
-	for labels, v := range r.labels {
-		w.newest[labels] = max(w.newest[labels], v)
+func (t *lagTransformer) apply(r reading) (float64, bool) {
+	lag := 0.0
+	for labels, v := range r.byLabels {
+		t.newest[labels] = max(t.newest[labels], v)
 	}
-	for labels, newest := range w.newest {
-		behind += newest - r.labels[labels]
+	for labels, newest := range t.newest {
+		lag += newest - r.byLabels[labels]
 	}
-	return behind, true
+	return lag, true
 }
