--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -10,9 +10,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// retryWhileLeaving is how soon a caller refused by a leaving daemon may try
+// shutdownRetryAfter is how soon a caller refused by a leaving daemon may try
 // another entry: at once, rounded up to what Retry-After can say.
-const retryWhileLeaving = time.Second
+const shutdownRetryAfter = time.Second
 
 // authHandler serves a request of a verified workspace.
 type authHandler func(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID)
@@ -21,11 +21,11 @@
 // from the credential alone; nothing in the request can name another.
 func (g *Gateway) authenticated(operation string, next authHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if why := g.o.Readiness.NotReady(); why != "" {
-			g.fail(w, operation, problem.New(http.StatusServiceUnavailable, verdict.NotRun, "not ready: %s", why).After(retryWhileLeaving))
+		if reason := g.opts.Readiness.NotReady(); reason != "" {
+			g.fail(w, operation, problem.New(http.StatusServiceUnavailable, verdict.NotRun, "not ready: %s", reason).After(shutdownRetryAfter))
 			return
 		}
-		workspace, ok := g.o.Identities.Identify(bearer(r))
+		workspace, ok := g.opts.Identities.Identify(bearer(r))
 		if !ok {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			g.fail(w, operation, problem.New(http.StatusUnauthorized, verdict.NotRun, "the bearer token is missing or not known"))
@@ -44,11 +44,11 @@
 	return strings.TrimSpace(token)
 }
 
-// refuseWhileLeaving refuses new work once callers have had time to forget
+// refuseIfStopping refuses new work once callers have had time to forget
 // this entry. Nothing was started, so the verdict is NotRun.
-func (g *Gateway) refuseWhileLeaving() *problem.Problem {
-	if !g.o.Readiness.Refusing() {
+func (g *Gateway) refuseIfStopping() *problem.Problem {
+	if !g.opts.Readiness.Refusing() {
 		return nil
 	}
-	return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry is leaving; ask for the entries again").After(retryWhileLeaving)
+	return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry is leaving; ask for the entries again").After(shutdownRetryAfter)
 }
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -16,16 +16,16 @@
 // completions serves POST /v1/chat/completions.
 func (g *Gateway) completions(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
 	start := time.Now()
-	s, stream, p := g.submission(w, r, workspace)
+	s, stream, p := g.readSubmission(w, r, workspace)
 	if p == nil {
-		p = g.refuseWhileLeaving()
+		p = g.refuseIfStopping()
 	}
 	if p != nil {
 		g.fail(w, "completion", p)
 		return
 	}
 	w.Header().Set(RequestIDHeader, string(s.ID))
-	answer, p := g.o.Requests.Submit(r.Context(), s)
+	answer, p := g.opts.Requests.Submit(r.Context(), s)
 	if p != nil {
 		g.fail(w, "completion", p.For(string(s.ID)))
 		return
@@ -36,11 +36,11 @@
 		g.stream(w, r, "completion", m, answer, 0)
 		return
 	}
-	g.whole(w, r, "completion", m, answer)
+	g.sendWhole(w, r, "completion", m, answer)
 }
 
-// submission reads and checks a completion request.
-func (g *Gateway) submission(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) (*Submission, bool, *problem.Problem) {
+// readSubmission reads and checks a completion request.
+func (g *Gateway) readSubmission(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) (*Submission, bool, *problem.Problem) {
 	id, p := idempotencyKey(r, time.Now())
 	if p != nil {
 		return nil, false, p
@@ -49,7 +49,7 @@
 	if p != nil {
 		return nil, false, p
 	}
-	b, p := g.decodeCompletion(body)
+	decoded, p := g.decodeCompletion(body)
 	if p != nil {
 		return nil, false, p
 	}
@@ -57,11 +57,11 @@
 		ID:         id,
 		Workspace:  workspace,
 		KeySent:    id != "",
-		Completion: b.request(),
+		Completion: decoded.engineRequest(),
 		Body:       body,
 	}
 	if !s.KeySent {
 		s.ID = fleet.RequestID(uuid.Must(uuid.NewV7()).String())
 	}
-	return s, b.Stream, nil
+	return s, decoded.Stream, nil
 }
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -37,7 +37,7 @@
 // readBody reads a bounded body. Too long, too slow or broken is the caller's
 // fault and nothing has run.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.o.Limits.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.opts.Limits.MaxBodyBytes))
 	var tooLong *http.MaxBytesError
 	switch {
 	case err == nil:
@@ -45,7 +45,7 @@
 	case errors.As(err, &tooLong):
 		return nil, problem.New(http.StatusRequestEntityTooLarge, verdict.NotRun, "the body is over %d bytes", tooLong.Limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, problem.New(http.StatusRequestTimeout, verdict.NotRun, "the body took longer than %s", g.o.Limits.ReadTimeout)
+		return nil, problem.New(http.StatusRequestTimeout, verdict.NotRun, "the body took longer than %s", g.opts.Limits.ReadTimeout)
 	default:
 		return nil, problem.New(http.StatusBadRequest, verdict.NotRun, "the body could not be read")
 	}
@@ -55,7 +55,7 @@
 func (g *Gateway) decodeCompletion(body []byte) (*completionBody, *problem.Problem) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return nil, badRequest("the body is not a completion request: %s", jsonMistake(err))
+		return nil, badRequest("the body is not a completion request: %s", jsonErrorText(err))
 	}
 	if b.Model == "" {
 		return nil, badRequest("model is required")
@@ -63,11 +63,11 @@
 	if len(b.Messages) == 0 {
 		return nil, badRequest("messages must hold at least one message")
 	}
-	if len(b.Messages) > g.o.Limits.MaxMessages {
-		return nil, badRequest("messages holds %d; the most is %d", len(b.Messages), g.o.Limits.MaxMessages)
+	if len(b.Messages) > g.opts.Limits.MaxMessages {
+		return nil, badRequest("messages holds %d; the most is %d", len(b.Messages), g.opts.Limits.MaxMessages)
 	}
 	for i, m := range b.Messages {
-		if !knownRole(m.Role) {
+		if !validRole(m.Role) {
 			return nil, badRequest("messages[%d].role %q is none of system, user, assistant, tool", i, m.Role)
 		}
 	}
@@ -80,16 +80,16 @@
 		b.MaxTokens = b.MaxCompletionTokens
 	}
 	if b.MaxTokens == nil {
-		n := min(defaultMaxTokens, g.o.Limits.MaxTokens)
+		n := min(defaultMaxTokens, g.opts.Limits.MaxTokens)
 		b.MaxTokens = &n
 	}
-	if n := *b.MaxTokens; n < 1 || n > g.o.Limits.MaxTokens {
-		return badRequest("max_tokens is %d; it must be from 1 to %d", n, g.o.Limits.MaxTokens)
+	if n := *b.MaxTokens; n < 1 || n > g.opts.Limits.MaxTokens {
+		return badRequest("max_tokens is %d; it must be from 1 to %d", n, g.opts.Limits.MaxTokens)
 	}
 	return nil
 }
 
-func (b *completionBody) request() engineapi.CompletionRequest {
+func (b *completionBody) engineRequest() engineapi.CompletionRequest {
 	return engineapi.CompletionRequest{
 		Model:     b.Model,
 		Adapter:   b.Adapter,
@@ -99,7 +99,7 @@
 	}
 }
 
-func knownRole(role string) bool {
+func validRole(role string) bool {
 	switch role {
 	case "system", "user", "assistant", "tool", "developer":
 		return true
@@ -108,16 +108,16 @@
 	}
 }
 
-// jsonMistake says what is wrong without repeating the caller's text, which
+// jsonErrorText says what is wrong without repeating the caller's text, which
 // may be private.
-func jsonMistake(err error) string {
-	var syntax *json.SyntaxError
-	var wrong *json.UnmarshalTypeError
+func jsonErrorText(err error) string {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
+	case errors.As(err, &syntaxErr):
 		return "it is not valid JSON"
-	case errors.As(err, &wrong):
-		return "field " + wrong.Field + " must be " + wrong.Type.String()
+	case errors.As(err, &typeErr):
+		return "field " + typeErr.Field + " must be " + typeErr.Type.String()
 	default:
 		return "it can't be decoded"
 	}
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// entriesAnswer is the body of GET /v1/entries.
-type entriesAnswer struct {
+// entriesResponse is the body of GET /v1/entries.
+type entriesResponse struct {
 	Entries       []Entry `json:"entries"`
 	MaxAgeSeconds int     `json:"maxAgeSeconds"`
 }
@@ -15,13 +15,13 @@
 // entries tells a caller which entry instances to use. A credential is not
 // needed to find the way in; with one, the answer is the workspace's own subset.
 func (g *Gateway) entries(w http.ResponseWriter, r *http.Request) {
-	workspace, _ := g.o.Identities.Identify(bearer(r))
-	age := int(g.o.EntriesAge.Seconds())
-	a := entriesAnswer{Entries: g.o.Directory.Entries(workspace), MaxAgeSeconds: age}
+	workspace, _ := g.opts.Identities.Identify(bearer(r))
+	age := int(g.opts.EntriesAge.Seconds())
+	a := entriesResponse{Entries: g.opts.Directory.Entries(workspace), MaxAgeSeconds: age}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "max-age="+strconv.Itoa(age))
 	h.Set("Vary", "Authorization")
-	g.o.Observer.Answered("entries", http.StatusOK)
+	g.opts.Observer.Answered("entries", http.StatusOK)
 	_ = json.NewEncoder(w).Encode(a)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,24 +28,24 @@
 
 // Gateway serves the callers' API.
 type Gateway struct {
-	o    Options
+	opts    Options
 	mux  *http.ServeMux
 	open atomic.Int64 // calls being answered
 }
 
 // New returns the callers' API over the given parts.
 func New(o Options) *Gateway {
-	g := &Gateway{o: o, mux: http.NewServeMux()}
+	g := &Gateway{opts: o, mux: http.NewServeMux()}
 	g.mux.HandleFunc("GET /healthz", g.health)
 	g.mux.HandleFunc("GET /readyz", g.ready)
 	g.mux.HandleFunc("GET /metrics", o.Metrics)
 	g.mux.HandleFunc("GET /v1/entries", g.entries)
 	g.mux.HandleFunc("POST /v1/chat/completions", g.authenticated("completion", g.completions))
-	g.mux.HandleFunc("GET /v1/requests/{id}", g.authenticated("request", g.wholeRequest))
+	g.mux.HandleFunc("GET /v1/requests/{id}", g.authenticated("request", g.getRequest))
 	g.mux.HandleFunc("DELETE /v1/requests/{id}", g.authenticated("cancel", g.cancelRequest))
 	g.mux.HandleFunc("GET /v1/requests/{id}/events", g.authenticated("events", g.requestEvents))
 	g.mux.HandleFunc("/v1/services/{service}/{path...}", g.authenticated("service", g.service))
-	g.mux.HandleFunc("/", g.unknown)
+	g.mux.HandleFunc("/", g.notFound)
 	return g
 }
 
@@ -70,11 +70,11 @@
 	if v == http.ErrAbortHandler {
 		panic(v)
 	}
-	g.o.Log.WithField("path", r.URL.Path).Errorf("panic: %v", v)
+	g.opts.Log.WithField("path", r.URL.Path).Errorf("panic: %v", v)
 	problem.Write(w, problem.New(http.StatusInternalServerError, verdict.MayHaveRun, "internal error"))
 }
 
-func (g *Gateway) unknown(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) notFound(w http.ResponseWriter, r *http.Request) {
 	g.fail(w, "unknown", problem.New(http.StatusNotFound, verdict.NotRun, "nothing is served at %s", r.URL.Path))
 }
 
@@ -83,8 +83,8 @@
 }
 
 func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
-	if why := g.o.Readiness.NotReady(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason := g.opts.Readiness.NotReady(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write([]byte("ready\n"))
@@ -92,6 +92,6 @@
 
 // fail answers with a problem and counts it.
 func (g *Gateway) fail(w http.ResponseWriter, operation string, p *problem.Problem) {
-	g.o.Observer.Answered(operation, p.Status)
+	g.opts.Observer.Answered(operation, p.Status)
 	problem.Write(w, p)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -92,7 +92,7 @@
 
 const goodBody = `{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":3}`
 
-func TestBadInputIsTheCallersFaultAndNotRun(t *testing.T) {
+func TestInvalidRequestsAreRejectedWithVerdictNotRun(t *testing.T) {
 	key := uuid.Must(uuid.NewV7()).String()
 	old := uuid.NewString() // version 4
 	future := "0fffffff-ffff-7fff-8fff-ffffffffffff"
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestStrangersAndUnreadyDaemonsAreRefused(t *testing.T) {
+func TestRequestsAreRefusedWithoutTokenWhenNotReadyAndWhenStopping(t *testing.T) {
 	f := &fakeBackend{}
 	g := newTestGateway(f)
 	r := httptest.NewRequest("POST", "/v1/chat/completions", strings.NewReader(goodBody))
@@ -150,7 +150,7 @@
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 }
 
-func TestStreamHasAnIDOnEveryEventAndNoneTwice(t *testing.T) {
+func TestEveryStreamEventHasAUniqueID(t *testing.T) {
 	f := &fakeBackend{parts: []Part{
 		{Tokens: []string{"a", "\"b\n"}},
 		{Tokens: []string{"c"}, Done: true, Usage: engineapi.Usage{PromptTokens: 1, CompletionTokens: 3}},
@@ -177,7 +177,7 @@
 
 // The holder hands the request over while one caller streams and another
 // waits. Each must learn where it goes on: by an event, and by a redirect.
-func TestMovedRequestSendsBothKindsOfCallerOn(t *testing.T) {
+func TestMovedRequestRedirectsStreamingAndWaitingCallers(t *testing.T) {
 	f := &fakeBackend{parts: []Part{{Tokens: []string{"a"}}, {MovedTo: "127.0.0.1:7"}}}
 	w := call(newTestGateway(f), "POST", "/v1/chat/completions", `{"model":"m","messages":[{"role":"user"}],"stream":true}`)
 	assert.Assert(t, strings.Contains(w.Body.String(), "id: 1\nevent: moved\n"), w.Body.String())
--- a/internal/gateway/jsonstring_test.go
+++ b/internal/gateway/jsonstring_test.go
@@ -18,21 +18,21 @@
 		var got string
 		assert.NilError(t, json.Unmarshal(appendJSONString(nil, s), &got))
 		assert.Equal(t, got, strings.ToValidUTF8(got, "\ufffd"))
-		want, err := json.Marshal(s)
+		encoded, err := json.Marshal(s)
 		assert.NilError(t, err)
-		var same string
-		assert.NilError(t, json.Unmarshal(want, &same))
-		assert.Equal(t, got, same)
+		var want string
+		assert.NilError(t, json.Unmarshal(encoded, &want))
+		assert.Equal(t, got, want)
 	})
 }
 
-func BenchmarkToken(b *testing.B) {
+func BenchmarkAppendToken(b *testing.B) {
 	m := meta{id: "01a23812-59f2-7c0b-bbeb-341182c86a96", model: "harvester-diagnosis"}
 	s := &sseWriter{}
 	t := &tokenStream{sse: s, meta: m}
 	b.ReportAllocs()
 	for b.Loop() {
-		t.token(" elevator")
+		t.appendToken(" elevator")
 		s.buf = s.buf[:0]
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -11,16 +11,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/problem"
 )
 
-// wholeRequest serves GET /v1/requests/{id}: the whole answer, once it is whole.
-func (g *Gateway) wholeRequest(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
-	m, a, p := g.find(r, workspace)
+// getRequest serves GET /v1/requests/{id}: the whole answer, once it is whole.
+func (g *Gateway) getRequest(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
+	m, a, p := g.findAnswer(r, workspace)
 	if p != nil {
 		g.fail(w, "request", p)
 		return
 	}
 	defer a.Close()
 	w.Header().Set(RequestIDHeader, string(m.id))
-	g.whole(w, r, "request", m, a)
+	g.sendWhole(w, r, "request", m, a)
 }
 
 // requestEvents serves GET /v1/requests/{id}/events: the answer's events after
@@ -31,7 +31,7 @@
 		g.fail(w, "events", p)
 		return
 	}
-	m, a, p := g.find(r, workspace)
+	m, a, p := g.findAnswer(r, workspace)
 	if p != nil {
 		g.fail(w, "events", p)
 		return
@@ -49,22 +49,22 @@
 		g.fail(w, "cancel", badRequest("the request id is not a UUID"))
 		return
 	}
-	if p := g.o.Requests.Cancel(r.Context(), workspace, fleet.RequestID(id.String())); p != nil {
+	if p := g.opts.Requests.Cancel(r.Context(), workspace, fleet.RequestID(id.String())); p != nil {
 		g.fail(w, "cancel", p.For(id.String()))
 		return
 	}
-	g.o.Observer.Answered("cancel", http.StatusNoContent)
+	g.opts.Observer.Answered("cancel", http.StatusNoContent)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (g *Gateway) find(r *http.Request, workspace fleet.WorkspaceID) (meta, Answer, *problem.Problem) {
+func (g *Gateway) findAnswer(r *http.Request, workspace fleet.WorkspaceID) (meta, Answer, *problem.Problem) {
 	id, err := uuid.Parse(r.PathValue("id"))
 	if err != nil {
 		return meta{}, nil, badRequest("the request id is not a UUID")
 	}
 	now := time.Now()
 	m := meta{id: fleet.RequestID(id.String()), created: now, start: now}
-	a, p := g.o.Requests.Find(r.Context(), workspace, m.id)
+	a, p := g.opts.Requests.Find(r.Context(), workspace, m.id)
 	if p != nil {
 		return m, nil, p.For(string(m.id))
 	}
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -10,9 +10,9 @@
 
 // service serves ANY /v1/services/{service}/…: a call of a plain service.
 func (g *Gateway) service(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
-	c, p := g.serviceCall(w, r, workspace)
+	c, p := g.readServiceCall(w, r, workspace)
 	if p == nil {
-		p = g.refuseWhileLeaving()
+		p = g.refuseIfStopping()
 	}
 	if p != nil {
 		g.fail(w, "service", p)
@@ -21,13 +21,13 @@
 	if c.Key != "" {
 		w.Header().Set(RequestIDHeader, string(c.Key))
 	}
-	a, p := g.o.Services.Call(r.Context(), c)
+	a, p := g.opts.Services.Call(r.Context(), c)
 	if p != nil {
 		g.fail(w, "service", p.For(string(c.Key)))
 		return
 	}
-	g.o.Observer.Answered("service", a.Status)
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.o.Limits.WriteTimeout))
+	g.opts.Observer.Answered("service", a.Status)
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.opts.Limits.WriteTimeout))
 	h := w.Header()
 	for name, values := range a.Header {
 		h[name] = values
@@ -36,7 +36,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-func (g *Gateway) serviceCall(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) (*ServiceCall, *problem.Problem) {
+func (g *Gateway) readServiceCall(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) (*ServiceCall, *problem.Problem) {
 	key, p := idempotencyKey(r, time.Now())
 	if p != nil {
 		return nil, p
@@ -55,7 +55,7 @@
 		Body:      body,
 		Key:       key,
 	}
-	c.NonIdempotent = g.o.Identities.NonIdempotent(c.Service, c.Method, c.Path)
+	c.NonIdempotent = g.opts.Identities.NonIdempotent(c.Service, c.Method, c.Path)
 	if c.NonIdempotent && key == "" {
 		return nil, badRequest("%s %s must not run twice: send an Idempotency-Key, a UUIDv7", c.Method, c.Path)
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -24,13 +24,13 @@
 // on. The id of an event is how many tokens the caller has after it; the two
 // events after the last token count on, so that no id comes twice.
 func (g *Gateway) stream(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer, from int) {
-	g.o.Observer.Answered(operation, http.StatusOK)
-	out := &tokenStream{sse: newSSEWriter(w, g.o.Limits.WriteTimeout), meta: m, observer: g.o.Observer, at: from, last: m.start}
-	if out.accepted() != nil {
+	g.opts.Observer.Answered(operation, http.StatusOK)
+	out := &tokenStream{sse: newSSEWriter(w, g.opts.Limits.WriteTimeout), meta: m, observer: g.opts.Observer, offset: from, lastSent: m.start}
+	if out.sendAccepted() != nil {
 		return
 	}
 	for {
-		part, err := a.Next(r.Context(), out.at)
+		part, err := a.Next(r.Context(), out.offset)
 		if err != nil || out.send(part) != nil {
 			return
 		}
@@ -46,14 +46,14 @@
 	meta     meta
 	observer Observer
 	prefix   []byte // of a token's chunk
-	at       int    // tokens that the caller has
+	offset       int    // tokens that the caller has
 	sent     int    // tokens sent on this stream
-	last     time.Time
+	lastSent     time.Time
 }
 
-func (t *tokenStream) accepted() error {
+func (t *tokenStream) sendAccepted() error {
 	first := t.meta.chunk(chunkChoice{Delta: delta{Role: "assistant"}}, nil)
-	if err := t.sse.event(t.at, eventAccepted, first); err != nil {
+	if err := t.sse.event(t.offset, eventAccepted, first); err != nil {
 		return err
 	}
 	return t.sse.flush()
@@ -61,7 +61,7 @@
 
 func (t *tokenStream) send(p Part) error {
 	for _, token := range p.Tokens {
-		t.token(token)
+		t.appendToken(token)
 	}
 	if len(p.Tokens) > 0 {
 		t.observe(len(p.Tokens))
@@ -69,11 +69,11 @@
 	var err error
 	switch {
 	case p.Failure != nil:
-		err = t.failed(p.Failure)
+		err = t.appendFailure(p.Failure)
 	case p.MovedTo != "":
-		err = t.sse.event(t.at, eventMoved, moved{ID: string(t.meta.id), Address: p.MovedTo})
+		err = t.sse.event(t.offset, eventMoved, moved{ID: string(t.meta.id), Address: p.MovedTo})
 	case p.Done:
-		err = t.done(p)
+		err = t.appendDone(p)
 	}
 	if err != nil {
 		return err
@@ -81,12 +81,12 @@
 	return t.sse.flush()
 }
 
-func (t *tokenStream) token(text string) {
+func (t *tokenStream) appendToken(text string) {
 	if t.prefix == nil {
 		t.prefix = t.meta.tokenPrefix()
 	}
-	t.at++
-	t.sse.begin(t.at, "")
+	t.offset++
+	t.sse.begin(t.offset, "")
 	t.sse.buf = append(t.sse.buf, t.prefix...)
 	t.sse.buf = appendJSONString(t.sse.buf, text)
 	t.sse.buf = append(t.sse.buf, tokenSuffix...)
@@ -96,8 +96,8 @@
 // observe records the latency of n tokens that arrived together.
 func (t *tokenStream) observe(n int) {
 	now := time.Now()
-	gap := now.Sub(t.last)
-	t.last = now
+	gap := now.Sub(t.lastSent)
+	t.lastSent = now
 	if t.sent == 0 {
 		t.observer.FirstToken(gap)
 	} else {
@@ -106,17 +106,17 @@
 	t.sent += n
 }
 
-func (t *tokenStream) done(p Part) error {
+func (t *tokenStream) appendDone(p Part) error {
 	last := t.meta.chunk(chunkChoice{FinishReason: &finishLength}, newUsage(p.Usage))
-	if err := t.sse.event(t.at+1, "", last); err != nil {
+	if err := t.sse.event(t.offset+1, "", last); err != nil {
 		return err
 	}
-	t.sse.begin(t.at+2, "")
+	t.sse.begin(t.offset+2, "")
 	t.sse.buf = append(t.sse.buf, "[DONE]"...)
 	t.sse.end()
 	return nil
 }
 
-func (t *tokenStream) failed(p *problem.Problem) error {
-	return t.sse.event(t.at, eventError, p.For(string(t.meta.id)))
+func (t *tokenStream) appendFailure(p *problem.Problem) error {
+	return t.sse.event(t.offset, eventError, p.For(string(t.meta.id)))
 }
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -27,9 +27,9 @@
 	FinishReason string            `json:"finish_reason"`
 }
 
-// whole waits for the end of an answer and sends it in one piece. When the
+// sendWhole waits for the end of an answer and sends it in one piece. When the
 // request moves to another daemon the caller is sent after it.
-func (g *Gateway) whole(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer) {
+func (g *Gateway) sendWhole(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer) {
 	var text strings.Builder
 	n := 0
 	for {
@@ -49,7 +49,7 @@
 			g.redirect(w, r, operation, part.MovedTo, m.id)
 			return
 		case part.Done:
-			g.sendWhole(w, operation, m, text.String(), part.Usage)
+			g.writeCompletion(w, operation, m, text.String(), part.Usage)
 			return
 		}
 	}
@@ -61,12 +61,12 @@
 	if r.TLS != nil {
 		scheme = "https"
 	}
-	g.o.Observer.Answered(operation, http.StatusSeeOther)
+	g.opts.Observer.Answered(operation, http.StatusSeeOther)
 	w.Header().Set("Location", scheme+"://"+address+"/v1/requests/"+string(id))
 	w.WriteHeader(http.StatusSeeOther)
 }
 
-func (g *Gateway) sendWhole(w http.ResponseWriter, operation string, m meta, text string, u engineapi.Usage) {
+func (g *Gateway) writeCompletion(w http.ResponseWriter, operation string, m meta, text string, u engineapi.Usage) {
 	c := completion{
 		ID:      m.id,
 		Object:  "chat.completion",
@@ -78,8 +78,8 @@
 		}},
 		Usage: newUsage(u),
 	}
-	g.o.Observer.Answered(operation, http.StatusOK)
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.o.Limits.WriteTimeout))
+	g.opts.Observer.Answered(operation, http.StatusOK)
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.opts.Limits.WriteTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(c)
 }
