--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -10,15 +10,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// shutdownRetryAfter is how soon a caller refused by a leaving daemon may try
-// another entry: at once, rounded up to what Retry-After can say.
+// shutdownRetryAfter is the Retry-After of a daemon that is not ready or is
+// shutting down. The caller may try another entry at once; 1 s is the least
+// delay above 0 that the header can carry.
 const shutdownRetryAfter = time.Second
 
-// authHandler serves a request of a verified workspace.
+// authHandler serves a request of an authenticated workspace.
 type authHandler func(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID)
 
-// authenticated admits requests with a known bearer token. The workspace comes
-// from the credential alone; nothing in the request can name another.
+// authenticated passes requests with a valid bearer token on to next. The
+// workspace is taken from the token only, so that a request can't act for
+// another workspace.
 func (g *Gateway) authenticated(operation string, next authHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if reason := g.opts.Readiness.NotReady(); reason != "" {
@@ -44,8 +46,9 @@
 	return strings.TrimSpace(token)
 }
 
-// refuseIfStopping refuses new work once callers have had time to forget
-// this entry. Nothing was started, so the verdict is NotRun.
+// refuseIfStopping refuses new requests late in a shutdown, when callers have had
+// time to drop this entry from their cached lists. Nothing was started, so
+// the verdict is NotRun.
 func (g *Gateway) refuseIfStopping() *problem.Problem {
 	if !g.opts.Readiness.Refusing() {
 		return nil
--- a/internal/gateway/chunk.go
+++ b/internal/gateway/chunk.go
@@ -8,28 +8,29 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// meta is what every part of a completion's answer repeats.
+// meta holds the fields that every chunk of an answer repeats, and the start
+// time of the HTTP response.
 type meta struct {
 	id      fleet.RequestID
 	model   string
 	created time.Time
-	start   time.Time // of this answer, for the latency to the first token
+	start   time.Time // of this HTTP response, for the latency to the first token
 }
 
-// delta is the change that a chunk brings.
+// delta is the part of the message that a chunk adds.
 type delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// chunkChoice is the one choice of a chunk.
+// chunkChoice is the only element of a chunk's choices.
 type chunkChoice struct {
 	Index        int     `json:"index"`
 	Delta        delta   `json:"delta"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// usage counts tokens in the form that callers of model APIs know.
+// usage is the token counts in the format of the OpenAI API.
 type usage struct {
 	PromptTokens        int          `json:"prompt_tokens"`
 	CompletionTokens    int          `json:"completion_tokens"`
@@ -60,7 +61,8 @@
 	Usage   *usage          `json:"usage,omitempty"`
 }
 
-// finishLength is the reason that the answer ended: engines use max_tokens whole.
+// finishLength is the finish_reason of every answer, since engines always
+// generate max_tokens tokens. It is a variable because chunkChoice points to it.
 var finishLength = "length"
 
 func (m meta) chunk(c chunkChoice, u *usage) chunk {
@@ -74,8 +76,8 @@
 	}
 }
 
-// tokenPrefix returns the JSON of a token's chunk up to the token's text, so
-// that a token costs no encoder run of its own.
+// tokenPrefix returns the JSON of a token's chunk up to the token's text. It is
+// built once per stream, so that no chunk of a token needs the JSON encoder.
 func (m meta) tokenPrefix() []byte {
 	b := []byte(`{"id":`)
 	b = appendJSONString(b, string(m.id))
@@ -86,5 +88,5 @@
 	return append(b, `,"choices":[{"index":0,"delta":{"content":`...)
 }
 
-// tokenSuffix closes what tokenPrefix opened.
+// tokenSuffix is the JSON of a token's chunk after the token's text.
 const tokenSuffix = `},"finish_reason":null}]}`
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -10,7 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/problem"
 )
 
-// RequestIDHeader carries the request's id on every answer about it.
+// RequestIDHeader is the header of responses that carries the request's id.
 const RequestIDHeader = "Cyclamenbeam-Request"
 
 // completions serves POST /v1/chat/completions.
@@ -39,7 +39,8 @@
 	g.sendWhole(w, r, "completion", m, answer)
 }
 
-// readSubmission reads and checks a completion request.
+// readSubmission reads and validates a completion request. It also reports
+// whether the caller asks for a stream.
 func (g *Gateway) readSubmission(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) (*Submission, bool, *problem.Problem) {
 	id, p := idempotencyKey(r, time.Now())
 	if p != nil {
--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -16,14 +16,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// defaultMaxTokens is used where a caller sets no max_tokens.
+// defaultMaxTokens applies if the caller sets no max_tokens.
 const defaultMaxTokens = 256
 
-// maxKeySkew bounds how far in the future a key's time may lie.
+// maxKeySkew is how far in the future the time of an Idempotency-Key may be.
 const maxKeySkew = 5 * time.Minute
 
-// completionBody is a completion request as callers of model APIs send it.
-// Fields that it does not name are sampling parameters that no endpoint here takes.
+// completionBody is a completion request in the format of the OpenAI API, with
+// adapter and version added. Other fields, such as sampling parameters, are
+// ignored, since no endpoint supports them.
 type completionBody struct {
 	Model               string              `json:"model"`
 	Adapter             string              `json:"adapter"`
@@ -34,8 +35,8 @@
 	Stream              bool                `json:"stream"`
 }
 
-// readBody reads a bounded body. Too long, too slow or broken is the caller's
-// fault and nothing has run.
+// readBody reads a body of at most Limits.MaxBodyBytes. A body that is too long,
+// too slow or incomplete is the caller's fault; the verdict is NotRun.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.opts.Limits.MaxBodyBytes))
 	var tooLong *http.MaxBytesError
@@ -51,7 +52,7 @@
 	}
 }
 
-// decodeCompletion checks a completion request.
+// decodeCompletion decodes and validates a completion request.
 func (g *Gateway) decodeCompletion(body []byte) (*completionBody, *problem.Problem) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -74,7 +75,8 @@
 	return &b, g.checkMaxTokens(&b)
 }
 
-// checkMaxTokens settles the two names that callers use for the bound.
+// checkMaxTokens takes the bound from max_tokens or else max_completion_tokens,
+// applies the default and checks the range.
 func (g *Gateway) checkMaxTokens(b *completionBody) *problem.Problem {
 	if b.MaxTokens == nil {
 		b.MaxTokens = b.MaxCompletionTokens
@@ -108,8 +110,8 @@
 	}
 }
 
-// jsonErrorText says what is wrong without repeating the caller's text, which
-// may be private.
+// jsonErrorText describes a decoding error without quoting the body, which may
+// hold private data.
 func jsonErrorText(err error) string {
 	var syntaxErr *json.SyntaxError
 	var typeErr *json.UnmarshalTypeError
@@ -123,8 +125,8 @@
 	}
 }
 
-// idempotencyKey returns the caller's key, empty where none was sent. A key is
-// a UUIDv7, whose time lets old keys be refused and the ledger stay bounded.
+// idempotencyKey returns the caller's key, empty if none was sent. A key must be
+// a UUIDv7: its timestamp allows old keys to be refused, which bounds the ledger.
 func idempotencyKey(r *http.Request, now time.Time) (fleet.RequestID, *problem.Problem) {
 	values := r.Header.Values("Idempotency-Key")
 	if len(values) == 0 {
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -12,8 +12,8 @@
 	MaxAgeSeconds int     `json:"maxAgeSeconds"`
 }
 
-// entries tells a caller which entry instances to use. A credential is not
-// needed to find the way in; with one, the answer is the workspace's own subset.
+// entries returns the entry instances that the caller should use. The token is
+// optional; with a valid one, the list is the workspace's own subset.
 func (g *Gateway) entries(w http.ResponseWriter, r *http.Request) {
 	workspace, _ := g.opts.Identities.Identify(bearer(r))
 	age := int(g.opts.EntriesAge.Seconds())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,7 +12,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Options are what a Gateway is made of. All are needed.
+// Options configure a Gateway. All fields are required.
 type Options struct {
 	Requests   Requests
 	Services   Services
@@ -22,18 +22,17 @@
 	Observer   Observer
 	Metrics    http.HandlerFunc
 	Limits     settings.Limits
-	EntriesAge time.Duration // how long callers keep the entries
+	EntriesAge time.Duration // how long callers may cache the list of entries
 	Log        *logrus.Entry
 }
 
 // Gateway serves the callers' API.
 type Gateway struct {
-	opts    Options
+	opts Options
 	mux  *http.ServeMux
-	open atomic.Int64 // calls being answered
+	open atomic.Int64 // HTTP requests being served
 }
 
-// New returns the callers' API over the given parts.
 func New(o Options) *Gateway {
 	g := &Gateway{opts: o, mux: http.NewServeMux()}
 	g.mux.HandleFunc("GET /healthz", g.health)
@@ -57,11 +56,12 @@
 	g.mux.ServeHTTP(w, r)
 }
 
-// Idle reports whether no call is being answered.
+// Idle reports whether no HTTP request is being served.
 func (g *Gateway) Idle() bool { return g.open.Load() == 0 }
 
-// recover keeps one request's panic from ending the connection without an
-// answer. The request may have been dispatched, so the verdict is the cautious one.
+// recover answers a request whose handler panicked, rather than letting the
+// server close the connection without a response. The request may have been
+// dispatched, so the verdict is MayHaveRun.
 func (g *Gateway) recover(w http.ResponseWriter, r *http.Request) {
 	v := recover()
 	if v == nil {
@@ -90,7 +90,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// fail answers with a problem and counts it.
+// fail writes a problem as the response and counts it.
 func (g *Gateway) fail(w http.ResponseWriter, operation string, p *problem.Problem) {
 	g.opts.Observer.Answered(operation, p.Status)
 	problem.Write(w, p)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// fakeAnswer gives its parts one after another.
+// fakeAnswer returns one of its parts with each Next.
 type fakeAnswer struct{ parts []Part }
 
 func (a *fakeAnswer) Next(context.Context, int) (Part, error) {
@@ -32,7 +32,7 @@
 func (a *fakeAnswer) Close()        {}
 func (a *fakeAnswer) Model() string { return "m" }
 
-// fakeBackend stands for everything behind the gateway.
+// fakeBackend implements all interfaces that a Gateway needs.
 type fakeBackend struct {
 	parts    []Part
 	notReady string
@@ -92,6 +92,8 @@
 
 const goodBody = `{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":3}`
 
+// An invalid request must get a 4xx status and the verdict not-run, and must not
+// reach the backend; with another verdict the caller could not safely send it again.
 func TestInvalidRequestsAreRejectedWithVerdictNotRun(t *testing.T) {
 	key := uuid.Must(uuid.NewV7()).String()
 	old := uuid.NewString() // version 4
@@ -101,7 +103,7 @@
 		header                   []string
 		status                   int
 	}{
-		{"no json", "POST", "/v1/chat/completions", "{", nil, 400},
+		{"not JSON", "POST", "/v1/chat/completions", "{", nil, 400},
 		{"not an object", "POST", "/v1/chat/completions", `[1]`, nil, 400},
 		{"wrong type", "POST", "/v1/chat/completions", `{"model":7}`, nil, 400},
 		{"no model", "POST", "/v1/chat/completions", `{"messages":[{"role":"user"}]}`, nil, 400},
@@ -112,13 +114,13 @@
 		{"too many messages", "POST", "/v1/chat/completions", `{"model":"m","messages":[{"role":"user"},{"role":"user"},{"role":"user"},{"role":"user"}]}`, nil, 400},
 		{"deep nesting", "POST", "/v1/chat/completions", `{"messages":` + strings.Repeat("[", 1500) + `}`, nil, 400},
 		{"too long", "POST", "/v1/chat/completions", strings.Repeat(" ", 5<<10), nil, 413},
-		{"key is no uuid", "POST", "/v1/chat/completions", goodBody, []string{"Idempotency-Key", "x"}, 400},
+		{"key is not a UUID", "POST", "/v1/chat/completions", goodBody, []string{"Idempotency-Key", "x"}, 400},
 		{"key is version 4", "POST", "/v1/chat/completions", goodBody, []string{"Idempotency-Key", old}, 400},
 		{"key from the future", "POST", "/v1/chat/completions", goodBody, []string{"Idempotency-Key", future}, 400},
 		{"two keys", "POST", "/v1/chat/completions", goodBody, []string{"Idempotency-Key", key, "Idempotency-Key", key}, 400},
-		{"order without a key", "POST", "/v1/services/parts/orders", `{}`, nil, 400},
-		{"request id is no uuid", "GET", "/v1/requests/x", "", nil, 400},
-		{"last event is no number", "GET", "/v1/requests/" + key + "/events", "", []string{"Last-Event-ID", "-1"}, 400},
+		{"non-idempotent call without a key", "POST", "/v1/services/parts/orders", `{}`, nil, 400},
+		{"request id is not a UUID", "GET", "/v1/requests/x", "", nil, 400},
+		{"last event id is not a count of tokens", "GET", "/v1/requests/" + key + "/events", "", []string{"Last-Event-ID", "-1"}, 400},
 		{"unknown path", "GET", "/v2/anything", "", nil, 404},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -150,6 +152,8 @@
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 }
 
+// A caller resumes a stream by the id of the last event that it received. An
+// event without an id, or an id that comes twice, would lose or repeat tokens.
 func TestEveryStreamEventHasAUniqueID(t *testing.T) {
 	f := &fakeBackend{parts: []Part{
 		{Tokens: []string{"a", "\"b\n"}},
@@ -175,8 +179,9 @@
 	assert.Equal(t, answer.String(), "a\"b\nc")
 }
 
-// The holder hands the request over while one caller streams and another
-// waits. Each must learn where it goes on: by an event, and by a redirect.
+// A daemon hands a request over to another one while a caller reads its answer.
+// A caller that streams must receive the new address in a moved event, one that
+// waits for the whole answer in a redirect; otherwise neither could go on.
 func TestMovedRequestRedirectsStreamingAndWaitingCallers(t *testing.T) {
 	f := &fakeBackend{parts: []Part{{Tokens: []string{"a"}}, {MovedTo: "127.0.0.1:7"}}}
 	w := call(newTestGateway(f), "POST", "/v1/chat/completions", `{"model":"m","messages":[{"role":"user"}],"stream":true}`)
--- a/internal/gateway/jsonstring.go
+++ b/internal/gateway/jsonstring.go
@@ -4,8 +4,8 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendJSONString appends s as a JSON string. Bytes that are not UTF-8 become
-// U+FFFD, as with encoding/json.
+// appendJSONString appends s as a JSON string. Bytes that are not valid UTF-8
+// become U+FFFD, as with encoding/json.
 func appendJSONString(b []byte, s string) []byte {
 	b = append(b, '"')
 	for _, r := range s {
--- a/internal/gateway/jsonstring_test.go
+++ b/internal/gateway/jsonstring_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A token that was encoded wrongly would end a caller's stream with a syntax
-// error in the middle of an answer.
+// A token encoded as invalid JSON would end a caller's stream with a syntax
+// error in the middle of an answer. The encoding must decode to the same text as
+// that of encoding/json.
 func FuzzAppendJSONString(f *testing.F) {
 	for _, s := range []string{"", " chain", "\"\\\n\t\x00", "é\u2028\u2029", "\xff\xc3", "🌾"} {
 		f.Add(s)
@@ -26,7 +27,7 @@
 	})
 }
 
-func BenchmarkAppendToken(b *testing.B) {
+func BenchmarkToken(b *testing.B) {
 	m := meta{id: "01a23812-59f2-7c0b-bbeb-341182c86a96", model: "harvester-diagnosis"}
 	s := &sseWriter{}
 	t := &tokenStream{sse: s, meta: m}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -11,7 +11,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/problem"
 )
 
-// getRequest serves GET /v1/requests/{id}: the whole answer, once it is whole.
+// getRequest serves GET /v1/requests/{id}: the whole answer, once it is complete.
 func (g *Gateway) getRequest(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
 	m, a, p := g.findAnswer(r, workspace)
 	if p != nil {
@@ -24,7 +24,7 @@
 }
 
 // requestEvents serves GET /v1/requests/{id}/events: the answer's events after
-// the one that the caller saw last.
+// the last one that the caller received, named by Last-Event-ID.
 func (g *Gateway) requestEvents(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
 	from, p := lastEventID(r)
 	if p != nil {
@@ -41,8 +41,8 @@
 	g.stream(w, r, "events", m, a, from)
 }
 
-// cancelRequest serves DELETE /v1/requests/{id}. Whoever reads the answer gets
-// its end; cancelling a finished request does nothing.
+// cancelRequest serves DELETE /v1/requests/{id}. For callers that are reading the
+// answer, it ends. Cancelling a finished request has no effect.
 func (g *Gateway) cancelRequest(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
 	id, err := uuid.Parse(r.PathValue("id"))
 	if err != nil {
@@ -72,7 +72,8 @@
 	return m, a, nil
 }
 
-// lastEventID returns how many tokens the caller has, 0 where it says nothing.
+// lastEventID returns the value of Last-Event-ID, which is the number of tokens
+// that the caller has received; 0 without the header.
 func lastEventID(r *http.Request) (int, *problem.Problem) {
 	v := r.Header.Get("Last-Event-ID")
 	if v == "" {
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -8,7 +8,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/problem"
 )
 
-// service serves ANY /v1/services/{service}/…: a call of a plain service.
+// service serves /v1/services/{service}/… with any method: a call of a plain
+// service.
 func (g *Gateway) service(w http.ResponseWriter, r *http.Request, workspace fleet.WorkspaceID) {
 	c, p := g.readServiceCall(w, r, workspace)
 	if p == nil {
--- a/internal/gateway/sse.go
+++ b/internal/gateway/sse.go
@@ -12,8 +12,8 @@
 type sseWriter struct {
 	w       http.ResponseWriter
 	rc      *http.ResponseController
-	timeout time.Duration // for one write
-	buf     []byte
+	timeout time.Duration // of one flush
+	buf     []byte        // events not yet flushed
 }
 
 func newSSEWriter(w http.ResponseWriter, timeout time.Duration) *sseWriter {
@@ -25,7 +25,8 @@
 	return &sseWriter{w: w, rc: http.NewResponseController(w), timeout: timeout}
 }
 
-// begin starts an event; an empty name is the default event.
+// begin appends the start of an event, up to its data. An empty name stands for
+// the default event type.
 func (s *sseWriter) begin(id int, name string) {
 	s.buf = append(s.buf, "id: "...)
 	s.buf = strconv.AppendInt(s.buf, int64(id), 10)
@@ -38,7 +39,7 @@
 
 func (s *sseWriter) end() { s.buf = append(s.buf, "\n\n"...) }
 
-// event appends an event with v as JSON.
+// event appends an event whose data is v as JSON.
 func (s *sseWriter) event(id int, name string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -50,9 +51,9 @@
 	return nil
 }
 
-// flush sends what was appended. A caller that takes nothing for the timeout
-// would hold its buffers for ever; the deadline ends its connection, and it can
-// resume by the last id that it saw.
+// flush sends the appended events. Without a write deadline, a caller that stops
+// reading would occupy its buffers indefinitely. The deadline closes the
+// connection; the caller can resume from the last event id that it received.
 func (s *sseWriter) flush() error {
 	err := s.rc.SetWriteDeadline(time.Now().Add(s.timeout))
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -7,22 +7,23 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/problem"
 )
 
-// Names of the events beside the default one, which carries a chunk.
+// Types of events other than the default one, whose data is a chunk.
 const (
-	eventAccepted = "accepted" // the first: from here on the request is answered
-	eventMoved    = "moved"    // another entry goes on; resume there
-	eventError    = "error"    // a problem; nothing follows
+	eventAccepted = "accepted" // the first event: the request was accepted
+	eventMoved    = "moved"    // another entry took the request over; resume there. The last event
+	eventError    = "error"    // a problem; the last event
 )
 
-// moved is the data of a moved event.
+// moved is the data of an eventMoved: the request's id and the new entry's host:port.
 type moved struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 }
 
 // stream sends an answer as server-sent events, from the token at offset from
-// on. The id of an event is how many tokens the caller has after it; the two
-// events after the last token count on, so that no id comes twice.
+// on. The id of a token's event is the number of tokens that the caller has
+// received with it. The two events after the last token continue the count, so
+// that their ids are unique.
 func (g *Gateway) stream(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer, from int) {
 	g.opts.Observer.Answered(operation, http.StatusOK)
 	out := &tokenStream{sse: newSSEWriter(w, g.opts.Limits.WriteTimeout), meta: m, observer: g.opts.Observer, offset: from, lastSent: m.start}
@@ -40,15 +41,15 @@
 	}
 }
 
-// tokenStream is the state of one streamed answer.
+// tokenStream is the state of one streamed HTTP response.
 type tokenStream struct {
 	sse      *sseWriter
 	meta     meta
 	observer Observer
-	prefix   []byte // of a token's chunk
-	offset       int    // tokens that the caller has
-	sent     int    // tokens sent on this stream
-	lastSent     time.Time
+	prefix   []byte    // see tokenPrefix; built with the first token
+	offset   int       // tokens of the answer that the caller has
+	sent     int       // tokens sent on this stream
+	lastSent time.Time // of the last tokens; the start of the response before the first
 }
 
 func (t *tokenStream) sendAccepted() error {
@@ -93,7 +94,8 @@
 	t.sse.end()
 }
 
-// observe records the latency of n tokens that arrived together.
+// observe records the latency of n tokens that arrived together: the time since
+// the tokens before them is divided evenly among the n.
 func (t *tokenStream) observe(n int) {
 	now := time.Now()
 	gap := now.Sub(t.lastSent)
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -10,7 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// completion is a whole answer in the form that callers of model APIs know.
+// completion is a whole answer in the format of the OpenAI API.
 type completion struct {
 	ID      fleet.RequestID    `json:"id"`
 	Object  string             `json:"object"`
@@ -20,22 +20,22 @@
 	Usage   *usage             `json:"usage"`
 }
 
-// completionChoice is the one choice of a whole answer.
+// completionChoice is the only element of a completion's choices.
 type completionChoice struct {
 	Index        int               `json:"index"`
 	Message      engineapi.Message `json:"message"`
 	FinishReason string            `json:"finish_reason"`
 }
 
-// sendWhole waits for the end of an answer and sends it in one piece. When the
-// request moves to another daemon the caller is sent after it.
+// sendWhole waits for the end of an answer and sends it as one JSON body. If the
+// request moves to another daemon, the caller is redirected there.
 func (g *Gateway) sendWhole(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer) {
 	var text strings.Builder
 	n := 0
 	for {
 		part, err := a.Next(r.Context(), n)
 		if err != nil {
-			return // the caller has gone; the request goes on and can be asked for
+			return // the caller disconnected; the request continues and GET /v1/requests/{id} returns its answer
 		}
 		for _, token := range part.Tokens {
 			text.WriteString(token)
@@ -55,7 +55,7 @@
 	}
 }
 
-// redirect sends a waiting caller to the daemon that goes on with its request.
+// redirect sends a waiting caller to the daemon that took its request over.
 func (g *Gateway) redirect(w http.ResponseWriter, r *http.Request, operation, address string, id fleet.RequestID) {
 	scheme := "http"
 	if r.TLS != nil {
