--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -61,16 +61,16 @@
 	return base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// fixedBytes is the most that an entry's keys, numbers and digest take in JSON.
-const fixedBytes = 220
+// maxFixedBytes is the most that an entry's keys, numbers and digest take in JSON.
+const maxFixedBytes = 220
 
-// encodedBytes returns no less than what the entry takes in JSON.
-func (e Entry) encodedBytes() int {
-	return fixedBytes + escapedBytes(e.Who) + escapedBytes(e.Why) + escapedBytes(e.Operation)
+// maxEncodedBytes returns no less than what the entry takes in JSON.
+func (e Entry) maxEncodedBytes() int {
+	return maxFixedBytes + maxEscapedBytes(e.Who) + maxEscapedBytes(e.Why) + maxEscapedBytes(e.Operation)
 }
 
-// escapedBytes returns no less than what a text takes in a JSON string.
-func escapedBytes(text string) int {
+// maxEscapedBytes returns no less than what a text takes in a JSON string.
+func maxEscapedBytes(text string) int {
 	size := 0
 	for i := range len(text) {
 		switch c := text[i]; {
@@ -85,9 +85,9 @@
 	return size
 }
 
-// link returns the chained hash of the entries up to e: the hash before it and
+// chainHash returns the chained hash of the entries up to e: the hash before it and
 // e's fields, each with its length, so that no two entries encode the same.
-func (e Entry) link(before Hash) Hash {
+func (e Entry) chainHash(before Hash) Hash {
 	buf := make([]byte, 0, 512)
 	buf = append(buf, before[:]...)
 	buf = binary.BigEndian.AppendUint64(buf, uint64(e.When))
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -31,22 +31,22 @@
 func (t Trail) Append(e Entry) Trail {
 	next := t
 	next.Entries = append(slices.Clone(t.Entries), e)
-	next.Head = e.link(t.Head)
+	next.Head = e.chainHash(t.Head)
 	size := 0
 	for _, kept := range next.Entries {
-		size += kept.encodedBytes()
+		size += kept.maxEncodedBytes()
 	}
 	for len(next.Entries) > MaxKept || size > MaxKeptBytes {
-		size -= next.Entries[0].encodedBytes()
-		next.Older = next.Older.absorb(next.Entries[0])
+		size -= next.Entries[0].maxEncodedBytes()
+		next.Older = next.Older.add(next.Entries[0])
 		next.Entries = next.Entries[1:]
 	}
 	return next
 }
 
-// absorb adds the entry that follows the summary's own.
-func (s Summary) absorb(e Entry) Summary {
-	return Summary{Count: s.Count + 1, Hash: e.link(s.Hash), Newest: e.When}
+// add adds the entry that follows the summary's own.
+func (s Summary) add(e Entry) Summary {
+	return Summary{Count: s.Count + 1, Hash: e.chainHash(s.Hash), Newest: e.When}
 }
 
 // Len returns how many changes the trail records, kept whole or not.
@@ -58,10 +58,10 @@
 	return slices.IndexFunc(t.Entries, func(e Entry) bool { return e.Operation == operation })
 }
 
-// Reaches reports whether a change that replaced version from would still be
+// Covers reports whether a change that replaced version from would still be
 // among Entries: the oldest kept replaced an earlier version or the same, or
 // nothing was ever left out.
-func (t Trail) Reaches(from uint64) bool {
+func (t Trail) Covers(from uint64) bool {
 	if t.Older.Count == 0 {
 		return true
 	}
@@ -86,7 +86,7 @@
 		if i > 0 && e.From <= t.Entries[i-1].From {
 			return Error.New("entry %d replaces version %d, not after %d", i, e.From, t.Entries[i-1].From)
 		}
-		hash = e.link(hash)
+		hash = e.chainHash(hash)
 	}
 	if hash != t.Head {
 		return Error.New("chained hash is %s, the trail's head says %s", hash, t.Head)
@@ -106,7 +106,7 @@
 	}
 	hash := t.Older.Hash
 	for _, e := range t.Entries[:earlier.Len()-t.Older.Count] {
-		hash = e.link(hash)
+		hash = e.chainHash(hash)
 	}
 	if hash != earlier.Head {
 		return Error.New("history was rewritten at or before entry %d", earlier.Len())
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func trail(n int) Trail {
+func testTrail(n int) Trail {
 	var out Trail
 	for i := range n {
 		out = out.Append(Entry{
@@ -25,15 +25,15 @@
 	return out
 }
 
-func TestTrailKeepsItsChainBeyondItsBound(t *testing.T) {
-	long := trail(MaxKept + 50)
+func TestFullTrailSummarizesOldEntriesAndStillVerifies(t *testing.T) {
+	long := testTrail(MaxKept + 50)
 	assert.NilError(t, long.Verify())
 	assert.Equal(t, len(long.Entries), MaxKept)
 	assert.Equal(t, long.Older.Count, uint64(50))
 	assert.Equal(t, long.Older.Newest, int64(1049))
 	assert.Equal(t, long.Len(), uint64(MaxKept+50))
-	assert.NilError(t, long.Continues(trail(60)))
-	assert.ErrorContains(t, long.Continues(trail(20)), "no longer kept")
+	assert.NilError(t, long.Continues(testTrail(60)))
+	assert.ErrorContains(t, long.Continues(testTrail(20)), "no longer kept")
 	encoded, err := json.Marshal(long)
 	assert.NilError(t, err)
 	var decoded Trail
@@ -43,7 +43,7 @@
 }
 
 // Somebody edits the stored object by hand, or a fault of ours drops an entry.
-func TestChangedTrailsAreFound(t *testing.T) {
+func TestVerifyAndContinuesDetectChangedTrails(t *testing.T) {
 	edits := map[string]func(*Trail){
 		"why":     func(l *Trail) { l.Entries[3].Why = "other" },
 		"who":     func(l *Trail) { l.Entries[3].Who += "b"; l.Entries[3].Why = l.Entries[3].Why[1:] },
@@ -53,30 +53,30 @@
 		"older":   func(l *Trail) { l.Older.Hash[0]++ },
 	}
 	for name, edit := range edits {
-		changed := trail(10)
+		changed := testTrail(10)
 		edit(&changed)
 		assert.Assert(t, changed.Verify() != nil, name)
 	}
-	rewritten := trail(3).Append(Entry{Who: "eve", From: 30, Operation: "x"})
+	rewritten := testTrail(3).Append(Entry{Who: "eve", From: 30, Operation: "x"})
 	assert.NilError(t, rewritten.Verify())
-	assert.ErrorContains(t, rewritten.Continues(trail(4)), "rewritten")
-	assert.ErrorContains(t, trail(3).Continues(trail(4)), "3 entries where there were 4")
+	assert.ErrorContains(t, rewritten.Continues(testTrail(4)), "rewritten")
+	assert.ErrorContains(t, testTrail(3).Continues(testTrail(4)), "3 entries where there were 4")
 }
 
-func TestFindAndVersions(t *testing.T) {
-	long := trail(MaxKept + 5)
+func TestFindVersionAfterAndCovers(t *testing.T) {
+	long := testTrail(MaxKept + 5)
 	i := long.Find("operation-7")
 	assert.Equal(t, long.Entries[i].From, uint64(70))
 	assert.Equal(t, long.VersionAfter(i, 9999), uint64(80))
 	assert.Equal(t, long.VersionAfter(MaxKept-1, 9999), uint64(9999))
 	assert.Equal(t, long.Find("operation-4"), -1)
-	assert.Assert(t, long.Reaches(50) && !long.Reaches(49))
-	assert.Assert(t, trail(5).Reaches(0))
+	assert.Assert(t, long.Covers(50) && !long.Covers(49))
+	assert.Assert(t, testTrail(5).Covers(0))
 }
 
 // An operator gives the longest reasons, of characters that JSON escapes. The
 // trail must not fill the object, or nobody could change it any more.
-func TestLongReasonsDontFillTheObject(t *testing.T) {
+func TestLongReasonsDontExceedMaxKeptBytes(t *testing.T) {
 	var long Trail
 	for i := range MaxKept {
 		e := Entry{Who: strings.Repeat("<", MaxWhoBytes), Why: strings.Repeat("\x01", MaxWhyBytes), From: uint64(i), Operation: "o"}
@@ -89,7 +89,7 @@
 	assert.NilError(t, long.Verify())
 }
 
-func TestEntriesOutOfBoundsAreRefused(t *testing.T) {
+func TestCheckRejectsFieldsOutOfBounds(t *testing.T) {
 	good := Entry{Who: "ana", Operation: "o"}
 	assert.NilError(t, good.Check())
 	for _, change := range []func(*Entry){
@@ -105,7 +105,7 @@
 }
 
 func BenchmarkAppendToFullTrail(b *testing.B) {
-	long, entry := trail(MaxKept), trail(1).Entries[0]
+	long, entry := testTrail(MaxKept), testTrail(1).Entries[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		long.Append(entry)
--- a/internal/template/change.go
+++ b/internal/template/change.go
@@ -87,7 +87,7 @@
 		return Result{Outcome: Proceed, Write: sent, Current: readBack.Version}
 	case readBack.Version < sent.IfVersion:
 		return c.unknown(readBack, "the store answered with an older version than before")
-	case !readBack.Audit.Reaches(sent.IfVersion):
+	case !readBack.Audit.Covers(sent.IfVersion):
 		return c.unknown(readBack, "the trail no longer reaches back to the version that was to be replaced")
 	default:
 		return c.conflict(readBack)
