--- a/integration/control_operators_test.go
+++ b/integration/control_operators_test.go
@@ -130,7 +130,7 @@
 		for _, e := range entries {
 			see("entry "+string(e.Instance), e.Templates)
 		}
-		spread, err := client.Spread(context.Background(), closing)
+		spread, err := client.TemplateStatus(context.Background(), closing)
 		assert.Check(t, err)
 		see("the template", spread.Version)
 		for _, d := range spread.Daemons {
--- a/integration/control_spread_test.go
+++ b/integration/control_spread_test.go
@@ -41,7 +41,7 @@
 	waitForDuty(t, "the change to be everywhere without the store", func() bool { return inForceAt(c.entries, second) })
 
 	waitForDuty(t, "the status to say so", func() bool {
-		s, err := c.developer(0).Spread(t.Context(), closing)
+		s, err := c.developer(0).TemplateStatus(t.Context(), closing)
 		assert.NilError(t, err)
 		return s.InForce && s.Version == second
 	})
--- a/internal/cli/template.go
+++ b/internal/cli/template.go
@@ -91,7 +91,7 @@
 	}
 	deadline := time.Now().Add(timeout)
 	for {
-		s, err := c.Spread(cmd.Context(), name)
+		s, err := c.TemplateStatus(cmd.Context(), name)
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -173,20 +173,20 @@
 	return operator.ChangeResult{Outcome: template.Refused, Reason: err.Error()}
 }
 
-// Spread implements operator.Backend.
-func (o *operators) Spread(ctx context.Context, name string) (operator.Spread, error) {
+// TemplateStatus implements operator.Backend.
+func (o *operators) TemplateStatus(ctx context.Context, name string) (operator.TemplateStatus, error) {
 	version, err := o.newest(ctx, name)
 	if err != nil {
-		return operator.Spread{}, err
+		return operator.TemplateStatus{}, err
 	}
 	peers := o.daemon.roster.view.Load().all
 	views := make([]template.View, 0, len(peers))
 	for _, p := range peers {
 		views = append(views, template.View{Daemon: p.Daemon, Digest: o.digest(p), Reachable: p.Alive})
 	}
-	out := operator.Spread{Name: name, Version: version, InForce: true}
+	out := operator.TemplateStatus{Name: name, Version: version, InForce: true}
 	for i, s := range o.daemon.configuration.status(name, version, views) {
-		out.Daemons = append(out.Daemons, operator.DaemonSpread{Instance: peers[i].Instance, State: s.State, Newest: s.Newest})
+		out.Daemons = append(out.Daemons, operator.DaemonStatus{Instance: peers[i].Instance, State: s.State, Newest: s.Newest})
 		if s.State == template.SpreadBehind || s.State == template.SpreadUnproven {
 			out.InForce = false
 		}
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -14,7 +14,7 @@
 // Paths of the API. {name} is a template's, {id} an endpoint's.
 const (
 	TemplatesPath  = "/v1/templates"  // GET: []TemplateInfo
-	TemplatePath   = "/v1/templates/" // {name} GET: TemplateView; PUT Apply: ChangeResult; DELETE Apply: ChangeResult; {name}/history GET: []AuditEntry; {name}/status GET: Spread
+	TemplatePath   = "/v1/templates/" // {name} GET: TemplateView; PUT Apply: ChangeResult; DELETE Apply: ChangeResult; {name}/history GET: []AuditEntry; {name}/status GET: TemplateStatus
 	WorkspacesPath = "/v1/workspaces" // GET: []WorkspaceStatus
 	EndpointsPath  = "/v1/endpoints"  // GET: []EndpointStatus
 	EndpointPath   = "/v1/endpoints/" // {id}/drain POST Drain: ChangeResult
@@ -58,19 +58,19 @@
 	Reason     string             `json:"reason,omitempty"`
 }
 
-// DaemonSpread says how far a version has come at one daemon.
-type DaemonSpread struct {
+// DaemonStatus says how far a version has come at one daemon.
+type DaemonStatus struct {
 	Instance fleet.InstanceID   `json:"instance"`
 	State    template.Spreading `json:"state"`
 	Newest   uint64             `json:"newest"`
 }
 
-// Spread says how far the stored version of a template has come.
-type Spread struct {
+// TemplateStatus says how far the stored version of a template has come.
+type TemplateStatus struct {
 	Name    string         `json:"name"`
 	Version uint64         `json:"version"`
 	InForce bool           `json:"inForce"` // at every daemon that can be reached
-	Daemons []DaemonSpread `json:"daemons"`
+	Daemons []DaemonStatus `json:"daemons"`
 }
 
 // AuditEntry is an entry of an object's trail.
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,8 +18,8 @@
 // clientTimeout bounds a call. A change reads an ambiguous write back first.
 const clientTimeout = 30 * time.Second
 
-// maxAnswerBytes bounds an answer that the client reads.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds an answer that the client reads.
+const maxResponseBytes = 64 << 20
 
 // Client calls a daemon's operators' API.
 type Client struct {
@@ -50,9 +50,9 @@
 	return get[[]AuditEntry](ctx, c, TemplatePath+url.PathEscape(name)+"/history")
 }
 
-// Spread says how far a template's stored version has come.
-func (c *Client) Spread(ctx context.Context, name string) (Spread, error) {
-	return get[Spread](ctx, c, TemplatePath+url.PathEscape(name)+"/status")
+// TemplateStatus says how far a template's stored version has come.
+func (c *Client) TemplateStatus(ctx context.Context, name string) (TemplateStatus, error) {
+	return get[TemplateStatus](ctx, c, TemplatePath+url.PathEscape(name)+"/status")
 }
 
 // Workspaces lists the workspaces with the state that each has reached.
@@ -98,7 +98,7 @@
 		return ChangeResult{Outcome: template.Unknown, Reason: err.Error()}, nil
 	}
 	if status == http.StatusUnauthorized || status == http.StatusBadRequest || status == http.StatusNotFound {
-		return ChangeResult{}, problemIn(status, body)
+		return ChangeResult{}, problemError(status, body)
 	}
 	var r ChangeResult
 	if json.Unmarshal(body, &r) != nil || r.Outcome == "" {
@@ -114,7 +114,7 @@
 		return v, Error.Wrap(err)
 	}
 	if status != http.StatusOK {
-		return v, problemIn(status, body)
+		return v, problemError(status, body)
 	}
 	return v, Error.Wrap(json.Unmarshal(body, &v))
 }
@@ -128,12 +128,12 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, body, errors.Join(err, resp.Body.Close())
 }
 
-// problemIn reads a problem from an answer.
-func problemIn(status int, body []byte) error {
+// problemError reads a problem from an answer.
+func problemError(status int, body []byte) error {
 	var p problem.Problem
 	if json.Unmarshal(body, &p) != nil || p.Detail == "" {
 		return Error.New("%d %s", status, http.StatusText(status))
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -15,8 +15,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// maxApplyBytes bounds a change's body.
-const maxApplyBytes = 2 * template.MaxTextBytes
+// maxChangeBytes bounds a change's body.
+const maxChangeBytes = 2 * template.MaxTextBytes
 
 // Backend carries out the operators' calls.
 type Backend interface {
@@ -24,7 +24,7 @@
 	Template(ctx context.Context, name string) (TemplateView, error)
 	Change(ctx context.Context, c template.Change) ChangeResult
 	History(ctx context.Context, name string) ([]AuditEntry, error)
-	Spread(ctx context.Context, name string) (Spread, error)
+	TemplateStatus(ctx context.Context, name string) (TemplateStatus, error)
 	Workspaces() []WorkspaceStatus
 	Endpoints() []EndpointStatus
 	Drain(ctx context.Context, id, who string, d Drain) ChangeResult
@@ -56,27 +56,31 @@
 	}
 	s.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	s.mux.HandleFunc("GET /metrics", metrics)
-	s.mux.HandleFunc("GET "+TemplatesPath, s.known(s.templates))
-	s.mux.HandleFunc("GET "+TemplatePath+"{name}", s.known(s.template))
-	s.mux.HandleFunc("PUT "+TemplatePath+"{name}", s.known(s.apply))
-	s.mux.HandleFunc("DELETE "+TemplatePath+"{name}", s.known(s.remove))
-	s.mux.HandleFunc("GET "+TemplatePath+"{name}/history", s.known(s.history))
-	s.mux.HandleFunc("GET "+TemplatePath+"{name}/status", s.known(s.status))
-	s.mux.HandleFunc("GET "+WorkspacesPath, s.known(func(w http.ResponseWriter, _ *http.Request, _ string) {
-		reply(w, http.StatusOK, s.backend.Workspaces())
+	s.mux.HandleFunc("GET "+TemplatesPath, s.authenticated(s.templates))
+	s.mux.HandleFunc("GET "+TemplatePath+"{name}", s.authenticated(s.template))
+	s.mux.HandleFunc("PUT "+TemplatePath+"{name}", s.authenticated(s.apply))
+	s.mux.HandleFunc("DELETE "+TemplatePath+"{name}", s.authenticated(s.remove))
+	s.mux.HandleFunc("GET "+TemplatePath+"{name}/history", s.authenticated(s.history))
+	s.mux.HandleFunc("GET "+TemplatePath+"{name}/status", s.authenticated(s.templateStatus))
+	s.mux.HandleFunc("GET "+WorkspacesPath, s.authenticated(func(w http.ResponseWriter, _ *http.Request, _ string) {
+		writeJSON(w, http.StatusOK, s.backend.Workspaces())
 	}))
-	s.mux.HandleFunc("GET "+EndpointsPath, s.known(func(w http.ResponseWriter, _ *http.Request, _ string) { reply(w, http.StatusOK, s.backend.Endpoints()) }))
-	s.mux.HandleFunc("POST "+EndpointPath+"{id}/drain", s.known(s.drain))
-	s.mux.HandleFunc("GET "+EntriesPath, s.known(func(w http.ResponseWriter, _ *http.Request, _ string) { reply(w, http.StatusOK, s.backend.Entries()) }))
-	s.mux.HandleFunc("GET "+AuditPath, s.known(s.audit))
+	s.mux.HandleFunc("GET "+EndpointsPath, s.authenticated(func(w http.ResponseWriter, _ *http.Request, _ string) {
+		writeJSON(w, http.StatusOK, s.backend.Endpoints())
+	}))
+	s.mux.HandleFunc("POST "+EndpointPath+"{id}/drain", s.authenticated(s.drain))
+	s.mux.HandleFunc("GET "+EntriesPath, s.authenticated(func(w http.ResponseWriter, _ *http.Request, _ string) {
+		writeJSON(w, http.StatusOK, s.backend.Entries())
+	}))
+	s.mux.HandleFunc("GET "+AuditPath, s.authenticated(s.audit))
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// known admits operators. The audit trail's "who" comes from here alone.
-func (s *Server) known(next func(w http.ResponseWriter, r *http.Request, who string)) http.HandlerFunc {
+// authenticated admits operators. The audit trail's "who" comes from here alone.
+func (s *Server) authenticated(next func(w http.ResponseWriter, r *http.Request, who string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 		who, ok := s.identify(token)
@@ -106,37 +110,37 @@
 
 func (s *Server) templates(w http.ResponseWriter, r *http.Request, _ string) {
 	list, err := s.backend.Templates(r.Context())
-	answer(w, list, err)
+	writeResult(w, list, err)
 }
 
 func (s *Server) template(w http.ResponseWriter, r *http.Request, _ string) {
 	v, err := s.backend.Template(r.Context(), r.PathValue("name"))
-	answer(w, v, err)
+	writeResult(w, v, err)
 }
 
 func (s *Server) history(w http.ResponseWriter, r *http.Request, _ string) {
 	list, err := s.backend.History(r.Context(), r.PathValue("name"))
-	answer(w, list, err)
+	writeResult(w, list, err)
 }
 
-func (s *Server) status(w http.ResponseWriter, r *http.Request, _ string) {
-	v, err := s.backend.Spread(r.Context(), r.PathValue("name"))
-	answer(w, v, err)
+func (s *Server) templateStatus(w http.ResponseWriter, r *http.Request, _ string) {
+	v, err := s.backend.TemplateStatus(r.Context(), r.PathValue("name"))
+	writeResult(w, v, err)
 }
 
 func (s *Server) audit(w http.ResponseWriter, r *http.Request, _ string) {
 	list, err := s.backend.Audit(r.Context())
-	answer(w, list, err)
+	writeResult(w, list, err)
 }
 
 func (s *Server) apply(w http.ResponseWriter, r *http.Request, who string) {
 	var a Apply
-	if !read(w, r, &a) {
+	if !readJSON(w, r, &a) {
 		return
 	}
 	t, problems := template.Parse(a.Template)
 	if len(problems) > 0 {
-		reply(w, http.StatusUnprocessableEntity, ChangeResult{Outcome: template.Refused, Problems: problems, Reason: "the template is faulty"})
+		writeJSON(w, http.StatusUnprocessableEntity, ChangeResult{Outcome: template.Refused, Problems: problems, Reason: "the template is faulty"})
 		return
 	}
 	s.change(w, r, who, a, t)
@@ -144,7 +148,7 @@
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request, who string) {
 	var a Apply
-	if read(w, r, &a) {
+	if readJSON(w, r, &a) {
 		s.change(w, r, who, a, nil)
 	}
 }
@@ -158,16 +162,16 @@
 		Why:       a.Why,
 		Operation: a.Operation,
 	})
-	reply(w, statusOf(result), result)
+	writeJSON(w, statusOf(result), result)
 }
 
 func (s *Server) drain(w http.ResponseWriter, r *http.Request, who string) {
 	var d Drain
-	if !read(w, r, &d) {
+	if !readJSON(w, r, &d) {
 		return
 	}
 	result := s.backend.Drain(r.Context(), r.PathValue("id"), who, d)
-	reply(w, statusOf(result), result)
+	writeJSON(w, statusOf(result), result)
 }
 
 // statusOf maps an outcome to a status. Unknown is 504: the change may stand.
@@ -186,8 +190,8 @@
 	}
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxApplyBytes))
+func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		problem.Write(w, problem.New(http.StatusBadRequest, verdict.NotRun, "the body can't be read: %s", err))
@@ -196,11 +200,11 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+func writeResult(w http.ResponseWriter, v any, err error) {
 	var p *problem.Problem
 	switch {
 	case err == nil:
-		reply(w, http.StatusOK, v)
+		writeJSON(w, http.StatusOK, v)
 	case asProblem(err, &p):
 		problem.Write(w, p)
 	default:
@@ -208,7 +212,7 @@
 	}
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
