--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -8,39 +8,40 @@
 	"unicode/utf8"
 )
 
-// Action says what a change did to the object.
+// Action is what a change did to the object.
 type Action string
 
-// The actions.
 const (
-	Created Action = "created" // also when it goes on from a tombstone
+	Created Action = "created" // also over the tombstone of a deleted object
 	Amended Action = "amended"
 	Deleted Action = "deleted"
 )
 
-// Bounds of an entry's texts, in bytes.
+// Limits of the lengths of an entry's texts, in bytes.
 const (
 	MaxWhoBytes       = 64
 	MaxWhyBytes       = 512
 	MaxOperationBytes = 64
 )
 
-// Entry records one change. A write can't hold the version that it will get;
-// it holds the one it replaced, and the next entry's From tells what it got.
+// Entry records one change. The store assigns the new version when it accepts
+// the write, so an entry can't contain it. It contains the version that the
+// change replaced; the version that it made is the next entry's From.
 type Entry struct {
-	Who       string `json:"who"`  // the operator, from a verified credential
+	Who       string `json:"who"`  // the operator's name, from a verified credential
 	When      int64  `json:"when"` // Unix milliseconds, by the clock of the daemon that wrote it
 	Action    Action `json:"action,omitempty"`
-	From      uint64 `json:"from"` // version that the change replaced, 0 where there was none
+	From      uint64 `json:"from"` // version that the change replaced, 0 if there was none
 	Why       string `json:"why,omitempty"`
-	Digest    string `json:"digest"`    // of the new state, see Digest
-	Operation string `json:"operation"` // unique to one attempt to change
+	Digest    string `json:"digest"`    // of the object's new state, see Digest
+	Operation string `json:"operation"` // id of the change, the same for its repetitions
 }
 
-// Time returns When.
+// Time returns When as a time.Time.
 func (e Entry) Time() time.Time { return time.UnixMilli(e.When) }
 
-// Check returns an error that names the first field out of its bounds.
+// Check returns an error if Who, Why or Operation is not UTF-8 or its length is
+// out of bounds.
 func (e Entry) Check() error {
 	switch {
 	case e.Who == "" || len(e.Who) > MaxWhoBytes:
@@ -61,15 +62,17 @@
 	return base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// maxFixedBytes is the most that an entry's keys, numbers and digest take in JSON.
+// maxFixedBytes is an upper bound of the size of an entry's keys, numbers, action
+// and digest in JSON.
 const maxFixedBytes = 220
 
-// maxEncodedBytes returns no less than what the entry takes in JSON.
+// maxEncodedBytes returns an upper bound of the entry's size in JSON.
 func (e Entry) maxEncodedBytes() int {
 	return maxFixedBytes + maxEscapedBytes(e.Who) + maxEscapedBytes(e.Why) + maxEscapedBytes(e.Operation)
 }
 
-// maxEscapedBytes returns no less than what a text takes in a JSON string.
+// maxEscapedBytes returns an upper bound of the size of a text in a JSON string,
+// without the quotes.
 func maxEscapedBytes(text string) int {
 	size := 0
 	for i := range len(text) {
@@ -85,8 +88,9 @@
 	return size
 }
 
-// chainHash returns the chained hash of the entries up to e: the hash before it and
-// e's fields, each with its length, so that no two entries encode the same.
+// chainHash returns the chained hash of the entries up to e: the SHA-256 of the
+// hash before e and e's fields. Each text has its length in front, so that no two
+// entries have the same encoding.
 func (e Entry) chainHash(before Hash) Hash {
 	buf := make([]byte, 0, 512)
 	buf = append(buf, before[:]...)
--- a/internal/audit/hash.go
+++ b/internal/audit/hash.go
@@ -2,17 +2,17 @@
 
 import "encoding/base64"
 
-// Hash is a SHA-256 over a chain of entries. The zero Hash stands before the
-// first entry.
+// Hash is the SHA-256 of a chain of entries, see Trail.Head. The hash before the
+// first entry is the zero Hash.
 type Hash [32]byte
 
 // String returns the hash in unpadded URL base64.
 func (h Hash) String() string { return base64.RawURLEncoding.EncodeToString(h[:]) }
 
-// MarshalText returns String.
+// MarshalText returns the text of String.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText accepts what String returns.
+// UnmarshalText parses the text of String.
 func (h *Hash) UnmarshalText(text []byte) error {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(string(text))
 	if err != nil {
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -2,32 +2,34 @@
 
 import "slices"
 
-// MaxKept bounds the entries kept whole. 200 are a week of one template that
-// is amended 28 times a day; they take 40 to 50 KB with ordinary texts.
+// MaxKept is the maximum number of entries that a trail keeps in full. 200 cover
+// a week of a template that is amended 28 times a day, and take 40 to 50 KB with
+// texts of usual length.
 const MaxKept = 200
 
-// MaxKeptBytes bounds the encoding of the entries kept whole. Without it, 200
-// long reasons full of characters that JSON escapes take 600 KB, and an object
-// near the store's limit could never be changed again.
+// MaxKeptBytes is the maximum size in JSON of the entries that a trail keeps in
+// full. Without it, 200 of the longest reasons, made of characters that JSON
+// escapes, would take 600 KB, and an object near the store's size limit could
+// never be changed again.
 const MaxKeptBytes = 192 << 10
 
-// Summary stands for the entries that a trail no longer keeps whole.
+// Summary replaces the oldest entries, which a trail no longer keeps in full.
 type Summary struct {
 	Count  uint64 `json:"count"`
-	Hash   Hash   `json:"hash"`             // chained over all of them
-	Newest int64  `json:"newest,omitempty"` // When of the last of them
+	Hash   Hash   `json:"hash"`             // chained hash of all of them
+	Newest int64  `json:"newest,omitempty"` // When of the newest of them, Unix milliseconds
 }
 
-// Trail is the history of one object, oldest first. A trail is a value: Append
-// returns a new one and leaves the old as it is.
+// Trail is the history of one object, oldest entry first. Append leaves a Trail
+// unchanged and returns a new one.
 type Trail struct {
 	Older   Summary `json:"older"`
 	Entries []Entry `json:"entries"`
-	Head    Hash    `json:"head"` // chained over Older and Entries
+	Head    Hash    `json:"head"` // chained hash of all entries, summarized or not
 }
 
-// Append returns the trail with e at its end. Beyond MaxKept and MaxKeptBytes,
-// the oldest entries move into the summary.
+// Append returns the trail with e at its end. Beyond MaxKept entries or
+// MaxKeptBytes, the oldest entries move into the summary.
 func (t Trail) Append(e Entry) Trail {
 	next := t
 	next.Entries = append(slices.Clone(t.Entries), e)
@@ -44,23 +46,23 @@
 	return next
 }
 
-// add adds the entry that follows the summary's own.
+// add returns the summary with e, the entry that follows its newest one.
 func (s Summary) add(e Entry) Summary {
 	return Summary{Count: s.Count + 1, Hash: e.chainHash(s.Hash), Newest: e.When}
 }
 
-// Len returns how many changes the trail records, kept whole or not.
+// Len returns the number of changes that the trail records, summarized or not.
 func (t Trail) Len() uint64 { return t.Older.Count + uint64(len(t.Entries)) }
 
-// Find returns the index in Entries of the change with an operation id, -1
-// where no kept entry has it.
+// Find returns the index in Entries of the change with this Operation, -1 if
+// there is none.
 func (t Trail) Find(operation string) int {
 	return slices.IndexFunc(t.Entries, func(e Entry) bool { return e.Operation == operation })
 }
 
 // Covers reports whether a change that replaced version from would still be
-// among Entries: the oldest kept replaced an earlier version or the same, or
-// nothing was ever left out.
+// among Entries: either no entry was summarized, or the oldest of Entries
+// replaced version from or an earlier one.
 func (t Trail) Covers(from uint64) bool {
 	if t.Older.Count == 0 {
 		return true
@@ -68,8 +70,8 @@
 	return len(t.Entries) > 0 && t.Entries[0].From <= from
 }
 
-// VersionAfter returns the version that Entries[i] produced. current is the
-// version of the object that holds the trail.
+// VersionAfter returns the version that the change of Entries[i] made. current is
+// the version of the object that contains the trail.
 func (t Trail) VersionAfter(i int, current uint64) uint64 {
 	if i+1 < len(t.Entries) {
 		return t.Entries[i+1].From
@@ -77,9 +79,10 @@
 	return current
 }
 
-// Verify checks the chain and the order of versions. It shows damage and
-// entries that were lost or changed without their successors; who can write
-// the object can write a whole new trail, which only a remembered Head shows.
+// Verify checks the hash chain and the order of versions. It detects damage, and
+// entries that were removed or changed without a new hash. Whoever can write the
+// object can also write a new trail with valid hashes; only Continues, with an
+// earlier copy of the trail, detects that.
 func (t Trail) Verify() error {
 	hash := t.Older.Hash
 	for i, e := range t.Entries {
@@ -94,9 +97,10 @@
 	return nil
 }
 
-// Continues checks that t holds everything that an earlier trail of the same
-// object held: t goes on from earlier's head. Only kept entries can be
-// compared; an error says when earlier is too old for that.
+// Continues checks that t contains all entries of an earlier trail of the same
+// object: the chained hash of t's first entries, as many as earlier has, must be
+// earlier's Head. If some of t's summarized entries are newer than earlier, that
+// hash can't be computed and Continues returns an error.
 func (t Trail) Continues(earlier Trail) error {
 	if t.Len() < earlier.Len() {
 		return Error.New("%d entries where there were %d", t.Len(), earlier.Len())
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// testTrail returns a trail of n appended entries; entry i replaced version 10*i.
 func testTrail(n int) Trail {
 	var out Trail
 	for i := range n {
@@ -42,7 +43,9 @@
 	assert.DeepEqual(t, decoded, long)
 }
 
-// Somebody edits the stored object by hand, or a fault of ours drops an entry.
+// Someone edits the stored object by hand, or a fault in the software drops an
+// entry. Verify must detect an edited trail, Continues a trail that was rewritten
+// with valid hashes or is shorter than before.
 func TestVerifyAndContinuesDetectChangedTrails(t *testing.T) {
 	edits := map[string]func(*Trail){
 		"why":     func(l *Trail) { l.Entries[3].Why = "other" },
@@ -74,8 +77,9 @@
 	assert.Assert(t, testTrail(5).Covers(0))
 }
 
-// An operator gives the longest reasons, of characters that JSON escapes. The
-// trail must not fill the object, or nobody could change it any more.
+// Operators may give the longest possible reasons, of characters that JSON
+// escapes. If the trail then grew to the store's size limit, the object could
+// never be changed again.
 func TestLongReasonsDontExceedMaxKeptBytes(t *testing.T) {
 	var long Trail
 	for i := range MaxKept {
