--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -15,19 +15,21 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/template"
 )
 
-// clientTimeout bounds a call. A change reads an ambiguous write back first.
+// clientTimeout bounds a call. It leaves time for the daemon to read the object
+// back after a write whose outcome is ambiguous, before it answers a change.
 const clientTimeout = 30 * time.Second
 
-// maxResponseBytes bounds an answer that the client reads.
+// maxResponseBytes bounds the body of a response that the client reads.
 const maxResponseBytes = 64 << 20
 
-// Client calls a daemon's operators' API.
+// Client calls the operators' API of a daemon.
 type Client struct {
 	base *sling.Sling
 	http *http.Client
 }
 
-// NewClient returns a client of the API at a base URL, with an operator's token.
+// NewClient returns a client of the API at baseURL that authenticates with an
+// operator's token.
 func NewClient(baseURL, token string, transport http.RoundTripper) *Client {
 	return &Client{
 		base: sling.New().Base(baseURL).Set("Authorization", "Bearer "+token),
@@ -45,17 +47,17 @@
 	return get[TemplateView](ctx, c, TemplatePath+url.PathEscape(name))
 }
 
-// History returns a template's audit trail.
+// History returns a template's audit trail, oldest entry first.
 func (c *Client) History(ctx context.Context, name string) ([]AuditEntry, error) {
 	return get[[]AuditEntry](ctx, c, TemplatePath+url.PathEscape(name)+"/history")
 }
 
-// TemplateStatus says how far a template's stored version has come.
+// TemplateStatus reports which daemons have a template's stored version in force.
 func (c *Client) TemplateStatus(ctx context.Context, name string) (TemplateStatus, error) {
 	return get[TemplateStatus](ctx, c, TemplatePath+url.PathEscape(name)+"/status")
 }
 
-// Workspaces lists the workspaces with the state that each has reached.
+// Workspaces lists the workspaces with their states.
 func (c *Client) Workspaces(ctx context.Context) ([]WorkspaceStatus, error) {
 	return get[[]WorkspaceStatus](ctx, c, WorkspacesPath)
 }
@@ -85,13 +87,13 @@
 	return c.change(ctx, c.base.New().Delete(TemplatePath+url.PathEscape(name)).BodyJSON(a))
 }
 
-// Drain stops an endpoint from getting new work, or lets it have work again.
+// Drain starts or ends the draining of an endpoint.
 func (c *Client) Drain(ctx context.Context, id string, d Drain) (ChangeResult, error) {
 	return c.change(ctx, c.base.New().Post(EndpointPath+url.PathEscape(id)+"/drain").BodyJSON(d))
 }
 
-// change sends a change. An answer that was lost leaves it unknown: asking
-// again with the same operation tells.
+// change sends a change. If the response is lost or can't be decoded, the outcome
+// is unknown; a repetition with the same Operation returns it.
 func (c *Client) change(ctx context.Context, s *sling.Sling) (ChangeResult, error) {
 	status, body, err := c.do(ctx, s)
 	if err != nil {
@@ -132,7 +134,7 @@
 	return resp.StatusCode, body, errors.Join(err, resp.Body.Close())
 }
 
-// problemError reads a problem from an answer.
+// problemError returns the problem in a response's body as an error.
 func problemError(status int, body []byte) error {
 	var p problem.Problem
 	if json.Unmarshal(body, &p) != nil || p.Detail == "" {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -15,10 +15,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// maxChangeBytes bounds a change's body.
+// maxChangeBytes bounds the request body of a change: the template and the
+// fields around it.
 const maxChangeBytes = 2 * template.MaxTextBytes
 
-// Backend carries out the operators' calls.
+// Backend implements the operators' calls. An error that is a problem.Problem is
+// returned to the operator as it is.
 type Backend interface {
 	Templates(ctx context.Context) ([]TemplateInfo, error)
 	Template(ctx context.Context, name string) (TemplateView, error)
@@ -39,13 +41,13 @@
 	mux       *http.ServeMux
 }
 
-// credential is an operator's token, hashed.
+// credential is an operator's name and the SHA-256 of the operator's token.
 type credential struct {
 	name string
 	hash [sha256.Size]byte
 }
 
-// NewServer returns the API. The operators come from checked settings.
+// NewServer returns a server for operators from validated settings.
 func NewServer(b Backend, operators []settings.Operator, metrics http.HandlerFunc) *Server {
 	s := &Server{backend: b, mux: http.NewServeMux()}
 	for _, o := range operators {
@@ -79,7 +81,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// authenticated admits operators. The audit trail's "who" comes from here alone.
+// authenticated passes requests with an operator's token on to next, with the
+// operator's name. The audit trail's who is always this name.
 func (s *Server) authenticated(next func(w http.ResponseWriter, r *http.Request, who string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
@@ -93,7 +96,8 @@
 	}
 }
 
-// identify compares with every operator, so that the time taken tells nothing.
+// identify returns the name of the operator with this token. It compares the
+// token with every operator's, so that the time taken reveals nothing.
 func (s *Server) identify(token string) (string, bool) {
 	hash := sha256.Sum256([]byte(token))
 	found := -1
@@ -174,7 +178,8 @@
 	writeJSON(w, statusOf(result), result)
 }
 
-// statusOf maps an outcome to a status. Unknown is 504: the change may stand.
+// statusOf maps an outcome to an HTTP status. Unknown is 504, since the change may
+// have been stored.
 func statusOf(r ChangeResult) int {
 	switch {
 	case r.Outcome == template.Accepted || r.Outcome == template.Unchanged:
