--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -26,6 +26,9 @@
 	return out
 }
 
+// Beyond MaxKept, the oldest entries are only part of the summary's hash. The
+// trail must still verify, also after encoding and decoding, and be comparable
+// with an earlier copy.
 func TestFullTrailSummarizesOldEntriesAndStillVerifies(t *testing.T) {
 	long := testTrail(MaxKept + 50)
 	assert.NilError(t, long.Verify())
@@ -93,6 +96,8 @@
 	assert.NilError(t, long.Verify())
 }
 
+// A missing operator or operation, too long a reason or invalid UTF-8 must not
+// get into a trail.
 func TestCheckRejectsFieldsOutOfBounds(t *testing.T) {
 	good := Entry{Who: "ana", Operation: "o"}
 	assert.NilError(t, good.Check())
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -134,6 +134,9 @@
 	}
 }
 
+// Requests without a valid token, before the daemon is ready and late in its
+// shutdown must be refused. In the last case nothing was started, so that the
+// caller may send the call, idempotent or not, to another entry.
 func TestRequestsAreRefusedWithoutTokenWhenNotReadyAndWhenStopping(t *testing.T) {
 	f := &fakeBackend{}
 	g := newTestGateway(f)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -23,7 +23,8 @@
 // stream sends an answer as server-sent events, from the token at offset from
 // on. The id of a token's event is the number of tokens that the caller has
 // received with it. The two events after the last token continue the count, so
-// that their ids are unique.
+// that their ids are unique. An eventMoved or eventError repeats the last id,
+// since the caller resumes after that token.
 func (g *Gateway) stream(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer, from int) {
 	g.opts.Observer.Answered(operation, http.StatusOK)
 	out := &tokenStream{sse: newSSEWriter(w, g.opts.Limits.WriteTimeout), meta: m, observer: g.opts.Observer, offset: from, lastSent: m.start}
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -1,8 +1,8 @@
 // Package operator is the operators' HTTP API, with its client: closing templates
 // and their history, the state of workspaces, endpoints, entries and the audit
 // trail. It has its own listener and its own credentials. A closing template
-// configures workspaces: their models, their services and the times by which
-// these must be ready (closings).
+// configures workspaces: their models and services, and the closing, which is a
+// period of peak work with a fixed end.
 package operator
 
 import (
