--- a/internal/gateway/decode.go
+++ b/internal/gateway/decode.go
@@ -16,14 +16,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// defaultMaxTokens is used where a caller sets no max_tokens.
+// defaultMaxTokens applies if the caller sets no max_tokens.
 const defaultMaxTokens = 256
 
-// maxKeySkew bounds how far in the future a key's time may lie.
+// maxKeySkew is how far in the future the time of an Idempotency-Key may be.
 const maxKeySkew = 5 * time.Minute
 
-// completionBody is a completion request as callers of model APIs send it.
-// Fields that it does not name are sampling parameters that no endpoint here takes.
+// completionBody is a completion request in the format of the OpenAI API, with
+// adapter and version added. Other fields, such as sampling parameters, are
+// ignored, since no endpoint supports them.
 type completionBody struct {
 	Model               string              `json:"model"`
 	Adapter             string              `json:"adapter"`
@@ -34,10 +35,10 @@
 	Stream              bool                `json:"stream"`
 }
 
-// readBody reads a bounded body. Too long, too slow or broken is the caller's
-// fault and nothing has run.
+// readBody reads a body of at most Limits.MaxBodyBytes. A body that is too long,
+// too slow or incomplete is the caller's fault; the verdict is NotRun.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.o.Limits.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.opts.Limits.MaxBodyBytes))
 	var tooLong *http.MaxBytesError
 	switch {
 	case err == nil:
@@ -45,17 +46,17 @@
 	case errors.As(err, &tooLong):
 		return nil, problem.New(http.StatusRequestEntityTooLarge, verdict.NotRun, "the body is over %d bytes", tooLong.Limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, problem.New(http.StatusRequestTimeout, verdict.NotRun, "the body took longer than %s", g.o.Limits.ReadTimeout)
+		return nil, problem.New(http.StatusRequestTimeout, verdict.NotRun, "the body took longer than %s", g.opts.Limits.ReadTimeout)
 	default:
 		return nil, problem.New(http.StatusBadRequest, verdict.NotRun, "the body could not be read")
 	}
 }
 
-// decodeCompletion checks a completion request.
+// decodeCompletion decodes and validates a completion request.
 func (g *Gateway) decodeCompletion(body []byte) (*completionBody, *problem.Problem) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return nil, badRequest("the body is not a completion request: %s", jsonMistake(err))
+		return nil, badRequest("the body is not a completion request: %s", jsonErrorText(err))
 	}
 	if b.Model == "" {
 		return nil, badRequest("model is required")
@@ -63,33 +64,34 @@
 	if len(b.Messages) == 0 {
 		return nil, badRequest("messages must hold at least one message")
 	}
-	if len(b.Messages) > g.o.Limits.MaxMessages {
-		return nil, badRequest("messages holds %d; the most is %d", len(b.Messages), g.o.Limits.MaxMessages)
+	if len(b.Messages) > g.opts.Limits.MaxMessages {
+		return nil, badRequest("messages holds %d; the most is %d", len(b.Messages), g.opts.Limits.MaxMessages)
 	}
 	for i, m := range b.Messages {
-		if !knownRole(m.Role) {
+		if !validRole(m.Role) {
 			return nil, badRequest("messages[%d].role %q is none of system, user, assistant, tool", i, m.Role)
 		}
 	}
 	return &b, g.checkMaxTokens(&b)
 }
 
-// checkMaxTokens settles the two names that callers use for the bound.
+// checkMaxTokens takes the bound from max_tokens or else max_completion_tokens,
+// applies the default and checks the range.
 func (g *Gateway) checkMaxTokens(b *completionBody) *problem.Problem {
 	if b.MaxTokens == nil {
 		b.MaxTokens = b.MaxCompletionTokens
 	}
 	if b.MaxTokens == nil {
-		n := min(defaultMaxTokens, g.o.Limits.MaxTokens)
+		n := min(defaultMaxTokens, g.opts.Limits.MaxTokens)
 		b.MaxTokens = &n
 	}
-	if n := *b.MaxTokens; n < 1 || n > g.o.Limits.MaxTokens {
-		return badRequest("max_tokens is %d; it must be from 1 to %d", n, g.o.Limits.MaxTokens)
+	if n := *b.MaxTokens; n < 1 || n > g.opts.Limits.MaxTokens {
+		return badRequest("max_tokens is %d; it must be from 1 to %d", n, g.opts.Limits.MaxTokens)
 	}
 	return nil
 }
 
-func (b *completionBody) request() engineapi.CompletionRequest {
+func (b *completionBody) engineRequest() engineapi.CompletionRequest {
 	return engineapi.CompletionRequest{
 		Model:     b.Model,
 		Adapter:   b.Adapter,
@@ -99,7 +101,7 @@
 	}
 }
 
-func knownRole(role string) bool {
+func validRole(role string) bool {
 	switch role {
 	case "system", "user", "assistant", "tool", "developer":
 		return true
@@ -108,23 +110,23 @@
 	}
 }
 
-// jsonMistake says what is wrong without repeating the caller's text, which
-// may be private.
-func jsonMistake(err error) string {
-	var syntax *json.SyntaxError
-	var wrong *json.UnmarshalTypeError
+// jsonErrorText describes a decoding error without quoting the body, which may
+// hold private data.
+func jsonErrorText(err error) string {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
+	case errors.As(err, &syntaxErr):
 		return "it is not valid JSON"
-	case errors.As(err, &wrong):
-		return "field " + wrong.Field + " must be " + wrong.Type.String()
+	case errors.As(err, &typeErr):
+		return "field " + typeErr.Field + " must be " + typeErr.Type.String()
 	default:
 		return "it can't be decoded"
 	}
 }
 
-// idempotencyKey returns the caller's key, empty where none was sent. A key is
-// a UUIDv7, whose time lets old keys be refused and the ledger stay bounded.
+// idempotencyKey returns the caller's key, empty if none was sent. A key must be
+// a UUIDv7: its timestamp allows old keys to be refused, which bounds the ledger.
 func idempotencyKey(r *http.Request, now time.Time) (fleet.RequestID, *problem.Problem) {
 	values := r.Header.Values("Idempotency-Key")
 	if len(values) == 0 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,7 +12,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// Options are what a Gateway is made of. All are needed.
+// Options configure a Gateway. All fields are required.
 type Options struct {
 	Requests   Requests
 	Services   Services
@@ -22,30 +22,29 @@
 	Observer   Observer
 	Metrics    http.HandlerFunc
 	Limits     settings.Limits
-	EntriesAge time.Duration // how long callers keep the entries
+	EntriesAge time.Duration // how long callers may cache the list of entries
 	Log        *logrus.Entry
 }
 
 // Gateway serves the callers' API.
 type Gateway struct {
-	o    Options
+	opts Options
 	mux  *http.ServeMux
-	open atomic.Int64 // calls being answered
+	open atomic.Int64 // HTTP requests being served
 }
 
-// New returns the callers' API over the given parts.
 func New(o Options) *Gateway {
-	g := &Gateway{o: o, mux: http.NewServeMux()}
+	g := &Gateway{opts: o, mux: http.NewServeMux()}
 	g.mux.HandleFunc("GET /healthz", g.health)
 	g.mux.HandleFunc("GET /readyz", g.ready)
 	g.mux.HandleFunc("GET /metrics", o.Metrics)
 	g.mux.HandleFunc("GET /v1/entries", g.entries)
 	g.mux.HandleFunc("POST /v1/chat/completions", g.authenticated("completion", g.completions))
-	g.mux.HandleFunc("GET /v1/requests/{id}", g.authenticated("request", g.wholeRequest))
+	g.mux.HandleFunc("GET /v1/requests/{id}", g.authenticated("request", g.getRequest))
 	g.mux.HandleFunc("DELETE /v1/requests/{id}", g.authenticated("cancel", g.cancelRequest))
 	g.mux.HandleFunc("GET /v1/requests/{id}/events", g.authenticated("events", g.requestEvents))
 	g.mux.HandleFunc("/v1/services/{service}/{path...}", g.authenticated("service", g.service))
-	g.mux.HandleFunc("/", g.unknown)
+	g.mux.HandleFunc("/", g.notFound)
 	return g
 }
 
@@ -57,11 +56,12 @@
 	g.mux.ServeHTTP(w, r)
 }
 
-// Idle reports whether no call is being answered.
+// Idle reports whether no HTTP request is being served.
 func (g *Gateway) Idle() bool { return g.open.Load() == 0 }
 
-// recover keeps one request's panic from ending the connection without an
-// answer. The request may have been dispatched, so the verdict is the cautious one.
+// recover answers a request whose handler panicked, rather than letting the
+// server close the connection without a response. The request may have been
+// dispatched, so the verdict is MayHaveRun.
 func (g *Gateway) recover(w http.ResponseWriter, r *http.Request) {
 	v := recover()
 	if v == nil {
@@ -70,11 +70,11 @@
 	if v == http.ErrAbortHandler {
 		panic(v)
 	}
-	g.o.Log.WithField("path", r.URL.Path).Errorf("panic: %v", v)
+	g.opts.Log.WithField("path", r.URL.Path).Errorf("panic: %v", v)
 	problem.Write(w, problem.New(http.StatusInternalServerError, verdict.MayHaveRun, "internal error"))
 }
 
-func (g *Gateway) unknown(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) notFound(w http.ResponseWriter, r *http.Request) {
 	g.fail(w, "unknown", problem.New(http.StatusNotFound, verdict.NotRun, "nothing is served at %s", r.URL.Path))
 }
 
@@ -83,15 +83,15 @@
 }
 
 func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
-	if why := g.o.Readiness.NotReady(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason := g.opts.Readiness.NotReady(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// fail answers with a problem and counts it.
+// fail writes a problem as the response and counts it.
 func (g *Gateway) fail(w http.ResponseWriter, operation string, p *problem.Problem) {
-	g.o.Observer.Answered(operation, p.Status)
+	g.opts.Observer.Answered(operation, p.Status)
 	problem.Write(w, p)
 }
--- a/internal/gateway/jsonstring_test.go
+++ b/internal/gateway/jsonstring_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A token that was encoded wrongly would end a caller's stream with a syntax
-// error in the middle of an answer.
+// A token encoded as invalid JSON would end a caller's stream with a syntax
+// error in the middle of an answer. The encoding must decode to the same text as
+// that of encoding/json.
 func FuzzAppendJSONString(f *testing.F) {
 	for _, s := range []string{"", " chain", "\"\\\n\t\x00", "é\u2028\u2029", "\xff\xc3", "🌾"} {
 		f.Add(s)
@@ -18,11 +19,11 @@
 		var got string
 		assert.NilError(t, json.Unmarshal(appendJSONString(nil, s), &got))
 		assert.Equal(t, got, strings.ToValidUTF8(got, "\ufffd"))
-		want, err := json.Marshal(s)
+		encoded, err := json.Marshal(s)
 		assert.NilError(t, err)
-		var same string
-		assert.NilError(t, json.Unmarshal(want, &same))
-		assert.Equal(t, got, same)
+		var want string
+		assert.NilError(t, json.Unmarshal(encoded, &want))
+		assert.Equal(t, got, want)
 	})
 }
 
@@ -32,7 +33,7 @@
 	t := &tokenStream{sse: s, meta: m}
 	b.ReportAllocs()
 	for b.Loop() {
-		t.token(" elevator")
+		t.appendToken(" elevator")
 		s.buf = s.buf[:0]
 	}
 }
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -10,7 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// completion is a whole answer in the form that callers of model APIs know.
+// completion is a whole answer in the format of the OpenAI API.
 type completion struct {
 	ID      fleet.RequestID    `json:"id"`
 	Object  string             `json:"object"`
@@ -20,22 +20,22 @@
 	Usage   *usage             `json:"usage"`
 }
 
-// completionChoice is the one choice of a whole answer.
+// completionChoice is the only element of a completion's choices.
 type completionChoice struct {
 	Index        int               `json:"index"`
 	Message      engineapi.Message `json:"message"`
 	FinishReason string            `json:"finish_reason"`
 }
 
-// whole waits for the end of an answer and sends it in one piece. When the
-// request moves to another daemon the caller is sent after it.
-func (g *Gateway) whole(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer) {
+// sendWhole waits for the end of an answer and sends it as one JSON body. If the
+// request moves to another daemon, the caller is redirected there.
+func (g *Gateway) sendWhole(w http.ResponseWriter, r *http.Request, operation string, m meta, a Answer) {
 	var text strings.Builder
 	n := 0
 	for {
 		part, err := a.Next(r.Context(), n)
 		if err != nil {
-			return // the caller has gone; the request goes on and can be asked for
+			return // the caller disconnected; the request continues and GET /v1/requests/{id} returns its answer
 		}
 		for _, token := range part.Tokens {
 			text.WriteString(token)
@@ -49,24 +49,24 @@
 			g.redirect(w, r, operation, part.MovedTo, m.id)
 			return
 		case part.Done:
-			g.sendWhole(w, operation, m, text.String(), part.Usage)
+			g.writeCompletion(w, operation, m, text.String(), part.Usage)
 			return
 		}
 	}
 }
 
-// redirect sends a waiting caller to the daemon that goes on with its request.
+// redirect sends a waiting caller to the daemon that took its request over.
 func (g *Gateway) redirect(w http.ResponseWriter, r *http.Request, operation, address string, id fleet.RequestID) {
 	scheme := "http"
 	if r.TLS != nil {
 		scheme = "https"
 	}
-	g.o.Observer.Answered(operation, http.StatusSeeOther)
+	g.opts.Observer.Answered(operation, http.StatusSeeOther)
 	w.Header().Set("Location", scheme+"://"+address+"/v1/requests/"+string(id))
 	w.WriteHeader(http.StatusSeeOther)
 }
 
-func (g *Gateway) sendWhole(w http.ResponseWriter, operation string, m meta, text string, u engineapi.Usage) {
+func (g *Gateway) writeCompletion(w http.ResponseWriter, operation string, m meta, text string, u engineapi.Usage) {
 	c := completion{
 		ID:      m.id,
 		Object:  "chat.completion",
@@ -78,8 +78,8 @@
 		}},
 		Usage: newUsage(u),
 	}
-	g.o.Observer.Answered(operation, http.StatusOK)
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.o.Limits.WriteTimeout))
+	g.opts.Observer.Answered(operation, http.StatusOK)
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.opts.Limits.WriteTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(c)
 }
