--- a/internal/node/begun.go
+++ b/internal/node/begun.go
@@ -9,9 +9,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// toldWindows is the number of usage windows that are told: reports are late
+// keptWindows is the number of usage windows that are told: reports are late
 // by two windows at most.
-const toldWindows = 4
+const keptWindows = 4
 
 // begunCounts counts the requests that began to run, by window of the fleet's time.
 type begunCounts struct {
@@ -33,7 +33,7 @@
 	defer b.mu.Unlock()
 	if b.counts[id] == nil {
 		b.counts[id] = exchange.RequestCounts{}
-		maps.DeleteFunc(b.counts, func(old uint64, _ exchange.RequestCounts) bool { return old+toldWindows <= id })
+		maps.DeleteFunc(b.counts, func(old uint64, _ exchange.RequestCounts) bool { return old+keptWindows <= id })
 	}
 	b.counts[id][w]++
 }
--- a/internal/node/checkpoint.go
+++ b/internal/node/checkpoint.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// runningName is where the windows that aren't frozen yet are kept.
-	runningName = "running"
+	// checkpointName is where the windows that aren't frozen yet are kept.
+	checkpointName = "running"
 	// checkpointInterval is how often they are written: what a fleet that is
 	// killed at once loses is a fifth of a window.
 	checkpointInterval = time.Second
@@ -44,12 +44,12 @@
 func (c *checkpoints) read(ctx context.Context) {
 	c.busy = true
 	c.duties.call(ctx, func() func(time.Time) {
-		o, err := c.duties.node.platform.Store.Get(ctx, usageKind, runningName)
-		return func(now time.Time) { c.found(now, o, err) }
+		o, err := c.duties.node.platform.Store.Get(ctx, usageKind, checkpointName)
+		return func(now time.Time) { c.restore(now, o, err) }
 	})
 }
 
-func (c *checkpoints) found(now time.Time, o objects.Object, err error) {
+func (c *checkpoints) restore(now time.Time, o objects.Object, err error) {
 	c.busy = false
 	if errors.Is(err, objects.ErrNotFound) {
 		c.restored = true
@@ -61,7 +61,7 @@
 		return
 	}
 	c.restored = true
-	c.duties.node.telling.ask(func(h *exchange.Hub) { h.Restore(now, saved) })
+	c.duties.node.peers.withHub(func(h *exchange.Hub) { h.Restore(now, saved) })
 }
 
 // write saves the windows from the one before the current on.
@@ -69,7 +69,7 @@
 	n := c.duties.node
 	from := n.begun.number(n.clock.Now()) - 1
 	var saved exchange.Checkpoint
-	n.telling.ask(func(h *exchange.Hub) { saved = h.Checkpoint(from) })
+	n.peers.withHub(func(h *exchange.Hub) { saved = h.Checkpoint(from) })
 	text, err := json.Marshal(saved)
 	if err != nil {
 		c.duties.log.WithError(err).Error("running windows not encoded")
@@ -77,7 +77,7 @@
 	}
 	c.busy = true
 	c.duties.call(ctx, func() func(time.Time) {
-		err := n.put(ctx, usageKind, runningName, text)
+		err := n.put(ctx, usageKind, checkpointName, text)
 		return func(time.Time) {
 			c.busy = false
 			if err != nil {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -13,14 +13,14 @@
 // configuration keeps the newest configuration in force, from the store or
 // from other daemons, whichever has it first. Versions only ever rise.
 type configuration struct {
-	node   *Node
-	store  *follow.Follower
-	mu     sync.Mutex
-	newest spread.Text
-	told   uint64    // the store's revision up to which hubs know no newer version
-	known  uint64    // the newest version that any daemon has told of
-	since  time.Time // when one that isn't in force was told of first
-	behind bool      // said in the log for since
+	node         *Node
+	store        *follow.Follower
+	mu           sync.Mutex
+	newest       spread.Text
+	hubRevision  uint64    // the store's revision up to which hubs know no newer version
+	announced    uint64    // the newest version that any daemon has told of
+	behindSince  time.Time // when one that isn't in force was told of first
+	behindLogged bool      // said in the log for since
 
 	sourceMu sync.Mutex
 	source   spread.Source // for other daemons
@@ -28,20 +28,20 @@
 
 func newConfiguration(n *Node) *configuration {
 	c := &configuration{node: n}
-	c.store = follow.New(n.platform.Store, n.platform.ConfigKind, c, n.watching)
+	c.store = follow.New(n.platform.Store, n.platform.ConfigKind, c, n.watch)
 	return c
 }
 
 func (c *configuration) run(ctx context.Context) {
-	c.node.watching.run(ctx, c.store, c.upTo, c.due)
+	c.node.watch.run(ctx, c.store, c.upTo, c.due)
 }
 
 // due reports whether this daemon should watch the configuration now. Where the
 // store doesn't answer, one that isn't a hub asks it for the endpoints alone until
 // it does.
 func (c *configuration) due() bool {
-	w := c.node.watching
-	if w.follows() && c.node.endpoints.store.Lost() {
+	w := c.node.watch
+	if w.reliesOnHubs() && c.node.endpoints.store.Lost() {
 		return c.lags(time.Now())
 	}
 	listed := c.store.Revision() > 0 || c.current().Version > 0 // there may be none yet
@@ -66,11 +66,11 @@
 
 // Lost implements follow.Handler.
 func (c *configuration) Lost(err error) {
-	c.node.say("configuration").WithError(err).Warn("store lost")
+	c.node.logFor("configuration").WithError(err).Warn("store lost")
 }
 
 // Recovered implements follow.Handler.
-func (c *configuration) Recovered(time.Time) { c.node.say("configuration").Info("store is back") }
+func (c *configuration) Recovered(time.Time) { c.node.logFor("configuration").Info("store is back") }
 
 func (c *configuration) take(o objects.Object) {
 	if o.Name == c.node.platform.ConfigName {
@@ -80,7 +80,7 @@
 
 // apply puts a text in force if it is newer than what is.
 func (c *configuration) apply(text []byte, source string) error {
-	log := c.node.say("configuration").WithField("source", source)
+	log := c.node.logFor("configuration").WithField("source", source)
 	t, err := c.node.platform.DecodeTable(text)
 	if err != nil {
 		log.WithError(err).Error("not understood")
@@ -92,14 +92,14 @@
 	if !c.node.state.Configure(now, t) {
 		return nil
 	}
-	if c.known > c.newest.Version {
-		log = log.WithField("known_ms", now.Sub(c.since).Milliseconds())
+	if c.announced > c.newest.Version {
+		log = log.WithField("known_ms", now.Sub(c.behindSince).Milliseconds())
 	}
 	c.newest = spread.Text{Version: t.Version, Bytes: text}
 	c.offer(c.newest)
-	c.node.starting.hasConfiguration()
+	c.node.startGate.hasConfiguration()
 	c.node.shareConnections()
-	c.behind = false
+	c.behindLogged = false
 	log.WithFields(map[string]any{"version": t.Version, "routes": len(t.Routes), "bytes": len(text)}).Info("in force")
 	return nil
 }
@@ -130,18 +130,18 @@
 // given up by then.
 const maxLag = time.Second
 
-// knows notes that the daemon at an address has a version.
-func (c *configuration) knows(now time.Time, version uint64, address string) {
+// noteVersion notes that the daemon at an address has a version.
+func (c *configuration) noteVersion(now time.Time, version uint64, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version <= c.known {
+	if version <= c.announced {
 		return
 	}
-	if c.known <= c.newest.Version {
-		c.since = now
+	if c.announced <= c.newest.Version {
+		c.behindSince = now
 	}
-	c.known = version
-	c.node.say("configuration").WithFields(map[string]any{
+	c.announced = version
+	c.node.logFor("configuration").WithFields(map[string]any{
 		"version": version, "from": address, "in_force": c.newest.Version,
 	}).Info("newer version known")
 }
@@ -154,28 +154,28 @@
 	if c.lag(now) <= maxLag {
 		return false
 	}
-	c.sayBehind(now)
+	c.logBehind(now)
 	return true
 }
 
 // lag returns how long a version has been known of that is newer than what is in
 // force. The lock is held.
 func (c *configuration) lag(now time.Time) time.Duration {
-	if c.known <= c.newest.Version {
+	if c.announced <= c.newest.Version {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.behindSince)
 }
 
-// sayBehind tells, once for each time it falls behind, what keeps this daemon from
+// logBehind tells, once for each time it falls behind, what keeps this daemon from
 // the newest version. The lock is held.
-func (c *configuration) sayBehind(now time.Time) {
-	if c.behind {
+func (c *configuration) logBehind(now time.Time) {
+	if c.behindLogged {
 		return
 	}
-	c.behind = true
-	c.node.say("configuration").WithFields(map[string]any{
-		"version": c.known, "in_force": c.newest.Version, "known_ms": c.lag(now).Milliseconds(),
+	c.behindLogged = true
+	c.node.logFor("configuration").WithFields(map[string]any{
+		"version": c.announced, "in_force": c.newest.Version, "known_ms": c.lag(now).Milliseconds(),
 		"store_lost": c.store.Lost(), "store_age_ms": c.store.Age().Milliseconds(),
 	}).Warn("newer version not in force")
 }
@@ -187,13 +187,13 @@
 	return c.lag(time.Now())
 }
 
-// heard takes a hub's word that there is nothing newer than a version up to a
+// noteHubRevision takes a hub's word that there is nothing newer than a version up to a
 // revision of the store.
-func (c *configuration) heard(version, revision uint64) {
+func (c *configuration) noteHubRevision(version, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.newest.Version >= version {
-		c.told = max(c.told, revision)
+		c.hubRevision = max(c.hubRevision, revision)
 	}
 }
 
@@ -205,5 +205,5 @@
 	if c.newest.Version == 0 {
 		return 0
 	}
-	return max(c.told, c.store.Revision())
+	return max(c.hubRevision, c.store.Revision())
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -18,36 +18,36 @@
 
 // A daemon stops to hear from the hubs and turns to the store. It must not miss
 // a version that a hub had and it hadn't, and needn't list what it has.
-func TestWatchGoesOnFromWhereTheHubsKnewNothingNewer(t *testing.T) {
+func TestWatchResumesFromTheHubsRevision(t *testing.T) {
 	c := newIdleConfiguration()
-	c.heard(0, 40)
+	c.noteHubRevision(0, 40)
 	assert.Equal(t, c.upTo(), uint64(0)) // it has none: all is listed
 	assert.NilError(t, c.apply([]byte("2"), "peer"))
-	c.heard(2, 50)
+	c.noteHubRevision(2, 50)
 	assert.Equal(t, c.upTo(), uint64(50))
-	c.heard(3, 60) // not yet fetched
+	c.noteHubRevision(3, 60) // not yet fetched
 	assert.Equal(t, c.upTo(), uint64(50))
 	assert.NilError(t, c.apply([]byte("3"), "peer"))
-	c.heard(3, 60)
-	c.heard(3, 55) // a hub that is behind
+	c.noteHubRevision(3, 60)
+	c.noteHubRevision(3, 55) // a hub that is behind
 	assert.Equal(t, c.upTo(), uint64(60))
 }
 
 // A hub of an earlier release has a new version and can't be fetched from. Its
 // word is fresh all the while, so that the store isn't watched: the daemon must
 // look there itself, or callers are routed by the old version for good.
-func TestVersionThatCannotBeFetchedIsLookedForInTheStore(t *testing.T) {
+func TestVersionThatCannotBeFetchedIsReadFromTheStore(t *testing.T) {
 	c := newIdleConfiguration()
 	start := time.Now()
 	assert.NilError(t, c.apply([]byte("2"), "store"))
-	c.knows(start, 2, "a")
+	c.noteVersion(start, 2, "a")
 	assert.Assert(t, !c.lags(start.Add(time.Hour))) // it has it
-	c.knows(start, 3, "a")
-	c.knows(start.Add(maxLag), 4, "b") // newer ones don't put it off
+	c.noteVersion(start, 3, "a")
+	c.noteVersion(start.Add(maxLag), 4, "b") // newer ones don't put it off
 	assert.Assert(t, !c.lags(start.Add(maxLag)))
 	assert.Assert(t, c.lags(start.Add(maxLag+1)))
 	assert.NilError(t, c.apply([]byte("4"), "store"))
 	assert.Assert(t, !c.lags(start.Add(time.Hour)))
-	c.knows(start.Add(time.Hour), 5, "a") // a new one has its own time
+	c.noteVersion(start.Add(time.Hour), 5, "a") // a new one has its own time
 	assert.Assert(t, !c.lags(start.Add(time.Hour+maxLag)))
 }
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -11,16 +11,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// crashes is what this daemon knows of endpoints' crashes, and which requests are
+// crashGuard is what this daemon knows of endpoints' crashGuard, and which requests are
 // held for them. It implements relay.Guard.
-type crashes struct {
+type crashGuard struct {
 	node  *Node
 	table *quarantine.Table
 	watch *ends.Watch
 }
 
-func newCrashes(n *Node) *crashes {
-	c := &crashes{node: n, table: quarantine.NewTable(random().Uint64() | 1)}
+func newCrashGuard(n *Node) *crashGuard {
+	c := &crashGuard{node: n, table: quarantine.NewTable(random().Uint64() | 1)}
 	c.watch = ends.New(ends.Options{
 		Table:   c.table,
 		Now:     n.clock.Now,
@@ -32,21 +32,21 @@
 	return c
 }
 
-// storeReads is the time between two looks whether what is kept should be read.
-const storeReads = time.Second
+// storeReadInterval is the time between two looks whether what is kept should be read.
+const storeReadInterval = time.Second
 
-// learn reads what another part of the fleet has kept, when a hub has learned of
+// readStored reads what another part of the fleet has kept, when a hub has learned of
 // crashes: daemons that are cut off from the others but not from the store would
 // send on what the others hold.
-func (c *crashes) learn(ctx context.Context) {
+func (c *crashGuard) readStored(ctx context.Context) {
 	var read quarantine.Position
-	pause.Every(ctx, storeReads, func() {
+	pause.Every(ctx, storeReadInterval, func() {
 		at := c.table.Position()
-		if at.Seq == read.Seq || c.node.gathering() || !c.node.watching.watcher() {
+		if at.Seq == read.Seq || c.node.gathering() || !c.node.watch.watcher() {
 			return
 		}
 		read = at
-		kept, err := stored[keptLimits](c.node.platform.Store.Get(ctx, limitsKind, limitsName))
+		kept, err := stored[limitsCheckpoint](c.node.platform.Store.Get(ctx, limitsKind, limitsName))
 		if err == nil {
 			c.add(kept.Crashes)
 		}
@@ -54,25 +54,25 @@
 }
 
 // add takes crashes that were told or kept.
-func (c *crashes) add(all []quarantine.Crash) {
+func (c *crashGuard) add(all []quarantine.Crash) {
 	if len(all) > 0 {
 		c.changed(c.table.Add(c.node.clock.Now(), all...))
 	}
 }
 
-func (c *crashes) ended(id fleet.EndpointID, crash *quarantine.Crash) {
+func (c *crashGuard) ended(id fleet.EndpointID, crash *quarantine.Crash) {
 	c.node.metrics.crashed(crash.Void)
-	ends.LogEnd(c.node.say("quarantine"), id, crash)
+	ends.LogEnd(c.node.logFor("quarantine"), id, crash)
 }
 
-func (c *crashes) changed(what quarantine.Change) {
+func (c *crashGuard) changed(what quarantine.Change) {
 	if len(what.Held)+len(what.Released) > 0 { // seldom, and it is asked with each answer
-		ends.LogChange(c.node.say("quarantine"), c.table, what)
+		ends.LogChange(c.node.logFor("quarantine"), c.table, what)
 	}
 }
 
 // HeldFor implements relay.Guard.
-func (c *crashes) HeldFor(key func() quarantine.Key) time.Duration {
+func (c *crashGuard) HeldFor(key func() quarantine.Key) time.Duration {
 	if c.table.HeldCount() == 0 { // nearly always: the clock is a system call
 		return 0
 	}
@@ -80,7 +80,7 @@
 }
 
 // Ran implements relay.Guard.
-func (c *crashes) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
+func (c *crashGuard) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
 	if c.table.CrashCount() == 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 
 // state reports whether an endpoint is listed, and whether it has said that it
 // leaves.
-func (d *endpointDuty) state(id fleet.EndpointID) (listed, leaving bool) {
+func (d *endpointList) state(id fleet.EndpointID) (listed, leaving bool) {
 	all, _ := d.list()
 	for i := range all {
 		if all[i].ID == id {
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -29,21 +29,21 @@
 // closingBody makes one close the connection.
 const closingBody = "close"
 
-// frail are endpoints that end when they begin to run crashingBody and don't come
+// fragileEndpoints are endpoints that end when they begin to run crashingBody and don't come
 // back. They answer anything else.
-type frail struct {
+type fragileEndpoints struct {
 	mu    sync.Mutex
 	conns map[net.Listener][]net.Conn
 	// closed is how many connections a listener's endpoint has closed by itself.
-	closed map[net.Listener]int
-	ended  atomic.Int64
+	closed  map[net.Listener]int
+	crashed atomic.Int64
 }
 
-// addFrail puts n of them into a fleet's store, the first in place of the endpoint
+// addFragile puts n of them into a fleet's store, the first in place of the endpoint
 // that is there.
-func (f *fleetOf) addFrail(n int) *frail {
+func (f *testFleet) addFragile(n int) *fragileEndpoints {
 	f.t.Helper()
-	out := &frail{conns: map[net.Listener][]net.Conn{}, closed: map[net.Listener]int{}}
+	out := &fragileEndpoints{conns: map[net.Listener][]net.Conn{}, closed: map[net.Listener]int{}}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(f.t, err)
@@ -62,7 +62,7 @@
 	return out
 }
 
-func (e *frail) serve(l net.Listener) {
+func (e *fragileEndpoints) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -71,11 +71,11 @@
 		e.mu.Lock()
 		e.conns[l] = append(e.conns[l], c)
 		e.mu.Unlock()
-		go e.talk(l, c)
+		go e.handle(l, c)
 	}
 }
 
-func (e *frail) talk(l net.Listener, c net.Conn) {
+func (e *fragileEndpoints) handle(l net.Listener, c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
@@ -87,7 +87,7 @@
 			return
 		}
 		if string(body) == crashingBody {
-			e.ended.Add(1)
+			e.crashed.Add(1)
 			e.end(l)
 			return
 		}
@@ -104,7 +104,7 @@
 
 // end ends an endpoint: its listener first, so that nobody finds it there after
 // a connection has ended.
-func (e *frail) end(l net.Listener) {
+func (e *fragileEndpoints) end(l net.Listener) {
 	_ = l.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,9 +113,9 @@
 	}
 }
 
-// askedAgain reports whether each endpoint that has closed a connection got
+// redialled reports whether each endpoint that has closed a connection got
 // another one after it.
-func (e *frail) askedAgain() bool {
+func (e *fragileEndpoints) redialled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for l, n := range e.closed {
@@ -126,8 +126,8 @@
 	return true
 }
 
-func sendBody(n *Node, id, body string) *sinkLog {
-	out := &sinkLog{}
+func sendBody(n *Node, id, body string) *recordingSink {
+	out := &recordingSink{}
 	now := time.Now()
 	n.Serve(context.Background(), &relay.Request{
 		ID: id, Method: "POST", Target: "/x", Path: "/x", Host: "h", Key: "key", Body: []byte(body),
@@ -143,18 +143,18 @@
 // counts those of one try of a caller's, and nothing was known of the request
 // beyond its end. Evidence: on one day 39 endpoints ended under two requests, of
 // the same tokens each time, at nine daemons, none of which saw more than five.
-func TestRequestThatEndsItsEndpointsIsHeld(t *testing.T) {
+func TestRequestThatCrashesEndpointsIsHeld(t *testing.T) {
 	const endpoints, allowed = 12, 6 // three, and three retries
 	f := newFleet(t, 0)
-	e := f.addFrail(endpoints)
+	e := f.addFragile(endpoints)
 	log := &logtest.Hook{}
 	n := f.addWith(f.store, func(n *Node) { n.log.AddHook(log) })
 	f.until("ready", func(n *Node) bool { all, _ := n.endpoints.list(); return n.Ready() && len(all) == endpoints })
 	for i := range endpoints {
 		sendBody(n, "try"+strconv.Itoa(i), crashingBody)
-		waitForEnds(t, log, int(e.ended.Load()))
+		awaitCrashLogs(t, log, int(e.crashed.Load()))
 	}
-	assert.Assert(t, e.ended.Load() <= allowed, "%d endpoints ended under one request", e.ended.Load())
+	assert.Assert(t, e.crashed.Load() <= allowed, "%d endpoints ended under one request", e.crashed.Load())
 	out := sendBody(n, "once more", crashingBody)
 	assert.Equal(t, out.refusal.Reason, relay.Quarantined)
 	assert.Equal(t, out.refusal.Verdict, verdict.NotRun)
@@ -165,14 +165,14 @@
 // The same request comes to another daemon each time, and again after all daemons
 // were killed at once. What one has seen the others must know, and who starts
 // again.
-func TestRequestIsHeldByAllDaemonsAndAfterTheirEnd(t *testing.T) {
+func TestRequestIsHeldByAllDaemonsAndAfterARestart(t *testing.T) {
 	const endpoints = 6
 	f := newFleet(t, 0)
-	e := f.addFrail(endpoints)
+	e := f.addFragile(endpoints)
 	for range 3 {
 		f.add()
 	}
-	f.ready()
+	f.awaitReady()
 	for i := range 3 {
 		sendBody(f.nodes[i], "try"+strconv.Itoa(i), crashingBody)
 		f.until("all daemons know of the end", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
@@ -180,42 +180,42 @@
 	for _, n := range f.nodes {
 		assert.Equal(t, sendBody(n, "again", crashingBody).refusal.Reason, relay.Quarantined)
 	}
-	f.kept(3)
+	f.awaitStoredCrashes(3)
 	f.stop()
 	f.nodes, f.cancel, f.done = nil, nil, nil
 	n := f.addWith(f.store, func(n *Node) { n.settings.Daemon.FirstStart = false })
 	f.until("it knows what was held", func(n *Node) bool { return n.crashes.table.HeldCount() == 1 })
 	assert.Equal(t, sendBody(n, "after all", crashingBody).refusal.Reason, relay.Quarantined)
-	assert.Equal(t, e.ended.Load(), int64(3))
+	assert.Equal(t, e.crashed.Load(), int64(3))
 }
 
 // A daemon is cut off from the others, but not from the store. The same request
 // comes there: after one more end it knows what the others have kept.
-func TestDaemonThatIsCutOffLearnsFromTheStore(t *testing.T) {
+func TestPartitionedDaemonReadsHeldRequestsFromTheStore(t *testing.T) {
 	const endpoints = 8
 	f := newFleet(t, 0)
-	e := f.addFrail(endpoints)
+	e := f.addFragile(endpoints)
 	f.add()
-	f.held()
+	f.awaitHolder()
 	for i := range 3 {
 		sendBody(f.nodes[0], "try"+strconv.Itoa(i), crashingBody)
 		f.until("the end is known", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
 	}
-	f.kept(3)
+	f.awaitStoredCrashes(3)
 	alone := f.addWith(f.store, func(n *Node) { n.extraSeeds = nil })
 	f.until("ready", func(n *Node) bool { all, _ := n.endpoints.list(); return n.Ready() && len(all) == endpoints })
 	sendBody(alone, "there", crashingBody)
 	f.until("it is held", func(n *Node) bool { return n.crashes.table.HeldCount() == 1 })
 	assert.Equal(t, sendBody(alone, "again", crashingBody).refusal.Reason, relay.Quarantined)
-	assert.Equal(t, e.ended.Load(), int64(4))
+	assert.Equal(t, e.crashed.Load(), int64(4))
 	assert.Equal(t, len(alone.members.serving()), 1)
 }
 
-// kept waits until crashes are kept in the store.
-func (f *fleetOf) kept(crashes int) {
+// awaitStoredCrashes waits until crashes are awaitStoredCrashes in the store.
+func (f *testFleet) awaitStoredCrashes(crashes int) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
-		kept, err := stored[keptLimits](f.store.Get(f.t.Context(), limitsKind, limitsName))
+		kept, err := stored[limitsCheckpoint](f.store.Get(f.t.Context(), limitsKind, limitsName))
 		if err != nil || len(kept.Crashes) < crashes {
 			return poll.Continue("not kept yet")
 		}
@@ -225,21 +225,21 @@
 
 // Endpoints close connections under requests that are run elsewhere: they go on
 // listening, and have not ended.
-func TestClosedConnectionIsNoEnd(t *testing.T) {
+func TestClosedConnectionIsNotACrash(t *testing.T) {
 	f := newFleet(t, 0)
-	e := f.addFrail(3)
+	e := f.addFragile(3)
 	n := f.add()
 	f.until("ready", func(n *Node) bool { all, _ := n.endpoints.list(); return n.Ready() && len(all) == 3 })
 	for range 3 {
 		assert.Equal(t, sendBody(n, "closed", closingBody).refusal.Reason, relay.Broken)
 	}
-	f.until("all were asked for", func(*Node) bool { return e.askedAgain() })
+	f.until("all were asked for", func(*Node) bool { return e.redialled() })
 	assert.Equal(t, n.crashes.table.CrashCount(), 0)
-	assert.Equal(t, e.ended.Load(), int64(0))
+	assert.Equal(t, e.crashed.Load(), int64(0))
 }
 
-// waitForEnds waits until the log tells of the ends of n endpoints.
-func waitForEnds(t *testing.T, log *logtest.Hook, n int) {
+// awaitCrashLogs waits until the log tells of the ends of n endpoints.
+func awaitCrashLogs(t *testing.T, log *logtest.Hook, n int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		told := 0
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -17,14 +17,14 @@
 const hubKind = "hubs"
 
 const (
-	// entryStrength is the least grade of a machine that enters itself in the store.
-	entryStrength = 8
-	// enterTime is how long after its start the others of a fleet have entered
+	// registerStrength is the least grade of a machine that enters itself in the store.
+	registerStrength = 8
+	// registerTime is how long after its start the others of a fleet have entered
 	// themselves; who reads earlier misses some.
-	enterTime = 600 * time.Millisecond
-	// meetTime is how long a weak machine of a small fleet takes to meet a strong one by
+	registerTime = 600 * time.Millisecond
+	// gossipTime is how long a weak machine of a small fleet takes to meet a strong one by
 	// the membership protocol.
-	meetTime = 300 * time.Millisecond
+	gossipTime = 300 * time.Millisecond
 )
 
 // hubEntry is a daemon's entry.
@@ -37,30 +37,30 @@
 	Incarnation uint64           `json:"incarnation"`
 }
 
-// meet learns what there was before this daemon started, and finds the hubs of a large
+// discover learns what there was before this daemon started, and finds the hubs of a large
 // fleet. A store that doesn't answer leaves that to the seeds.
-func (n *Node) meet(ctx context.Context) {
-	n.learnFleet(ctx)
+func (n *Node) discover(ctx context.Context) {
+	n.restoreLimits(ctx)
 	first := n.settings.Daemon.FirstStart
-	if known, _ := n.members.before(); !first && !exchange.Meshed(known) {
+	if known, _ := n.members.priorCount(); !first && !exchange.Meshed(known) {
 		return
 	}
-	strong := strengthOf(n.id) >= entryStrength
+	strong := strengthOf(n.id) >= registerStrength
 	if strong {
-		n.enterHub(ctx)
+		n.registerHub(ctx)
 	}
 	if first {
-		pause.For(ctx, enterTime)
+		pause.For(ctx, registerTime)
 	}
 	if !strong {
-		pause.For(ctx, meetTime)
+		pause.For(ctx, gossipTime)
 	}
 	if strong || n.lacksHubs() {
 		n.readHubs(ctx)
 	}
 }
 
-func (n *Node) enterHub(ctx context.Context) {
+func (n *Node) registerHub(ctx context.Context) {
 	self := n.members.self
 	text, err := json.Marshal(hubEntry{self.Daemon, self.Caller, self.Peer, self.DataCentre, self.Region, self.Incarnation})
 	if err == nil {
@@ -70,14 +70,14 @@
 		_, err = n.platform.Store.Replace(ctx, hubKind, string(self.Instance), 0, text)
 	}
 	if err != nil {
-		n.say("membership").WithError(err).Info("not entered as a hub")
+		n.logFor("membership").WithError(err).Info("not entered as a hub")
 	}
 }
 
 // lacksHubs reports whether this daemon's machine is weak and knows no strong one in
 // its data centre.
 func (n *Node) lacksHubs() bool {
-	if !n.watching.weak() {
+	if !n.watch.weak() {
 		return false
 	}
 	for _, m := range n.members.serving() {
@@ -91,7 +91,7 @@
 func (n *Node) readHubs(ctx context.Context) {
 	all, _, err := n.platform.Store.List(ctx, hubKind)
 	if err != nil {
-		n.say("membership").WithError(err).Info("hubs not read")
+		n.logFor("membership").WithError(err).Info("hubs not read")
 		return
 	}
 	var found []membership.Member
@@ -104,6 +104,6 @@
 			})
 		}
 	}
-	n.say("membership").WithField("hubs", len(found)).Info("hubs read")
-	n.introduce(found)
+	n.logFor("membership").WithField("hubs", len(found)).Info("hubs read")
+	n.addMembers(found)
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -23,13 +23,13 @@
 const (
 	// dutyTick is how often the duties look for what is due.
 	dutyTick = 100 * time.Millisecond
-	// gatherTime is how long a new holder waits for the others' parts: they
+	// gatherTimeout is how long a new holder waits for the others' parts: they
 	// learn of it from the hubs within two rounds and tell it in the next.
-	gatherTime = 1500 * time.Millisecond
-	// firstDuty is how long after its start a daemon leaves the duties to others: it
+	gatherTimeout = 1500 * time.Millisecond
+	// dutyDelay is how long after its start a daemon leaves the duties to others: it
 	// knows few yet, and would take itself for a candidate. A longer wait would leave
 	// a fleet that was killed at once without orders for endpoints.
-	firstDuty = 700 * time.Millisecond
+	dutyDelay = 700 * time.Millisecond
 	// resultRing bounds the answers that wait for the duties' goroutine: a
 	// lease, a report and an order for each place are under way at most.
 	resultRing = 64
@@ -39,15 +39,15 @@
 // goroutine owns it; calls run on goroutines of their own and come back
 // through results.
 type duties struct {
-	node    *Node
-	lease   *lease.Set
-	usage   *usage.Reporter
-	scaling *scalingDuty
-	saved   *checkpoints
-	limits  *limitsKeeper
-	results *ring.Ring[func(now time.Time)]
-	token   uint64 // of the acquisition that usage and scaling belong to
-	since   time.Time
+	node        *Node
+	lease       *lease.Set
+	usage       *usage.Reporter
+	scaling     *scalingDuty
+	checkpoints *checkpoints
+	limits      *limitsWriter
+	results     *ring.Ring[func(now time.Time)]
+	token       uint64 // of the acquisition that usage and scaling belong to
+	acquiredAt  time.Time
 	// complete says that all daemons have told their part since then.
 	complete bool
 	log      *logrus.Entry
@@ -79,7 +79,7 @@
 		node:    n,
 		lease:   lease.NewSet(leaseConfig(length), n.id, lease.Shards("duties", 1), random(), time.Now()),
 		results: ring.New[func(time.Time)]("duties", resultRing),
-		log:     n.say("duties"),
+		log:     n.logFor("duties"),
 	}
 }
 
@@ -103,7 +103,7 @@
 	if !d.node.Ready() && !d.node.Stopping() {
 		return
 	}
-	if time.Since(d.node.started) < firstDuty {
+	if time.Since(d.node.started) < dutyDelay {
 		return
 	}
 	if d.node.Stopping() {
@@ -118,16 +118,16 @@
 		d.callLease(ctx, a)
 	}
 	l := d.lease.Lease(0)
-	l.Superseded(d.node.telling.heldBy(d.node.id))
+	l.Superseded(d.node.peers.otherHolderToken(d.node.id))
 	if !l.Held(now) { // asking whether an order may leave would put off the lease's release
 		d.node.rollouts.end()
 		return
 	}
-	d.hold(now, l.Fencing())
+	d.acquire(now, l.Fencing())
 	if !d.gathered(now) {
 		return
 	}
-	if d.saved.step(ctx, now) {
+	if d.checkpoints.step(ctx, now) {
 		d.stepUsage(ctx, now)
 	}
 	d.limits.step(ctx, now)
@@ -140,23 +140,23 @@
 // than gatherTime.
 func (d *duties) gathered(now time.Time) bool {
 	if !d.complete {
-		d.node.telling.ask(func(h *exchange.Hub) { d.complete = h.ReceivedFromAll(d.since, d.node.members.ids()) })
+		d.node.peers.withHub(func(h *exchange.Hub) { d.complete = h.ReceivedFromAll(d.acquiredAt, d.node.members.ids()) })
 	}
-	return d.complete || now.Sub(d.since) >= gatherTime
+	return d.complete || now.Sub(d.acquiredAt) >= gatherTimeout
 }
 
-// hold starts the duties afresh with each acquisition: what was known before
+// acquire starts the duties afresh with each acquisition: what was known before
 // may have been changed by another holder.
-func (d *duties) hold(now time.Time, token uint64) {
+func (d *duties) acquire(now time.Time, token uint64) {
 	if token == d.token && d.usage != nil {
 		return
 	}
-	d.token, d.since, d.complete = token, now, false
-	d.node.telling.setHolder(token)
+	d.token, d.acquiredAt, d.complete = token, now, false
+	d.node.peers.setHolder(token)
 	d.usage = usage.NewReporter(seconds(d.node.settings.Bounds.UsageWindowSeconds))
 	d.scaling = newScalingDuty(d)
-	d.saved = &checkpoints{duties: d}
-	d.limits = &limitsKeeper{duties: d}
+	d.checkpoints = &checkpoints{duties: d}
+	d.limits = &limitsWriter{duties: d}
 	d.log.WithField("token", token).Info("holds the duties")
 }
 
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -15,8 +15,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// endpointDuty keeps the list of endpoints.
-type endpointDuty struct {
+// endpointList keeps the list of endpoints.
+type endpointList struct {
 	node   *Node
 	mu     sync.Mutex
 	roster *roster.Roster
@@ -28,13 +28,13 @@
 	specs map[fleet.EndpointID]spec // as the store or a hub told them
 	log   *feed.Log                 // for daemons that don't watch the store
 	// unlogged says that the log lacks the newest list: most daemons are never asked.
-	unlogged bool
-	bad      map[fleet.EndpointID]unread
-	ended    map[fleet.EndpointID]uint64 // the last revision of entries that the store has ended
+	unlogged   bool
+	unreadable map[fleet.EndpointID]unreadableEntry
+	deleted    map[fleet.EndpointID]uint64 // the last revision of entries that the store has ended
 }
 
-// unread is an entry that names no endpoint, and why.
-type unread struct {
+// unreadableEntry is an entry that names no endpoint, and why.
+type unreadableEntry struct {
 	reason   string
 	revision uint64
 }
@@ -45,33 +45,33 @@
 	revision uint64
 }
 
-func newEndpointDuty(n *Node) *endpointDuty {
-	d := &endpointDuty{
+func newEndpointList(n *Node) *endpointList {
+	d := &endpointList{
 		node: n, roster: roster.New(), specs: map[fleet.EndpointID]spec{}, log: feed.NewLog(rand.Uint64() | 1),
-		bad: map[fleet.EndpointID]unread{}, ended: map[fleet.EndpointID]uint64{},
+		unreadable: map[fleet.EndpointID]unreadableEntry{}, deleted: map[fleet.EndpointID]uint64{},
 	}
-	d.store = follow.New(n.platform.Store, n.platform.EndpointKind, d, n.watching)
+	d.store = follow.New(n.platform.Store, n.platform.EndpointKind, d, n.watch)
 	return d
 }
 
-func (d *endpointDuty) run(ctx context.Context) {
-	d.node.watching.run(ctx, d.store, d.upTo, d.due)
+func (d *endpointList) run(ctx context.Context) {
+	d.node.watch.run(ctx, d.store, d.upTo, d.due)
 }
 
 // due reports whether this daemon should watch the endpoints now.
-func (d *endpointDuty) due() bool { return d.node.watching.due(d.known()) }
+func (d *endpointList) due() bool { return d.node.watch.due(d.hasList()) }
 
-// tickInterval is how often endpoints whose grace is over are looked for.
-const tickInterval = 100 * time.Millisecond
+// graceCheckInterval is how often endpoints whose grace is over are looked for.
+const graceCheckInterval = 100 * time.Millisecond
 
-func (d *endpointDuty) tick(ctx context.Context) {
-	pause.Every(ctx, tickInterval, func() {
+func (d *endpointList) tick(ctx context.Context) {
+	pause.Every(ctx, graceCheckInterval, func() {
 		d.update(func(now time.Time) { d.roster.Tick(now) })
 	})
 }
 
 // Listed implements follow.Handler.
-func (d *endpointDuty) Listed(all []objects.Object, revision uint64) {
+func (d *endpointList) Listed(all []objects.Object, revision uint64) {
 	d.update(func(now time.Time) {
 		list := make([]roster.Endpoint, 0, len(all))
 		for _, o := range all {
@@ -79,7 +79,7 @@
 				list = append(list, e)
 			}
 		}
-		d.inEra(objects.EraOf(revision), len(list))
+		d.noteEra(objects.EraOf(revision), len(list))
 		d.roster.Replace(now, list)
 		d.roster.Applied(revision)
 		d.roster.CaughtUp()
@@ -87,10 +87,10 @@
 	})
 }
 
-// inEra notes the store's era. The lock is held.
-func (d *endpointDuty) inEra(era uint64, listed int) {
+// noteEra notes the store's era. The lock is held.
+func (d *endpointList) noteEra(era uint64, listed int) {
 	if d.listed && era > d.era {
-		d.node.say("store").WithFields(map[string]any{
+		d.node.logFor("store").WithFields(map[string]any{
 			"era": era, "before": d.era, "endpoints_known": len(d.all), "endpoints_listed": listed,
 			"reached": d.roster.Revision(), "config": d.node.config.current().Version,
 		}).Warn("store came back from an older copy")
@@ -99,21 +99,21 @@
 }
 
 // Era returns the store's era, 0 where it tells none.
-func (d *endpointDuty) Era() uint64 {
+func (d *endpointList) Era() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.era
 }
 
 // Changed implements follow.Handler.
-func (d *endpointDuty) Changed(changes []objects.Change, revision uint64) {
+func (d *endpointList) Changed(changes []objects.Change, revision uint64) {
 	d.update(func(now time.Time) {
 		for _, c := range changes {
 			if d.outdated(c.Object) {
 				continue
 			}
 			if c.Deleted {
-				d.end(now, c.Object)
+				d.remove(now, c.Object)
 				continue
 			}
 			if e, ok := d.decode(now, c.Object); ok {
@@ -128,68 +128,68 @@
 // outdated reports whether a change is older than what is known, or of an entry
 // that has ended: a watch that goes on from a hub's revision tells again what the
 // hub has told since. The lock is held.
-func (d *endpointDuty) outdated(o objects.Object) bool {
+func (d *endpointList) outdated(o objects.Object) bool {
 	id := fleet.EndpointID(o.Name)
-	return o.Revision != 0 && (o.Revision < max(d.specs[id].revision, d.bad[id].revision) || o.Revision <= d.ended[id])
+	return o.Revision != 0 && (o.Revision < max(d.specs[id].revision, d.unreadable[id].revision) || o.Revision <= d.deleted[id])
 }
 
-// end takes an entry's end from the store. It is remembered: an entry that comes
+// remove takes an entry's remove from the store. It is remembered: an entry that comes
 // back has a later revision. The lock is held.
-func (d *endpointDuty) end(now time.Time, o objects.Object) {
+func (d *endpointList) remove(now time.Time, o objects.Object) {
 	id := fleet.EndpointID(o.Name)
-	if len(d.ended) >= maxEnded {
-		clear(d.ended)
+	if len(d.deleted) >= maxDeleted {
+		clear(d.deleted)
 	}
-	d.ended[id] = max(d.ended[id], o.Revision, d.specs[id].revision)
-	delete(d.bad, id)
+	d.deleted[id] = max(d.deleted[id], o.Revision, d.specs[id].revision)
+	delete(d.unreadable, id)
 	d.roster.Remove(now, id)
 }
 
-// maxEnded bounds the ends that are remembered: those of some hours of an
+// maxDeleted bounds the ends that are remembered: those of some hours of an
 // ordinary day. They are forgotten all at once; what is told again is seconds old.
-const maxEnded = 4096
+const maxDeleted = 4096
 
 // Lost implements follow.Handler.
-func (d *endpointDuty) Lost(err error) { d.node.say("endpoints").WithError(err).Warn("store lost") }
+func (d *endpointList) Lost(err error) { d.node.logFor("endpoints").WithError(err).Warn("store lost") }
 
 // Recovered implements follow.Handler.
-func (d *endpointDuty) Recovered(failed time.Time) {
-	d.node.say("endpoints").Info("store is back")
+func (d *endpointList) Recovered(failed time.Time) {
+	d.node.logFor("endpoints").Info("store is back")
 	d.update(func(time.Time) { d.roster.OutageEnded(failed) })
 }
 
 // decode reads an entry. One that names no endpoint is said once, and ends the
 // endpoint that it named before.
-func (d *endpointDuty) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
+func (d *endpointList) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
 	e, err := d.node.platform.DecodeEndpoint(now, o)
 	if err != nil {
-		d.withdraw(fleet.EndpointID(o.Name), unread{err.Error(), o.Revision})
+		d.markUnreadable(fleet.EndpointID(o.Name), unreadableEntry{err.Error(), o.Revision})
 		return e, false
 	}
-	delete(d.bad, e.ID)
+	delete(d.unreadable, e.ID)
 	d.specs[e.ID] = spec{text: o.Spec, revision: o.Revision}
 	return e, true
 }
 
-func (d *endpointDuty) withdraw(id fleet.EndpointID, u unread) {
-	if d.bad[id].reason != u.reason {
-		d.node.say("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("entry names no endpoint")
+func (d *endpointList) markUnreadable(id fleet.EndpointID, u unreadableEntry) {
+	if d.unreadable[id].reason != u.reason {
+		d.node.logFor("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("entry names no endpoint")
 	}
-	if len(d.bad) >= maxUnread {
-		clear(d.bad)
+	if len(d.unreadable) >= maxUnreadable {
+		clear(d.unreadable)
 	}
-	d.bad[id] = u
+	d.unreadable[id] = u
 	d.roster.Withdraw(id)
 }
 
-// maxUnread bounds the entries that are remembered as unreadable; beyond it they
+// maxUnreadable bounds the entries that are remembered as unreadable; beyond it they
 // are said again.
-const maxUnread = 1024
+const maxUnreadable = 1024
 
-// heard takes the list of a hub, where this daemon doesn't watch the store. A
+// applyHubList takes the list of a hub, where this daemon doesn't watch the store. A
 // hub has held back what may have lapsed with the store. Where the hub is behind
 // this daemon, only what it has that is newer counts.
-func (d *endpointDuty) heard(u *feed.Update) {
+func (d *endpointList) applyHubList(u *feed.Update) {
 	if u.Empty() {
 		return
 	}
@@ -206,7 +206,7 @@
 		}
 		older := u.To.Revision < d.roster.Revision()
 		if u.Full && !older {
-			d.node.say("endpoints").WithField("listed", len(list)).Info("whole list taken from a hub")
+			d.node.logFor("endpoints").WithField("listed", len(list)).Info("whole list taken from a hub")
 			d.roster.Replace(now, list)
 		}
 		for _, e := range list {
@@ -227,7 +227,7 @@
 
 // removeOthers removes the endpoints that have none of some keys. The lock is
 // held.
-func (d *endpointDuty) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
+func (d *endpointList) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
 	there := make(map[rendezvous.ShortKey]bool, len(keys))
 	for _, k := range keys {
 		there[k] = true
@@ -239,32 +239,32 @@
 	}
 }
 
-// known reports whether this daemon has a list of endpoints.
-func (d *endpointDuty) known() bool {
+// hasList reports whether this daemon has a list of endpoints.
+func (d *endpointList) hasList() bool {
 	_, listed := d.list()
 	return listed
 }
 
-// late reports whether this daemon could not list the store though it has run
+// lateList reports whether this daemon could not list the store though it has run
 // for a while: then a hub is asked for all.
-func (d *endpointDuty) late() bool {
-	return !d.known() && time.Since(d.node.started) > firstList && !d.node.watching.awaitsList()
+func (d *endpointList) lateList() bool {
+	return !d.hasList() && time.Since(d.node.started) > firstListTimeout && !d.node.watch.awaitsList()
 }
 
-// firstList is how long the first list of the store may take: a list of a
+// firstListTimeout is how long the first list of the store may take: a list of a
 // thousand endpoints goes over a weak machine's link in a quarter of a second.
-const firstList = 1500 * time.Millisecond
+const firstListTimeout = 1500 * time.Millisecond
 
 // upTo returns the store's revision up to which this daemon's list is complete,
 // 0 where it has none.
-func (d *endpointDuty) upTo() uint64 {
+func (d *endpointList) upTo() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.roster.CompleteRevision()
 }
 
 // since returns what leads another daemon to this one's list.
-func (d *endpointDuty) since(p feed.Position) feed.Update {
+func (d *endpointList) since(p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
@@ -275,7 +275,7 @@
 }
 
 // update changes the roster and passes the new list on.
-func (d *endpointDuty) update(change func(now time.Time)) {
+func (d *endpointList) update(change func(now time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(time.Now())
@@ -288,13 +288,13 @@
 	d.unlogged = true
 	d.pruneSpecs()
 	d.node.state.SetEndpoints(time.Now(), all)
-	d.node.starting.hasEndpoints()
-	d.node.say("endpoints").WithField("listed", len(all)).Debug("list changed")
+	d.node.startGate.hasEndpoints()
+	d.node.logFor("endpoints").WithField("listed", len(all)).Debug("list changed")
 }
 
 // logChanges says which endpoints leave and which are gone, and returns the new list by
 // ID. The lock is held.
-func (d *endpointDuty) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
+func (d *endpointList) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
 	current := make(map[fleet.EndpointID]*roster.Endpoint, len(now))
 	for i := range now {
 		current[now[i].ID] = &now[i]
@@ -321,10 +321,10 @@
 const loggedChanges = 16
 
 // logEach says the same of some endpoints.
-func (d *endpointDuty) logEach(what string, all []*roster.Endpoint) {
-	log := d.node.say("endpoints")
+func (d *endpointList) logEach(what string, all []*roster.Endpoint) {
+	log := d.node.logFor("endpoints")
 	said := all
-	if len(all) > loggedChanges && !d.node.watching.watcher() {
+	if len(all) > loggedChanges && !d.node.watch.watcher() {
 		said = all[:loggedChanges]
 	}
 	for _, e := range said {
@@ -336,7 +336,7 @@
 }
 
 // publish puts the newest list into the log. The lock is held.
-func (d *endpointDuty) publish() {
+func (d *endpointList) publish() {
 	if !d.unlogged {
 		return
 	}
@@ -351,8 +351,8 @@
 
 // pruneSpecs forgets the entries of endpoints that are gone, some at a time. The lock is
 // held.
-func (d *endpointDuty) pruneSpecs() {
-	if len(d.specs) <= len(d.all)+keptSpecs {
+func (d *endpointList) pruneSpecs() {
+	if len(d.specs) <= len(d.all)+maxGoneSpecs {
 		return
 	}
 	specs := make(map[fleet.EndpointID]spec, len(d.all))
@@ -362,13 +362,13 @@
 	d.specs = specs
 }
 
-// keptSpecs is how many entries of endpoints that are gone may be kept: to look for them
+// maxGoneSpecs is how many entries of endpoints that are gone may be kept: to look for them
 // takes as long as the list is.
-const keptSpecs = 256
+const maxGoneSpecs = 256
 
 // forgetGone closes kept connections to addresses that nobody has any more, and
 // to endpoints that have started again.
-func (d *endpointDuty) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
+func (d *endpointList) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
 	kept := make(map[string]bool, len(now))
 	for i := range now {
 		kept[now[i].Address] = true
@@ -383,7 +383,7 @@
 }
 
 // list returns the endpoints, and whether the store has told them.
-func (d *endpointDuty) list() ([]roster.Endpoint, bool) {
+func (d *endpointList) list() ([]roster.Endpoint, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.all, d.listed
--- a/internal/node/endpoints_bench_test.go
+++ b/internal/node/endpoints_bench_test.go
@@ -16,7 +16,7 @@
 	for _, endpoints := range []int{100, 3000, 6000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			f := newFleet(b, 1)
-			f.ready()
+			f.awaitReady()
 			d := f.nodes[0].endpoints
 			d.update(func(time.Time) {
 				for i := range endpoints {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -18,7 +18,7 @@
 )
 
 // addresses returns the listed endpoints' addresses by name.
-func addresses(d *endpointDuty) map[fleet.EndpointID]string {
+func addresses(d *endpointList) map[fleet.EndpointID]string {
 	out := map[fleet.EndpointID]string{}
 	all, _ := d.list()
 	for _, e := range all {
@@ -27,44 +27,44 @@
 	return out
 }
 
-// newDuty returns the duty of a daemon that isn't started.
-func newDuty() *endpointDuty {
+// newIdleEndpointList returns the duty of a daemon that isn't started.
+func newIdleEndpointList() *endpointList {
 	n := New(&Settings{}, Platform{
 		DecodeEndpoint: func(_ time.Time, o objects.Object) (roster.Endpoint, error) {
 			var address string
 			err := json.Unmarshal(o.Spec, &address)
 			return roster.Endpoint{ID: fleet.EndpointID(o.Name), Address: address}, err
 		},
-	}, discard())
+	}, discardLog())
 	return n.endpoints
 }
 
-func entry(name, address string, revision uint64) objects.Object {
+func endpointObject(name, address string, revision uint64) objects.Object {
 	return objects.Object{Name: name, Spec: json.RawMessage(`"` + address + `"`), Revision: revision}
 }
 
 // A hub tells a daemon that an endpoint has a new address. Then the daemon turns
 // to the store and goes on from the revision that the hub vouched for, which is
 // older: the store tells the endpoint's old address first. It must not come back.
-func TestChangesOlderThanTheListAreNotTaken(t *testing.T) {
-	d := newDuty()
-	d.heard(&feed.Update{
+func TestChangesOlderThanTheListAreIgnored(t *testing.T) {
+	d := newIdleEndpointList()
+	d.applyHubList(&feed.Update{
 		To: feed.Position{Epoch: 1, Seq: 4, Revision: 5}, Full: true,
 		Items: []feed.Item{{Name: "a", Spec: []byte(`"new"`), Revision: 9}, {Name: "b", Spec: []byte(`"b"`), Revision: 4}},
 	})
 	assert.Equal(t, d.upTo(), uint64(5))
-	d.Changed([]objects.Change{{Object: entry("a", "old", 7)}}, 7)
+	d.Changed([]objects.Change{{Object: endpointObject("a", "old", 7)}}, 7)
 	assert.Equal(t, addresses(d)["a"], "new")
-	d.Changed([]objects.Change{{Object: entry("a", "newest", 10)}, {Object: entry("b", "b", 11), Deleted: true}}, 11)
+	d.Changed([]objects.Change{{Object: endpointObject("a", "newest", 10)}, {Object: endpointObject("b", "b", 11), Deleted: true}}, 11)
 	assert.DeepEqual(t, addresses(d), map[fleet.EndpointID]string{"a": "newest"})
 }
 
 // A daemon that has listed the store follows a hub whose list is older and has
 // fewer endpoints. It takes the hub's names and what is newer than its own list.
-func TestHubsNamesReplaceTheList(t *testing.T) {
-	d := newDuty()
-	d.Listed([]objects.Object{entry("a", "a", 3), entry("b", "b", 4)}, 6)
-	d.heard(&feed.Update{
+func TestHubKeysReplaceTheList(t *testing.T) {
+	d := newIdleEndpointList()
+	d.Listed([]objects.Object{endpointObject("a", "a", 3), endpointObject("b", "b", 4)}, 6)
+	d.applyHubList(&feed.Update{
 		To:    feed.Position{Epoch: 1, Seq: 4, Revision: 8},
 		Items: []feed.Item{{Name: "c", Spec: []byte(`"c"`), Revision: 7}},
 		Keys:  []rendezvous.ShortKey{rendezvous.ShortKeyOf("a"), rendezvous.ShortKeyOf("c")},
@@ -77,19 +77,19 @@
 // be read, in a change, in a list and in a hub's word. Kept as it was, requests
 // would go to an endpoint that nobody vouches for; the others must stay. It is
 // said once for each reason.
-func TestEntryThatTurnsBadNamesNoEndpoint(t *testing.T) {
+func TestUnreadableEntryRemovesItsEndpoint(t *testing.T) {
 	bad := objects.Object{Name: "a", Spec: json.RawMessage(`7`), Revision: 6}
-	for name, tell := range map[string]func(d *endpointDuty){
-		"change": func(d *endpointDuty) { d.Changed([]objects.Change{{Object: bad}}, 6) },
-		"list":   func(d *endpointDuty) { d.Listed([]objects.Object{bad, entry("b", "b", 4)}, 6) },
-		"hub": func(d *endpointDuty) {
-			d.heard(&feed.Update{To: feed.Position{Epoch: 1, Seq: 4, Revision: 6}, Items: []feed.Item{{Name: "a", Spec: bad.Spec, Revision: 6}}})
+	for name, tell := range map[string]func(d *endpointList){
+		"change": func(d *endpointList) { d.Changed([]objects.Change{{Object: bad}}, 6) },
+		"list":   func(d *endpointList) { d.Listed([]objects.Object{bad, endpointObject("b", "b", 4)}, 6) },
+		"hub": func(d *endpointList) {
+			d.applyHubList(&feed.Update{To: feed.Position{Epoch: 1, Seq: 4, Revision: 6}, Items: []feed.Item{{Name: "a", Spec: bad.Spec, Revision: 6}}})
 		},
 	} {
 		log, said := test.NewNullLogger()
-		d := newDuty()
+		d := newIdleEndpointList()
 		d.node.log = log
-		d.Listed([]objects.Object{entry("a", "a", 3), entry("b", "b", 4)}, 5)
+		d.Listed([]objects.Object{endpointObject("a", "a", 3), endpointObject("b", "b", 4)}, 5)
 		tell(d)
 		tell(d)
 		assert.DeepEqual(t, addresses(d), map[fleet.EndpointID]string{"b": "b"})
@@ -101,9 +101,9 @@
 			}
 		}
 		assert.Equal(t, errors, 1, name)
-		d.Changed([]objects.Change{{Object: entry("a", "old", 5)}}, 6)
+		d.Changed([]objects.Change{{Object: endpointObject("a", "old", 5)}}, 6)
 		assert.Equal(t, len(addresses(d)), 1, "an entry older than the bad one")
-		d.Changed([]objects.Change{{Object: entry("a", "again", 8)}}, 8)
+		d.Changed([]objects.Change{{Object: endpointObject("a", "again", 8)}}, 8)
 		assert.Equal(t, addresses(d)["a"], "again")
 	}
 }
@@ -113,13 +113,13 @@
 // revision: it hears the endpoint's entry and its end once more, and as the
 // store has just come back it would hold the end back for seconds, in which
 // requests go to an endpoint that has left.
-func TestAnEndIsNotForgotten(t *testing.T) {
-	d := newDuty()
-	d.Listed([]objects.Object{entry("a", "a", 3), entry("b", "b", 4)}, 5)
-	d.Changed([]objects.Change{{Object: entry("a", "a", 3), Deleted: true}}, 9)
+func TestRemovedEndpointIsNotRestoredByOlderData(t *testing.T) {
+	d := newIdleEndpointList()
+	d.Listed([]objects.Object{endpointObject("a", "a", 3), endpointObject("b", "b", 4)}, 5)
+	d.Changed([]objects.Change{{Object: endpointObject("a", "a", 3), Deleted: true}}, 9)
 	assert.Equal(t, len(addresses(d)), 1)
 
-	d.heard(&feed.Update{
+	d.applyHubList(&feed.Update{
 		To: feed.Position{Epoch: 1, Seq: 4, Revision: 6}, Full: true,
 		Items: []feed.Item{{Name: "a", Spec: []byte(`"a"`), Revision: 3}, {Name: "b", Spec: []byte(`"b"`), Revision: 4}},
 	})
@@ -127,13 +127,13 @@
 	assert.Equal(t, d.upTo(), uint64(9))
 
 	d.Recovered(time.Now())
-	d.Changed([]objects.Change{{Object: entry("a", "a", 3)}, {Object: entry("a", "a", 3), Deleted: true}}, 9)
+	d.Changed([]objects.Change{{Object: endpointObject("a", "a", 3)}, {Object: endpointObject("a", "a", 3), Deleted: true}}, 9)
 	assert.Equal(t, len(addresses(d)), 1, "the same told again")
-	d.Changed([]objects.Change{{Object: entry("a", "a", 12)}}, 12)
+	d.Changed([]objects.Change{{Object: endpointObject("a", "a", 12)}}, 12)
 	assert.Equal(t, len(addresses(d)), 2, "a new entry")
 }
 
-func discard() *logrus.Logger {
+func discardLog() *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
--- a/internal/node/endpointslog_test.go
+++ b/internal/node/endpointslog_test.go
@@ -15,9 +15,9 @@
 )
 
 // Guards against a line for each endpoint at each daemon where thousands leave at once.
-func TestManyEndpointsThatGoAreAFewLines(t *testing.T) {
+func TestRemovalOfManyEndpointsLogsAFewLines(t *testing.T) {
 	f := newFleet(t, exchange.HubCount+1)
-	f.ready()
+	f.awaitReady()
 	for _, n := range f.nodes {
 		var text bytes.Buffer
 		d := n.endpoints
@@ -38,7 +38,7 @@
 		change(false)
 		n.log.SetOutput(bytes.NewBuffer(nil))
 		lines := strings.Count(text.String(), "endpoint gone")
-		if n.watching.watcher() {
+		if n.watch.watcher() {
 			assert.Equal(t, lines, 1000)
 			continue
 		}
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against answers that name a whole fleet, of which callers take the first.
-func TestCallersAreToldAFewEntriesOfTheirDataCentre(t *testing.T) {
+func TestCallersGetAFewEntriesOfTheirDataCentre(t *testing.T) {
 	for _, daemons := range []int{6, 80, 986, 1972} {
 		all := fleetView(daemons, 1)
 		for _, dc := range []fleet.DataCentre{"dc-0", "dc-5", "elsewhere"} {
@@ -30,7 +30,7 @@
 }
 
 // Guards against callers that leave their connections whenever a daemon comes or goes.
-func TestEntriesChangeByWhoComesAndGoes(t *testing.T) {
+func TestEntriesChangeOnlyByDaemonsThatJoinOrLeave(t *testing.T) {
 	all := fleetView(986, 1)
 	before := map[fleet.DaemonID]bool{}
 	for _, e := range entriesOf(all, "dc-1") {
--- a/internal/node/fetching.go
+++ b/internal/node/fetching.go
@@ -19,39 +19,39 @@
 // next report, so that the oldest may go.
 const offerRing = 64
 
-// fetching brings newer configurations from other daemons. One goroutine owns
+// configFetcher brings newer configurations from other daemons. One goroutine owns
 // the decision.
-type fetching struct {
+type configFetcher struct {
 	node   *Node
 	offers *ring.Ring[offer]
 	fetch  *spread.Fetcher
 }
 
-func newFetching(n *Node) *fetching {
-	return &fetching{node: n, offers: ring.New[offer]("offers", offerRing), fetch: spread.NewFetcher()}
+func newConfigFetcher(n *Node) *configFetcher {
+	return &configFetcher{node: n, offers: ring.New[offer]("offers", offerRing), fetch: spread.NewFetcher()}
 }
 
-// heard notes which version another daemon has.
-func (f *fetching) heard(address string, version uint64) {
+// offered notes which version another daemon has.
+func (f *configFetcher) offered(address string, version uint64) {
 	if version > f.node.config.current().Version {
-		f.node.config.knows(time.Now(), version, address)
+		f.node.config.noteVersion(time.Now(), version, address)
 		f.offers.Push(offer{address, version})
 	}
 }
 
-// heardFrom notes which version a daemon has that is known by its name alone.
-func (f *fetching) heardFrom(id fleet.DaemonID, version uint64) {
+// offeredBy notes which version a daemon has that is known by its name alone.
+func (f *configFetcher) offeredBy(id fleet.DaemonID, version uint64) {
 	if version <= f.node.config.current().Version {
 		return
 	}
 	for _, m := range f.node.members.serving() {
 		if m.Daemon == id {
-			f.heard(m.Peer, version)
+			f.offered(m.Peer, version)
 		}
 	}
 }
 
-func (f *fetching) run(ctx context.Context) {
+func (f *configFetcher) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -64,7 +64,7 @@
 }
 
 // round fetches until nothing newer is known of.
-func (f *fetching) round(ctx context.Context) {
+func (f *configFetcher) round(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.fetch.Applied(f.node.config.current().Version)
 		address, want, ok := f.fetch.Next()
@@ -73,27 +73,27 @@
 		}
 		f.step(ctx, address, want)
 	}
-	f.node.telling.client.CloseFetches()
+	f.node.peers.client.CloseFetches()
 }
 
 // step fetches one piece.
-func (f *fetching) step(ctx context.Context, address string, want spread.Want) {
-	piece, err := f.node.telling.client.Fetch(ctx, address, want)
+func (f *configFetcher) step(ctx context.Context, address string, want spread.Want) {
+	piece, err := f.node.peers.client.Fetch(ctx, address, want)
 	f.node.metrics.fetched(len(piece.Data), err)
 	if err != nil {
 		f.fetch.Failed(address)
-		f.node.say("configuration").WithError(err).WithFields(map[string]any{
+		f.node.logFor("configuration").WithError(err).WithFields(map[string]any{
 			"address": address, "version": want.Version, "offset": want.Offset,
 		}).Warn("piece not fetched")
 		return
 	}
 	if done, complete := f.fetch.Received(address, piece); complete {
-		f.use(done)
+		f.apply(done)
 	}
 }
 
-// use puts in force what a patch leads to.
-func (f *fetching) use(done spread.Piece) {
+// apply puts in force what a patch leads to.
+func (f *configFetcher) apply(done spread.Piece) {
 	base := f.node.config.current()
 	if done.Base != 0 && done.Base != base.Version {
 		return // the store was faster; what is newer still is fetched next
@@ -101,7 +101,7 @@
 	if done.Base == 0 {
 		base = spread.Text{}
 	}
-	log := f.node.say("configuration").WithFields(map[string]any{
+	log := f.node.logFor("configuration").WithFields(map[string]any{
 		"version": done.Version, "base": done.Base, "bytes": done.Size,
 	})
 	text, err := spread.Apply(base.Bytes, done.Data)
--- a/internal/node/firstlist_test.go
+++ b/internal/node/firstlist_test.go
@@ -11,13 +11,13 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// slowConfig is a store whose lists of the configuration take a while.
-type slowConfig struct {
+// slowConfigStore is a store whose lists of the configuration take a while.
+type slowConfigStore struct {
 	*memoryStore
-	lists, cut atomic.Int64
+	lists, cancelled atomic.Int64
 }
 
-func (s *slowConfig) List(ctx context.Context, kind string) ([]objects.Object, uint64, error) {
+func (s *slowConfigStore) List(ctx context.Context, kind string) ([]objects.Object, uint64, error) {
 	if kind != "config" {
 		return s.memoryStore.List(ctx, kind)
 	}
@@ -26,7 +26,7 @@
 	case <-time.After(4 * roleInterval):
 		return s.memoryStore.List(ctx, kind)
 	case <-ctx.Done():
-		s.cut.Add(1)
+		s.cancelled.Add(1)
 		return nil, 0, ctx.Err()
 	}
 }
@@ -36,11 +36,11 @@
 // for a daemon not to watch the store in its first second; was the other list cut
 // for it, nobody had a configuration for that long, and callers were refused.
 // Evidence: 2,028 refusals without a configuration in 1.5 s at 195 daemons.
-func TestListOfTheConfigurationOutlivesThatOfTheEndpoints(t *testing.T) {
+func TestListOfTheConfigurationIsNotCancelledByThatOfTheEndpoints(t *testing.T) {
 	f := newFleet(t, 0)
-	store := &slowConfig{memoryStore: f.store}
+	store := &slowConfigStore{memoryStore: f.store}
 	f.addWith(store, func(*Node) {})
 	f.until("a configuration", func(n *Node) bool { return n.Table() != nil })
 	assert.Equal(t, store.lists.Load(), int64(1))
-	assert.Equal(t, store.cut.Load(), int64(0))
+	assert.Equal(t, store.cancelled.Load(), int64(0))
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -27,14 +27,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
 )
 
-// cloudLog keeps what the duties' holder sends.
-type cloudLog struct {
+// recordingCloud keeps what the duties' holder sends.
+type recordingCloud struct {
 	mu      sync.Mutex
 	reports []duty.Usage
 	tokens  []uint64
 }
 
-func (c *cloudLog) Report(_ context.Context, f duty.Fence, u duty.Usage) error {
+func (c *recordingCloud) Report(_ context.Context, f duty.Fence, u duty.Usage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reports = append(c.reports, u)
@@ -42,9 +42,9 @@
 	return nil
 }
 
-func (c *cloudLog) Order(context.Context, duty.Fence, duty.Order) error { return nil }
+func (c *recordingCloud) Order(context.Context, duty.Fence, duty.Order) error { return nil }
 
-func (c *cloudLog) begun(w fleet.WorkspaceID) uint64 {
+func (c *recordingCloud) total(w fleet.WorkspaceID) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := uint64(0)
@@ -69,27 +69,27 @@
 }
 func (echo) Answer(h http.Header) http.Header { return h }
 
-// sinkLog keeps a caller's answer.
-type sinkLog struct {
+// recordingSink keeps a caller's answer.
+type recordingSink struct {
 	status  int
 	body    string
 	refusal *relay.Refusal
 }
 
-func (s *sinkLog) Whole(status int, _ http.Header, body []byte) {
+func (s *recordingSink) Whole(status int, _ http.Header, body []byte) {
 	s.status, s.body = status, string(body)
 }
-func (s *sinkLog) Refuse(r relay.Refusal) { s.refusal = &r }
-func (s *sinkLog) Begin(int, http.Header) {}
-func (s *sinkLog) WriteBody([]byte) error { return nil }
-func (s *sinkLog) End()                   {}
-func (s *sinkLog) Abort()                 {}
+func (s *recordingSink) Refuse(r relay.Refusal) { s.refusal = &r }
+func (s *recordingSink) Begin(int, http.Header) {}
+func (s *recordingSink) WriteBody([]byte) error { return nil }
+func (s *recordingSink) End()                   {}
+func (s *recordingSink) Abort()                 {}
 
-// fleetOf is daemons on one store.
-type fleetOf struct {
+// testFleet is daemons on one store.
+type testFleet struct {
 	t      testing.TB
 	store  *memoryStore
-	cloud  *cloudLog
+	cloud  *recordingCloud
 	nodes  []*Node
 	cancel []context.CancelFunc
 	done   []chan error
@@ -136,9 +136,9 @@
 	return roster.Endpoint{ID: fleet.EndpointID(o.Name), Service: "s", Address: address, Slots: 8}, err
 }
 
-func newFleet(t testing.TB, n int) *fleetOf {
+func newFleet(t testing.TB, n int) *testFleet {
 	t.Helper()
-	f := &fleetOf{t: t, store: newMemoryStore(), cloud: &cloudLog{}}
+	f := &testFleet{t: t, store: newMemoryStore(), cloud: &recordingCloud{}}
 	engine := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "done")
 	})}
@@ -160,11 +160,11 @@
 }
 
 // add starts one more daemon.
-func (f *fleetOf) add() *Node { return f.addWith(f.store, func(*Node) {}) }
+func (f *testFleet) add() *Node { return f.addWith(f.store, func(*Node) {}) }
 
 // addWith starts one more daemon with a view of the store of its own. change is
 // called before it runs.
-func (f *fleetOf) addWith(store objects.Store, change func(*Node)) *Node {
+func (f *testFleet) addWith(store objects.Store, change func(*Node)) *Node {
 	i := len(f.nodes)
 	s := &Settings{
 		Daemon: DaemonSettings{
@@ -203,7 +203,7 @@
 	return n
 }
 
-func (f *fleetOf) stop() {
+func (f *testFleet) stop() {
 	for _, cancel := range f.cancel {
 		cancel()
 	}
@@ -215,7 +215,7 @@
 }
 
 // until waits for a condition on all daemons.
-func (f *fleetOf) until(what string, ok func(n *Node) bool) {
+func (f *testFleet) until(what string, ok func(n *Node) bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		for _, n := range f.nodes {
@@ -227,23 +227,23 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(10*time.Millisecond))
 }
 
-func (f *fleetOf) ready() {
+func (f *testFleet) awaitReady() {
 	f.t.Helper()
 	f.until("ready", func(n *Node) bool { return n.Ready() && len(n.members.serving()) == len(f.nodes) })
 }
 
-// held waits until all daemons know who holds the duties.
-func (f *fleetOf) held() {
+// awaitHolder waits until all daemons know who holds the duties.
+func (f *testFleet) awaitHolder() {
 	f.t.Helper()
 	f.until("the duties have a holder", func(n *Node) bool {
-		n.telling.mu.Lock()
-		defer n.telling.mu.Unlock()
-		return n.telling.holder.Token > 0
+		n.peers.mu.Lock()
+		defer n.peers.mu.Unlock()
+		return n.peers.holder.Token > 0
 	})
 }
 
-func order(n *Node) *sinkLog {
-	out := &sinkLog{}
+func sendRequest(n *Node) *recordingSink {
+	out := &recordingSink{}
 	now := time.Now()
 	n.Serve(context.Background(), &relay.Request{
 		ID: "1", Method: "POST", Target: "/x", Path: "/x", Host: "h", Key: "key", Received: now, Deadline: now.Add(time.Minute),
--- a/internal/node/introducing.go
+++ b/internal/node/introducing.go
@@ -13,24 +13,24 @@
 // others are told.
 const membersInterval = 100 * time.Millisecond
 
-// introducing tells a large fleet's daemons who there is: hubs hear from all of their
+// memberLists tells a large fleet's daemons who there is: hubs hear from all of their
 // own data centre and from each other, while the membership protocol takes minutes to
 // spread a thousand that start at once. The exchange's lock is held for all methods.
-type introducing struct {
-	node *Node
-	log  *feed.Log
-	view *membership.View // that the log has
-	at   time.Time
-	told map[string]feed.Position // what this daemon has of hubs' lists, by address
-	asks map[string]time.Time     // when they last told theirs
+type memberLists struct {
+	node       *Node
+	log        *feed.Log
+	view       *membership.View // that the log has
+	at         time.Time
+	positions  map[string]feed.Position // what this daemon has of hubs' lists, by address
+	receivedAt map[string]time.Time     // when they last told theirs
 }
 
-func newIntroducing(n *Node) *introducing {
-	return &introducing{node: n, log: feed.NewLog(rand.Uint64() | 1), told: map[string]feed.Position{}, asks: map[string]time.Time{}}
+func newMemberLists(n *Node) *memberLists {
+	return &memberLists{node: n, log: feed.NewLog(rand.Uint64() | 1), positions: map[string]feed.Position{}, receivedAt: map[string]time.Time{}}
 }
 
 // since returns what leads another daemon to this hub's list of members.
-func (i *introducing) since(now time.Time, p feed.Position) feed.Update {
+func (i *memberLists) since(now time.Time, p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
@@ -51,12 +51,12 @@
 	return out
 }
 
-// heard takes a hub's list. Who isn't on it any more is left to the membership protocol.
-func (i *introducing) heard(address string, u *feed.Update) []membership.Member {
+// receive takes a hub's list. Who isn't on it any more is left to the membership protocol.
+func (i *memberLists) receive(address string, u *feed.Update) []membership.Member {
 	if u.To.Seq == 0 {
 		return nil
 	}
-	i.told[address], i.asks[address] = u.To, time.Now()
+	i.positions[address], i.receivedAt[address] = u.To, time.Now()
 	out := make([]membership.Member, 0, len(u.Items))
 	for _, it := range u.Items {
 		if m, err := exchange.DecodeMember(it.Spec); err == nil {
@@ -68,15 +68,15 @@
 
 // position returns what this daemon has of a hub's list, Unwanted where another one
 // tells it or it was told a short while ago.
-func (i *introducing) position(address string, wanted bool) feed.Position {
-	if !wanted || time.Since(i.asks[address]) < listInterval {
+func (i *memberLists) position(address string, wanted bool) feed.Position {
+	if !wanted || time.Since(i.receivedAt[address]) < listInterval {
 		return feed.NoUpdate
 	}
-	return i.told[address]
+	return i.positions[address]
 }
 
-// introduce passes members on to the membership protocol.
-func (n *Node) introduce(all []membership.Member) {
+// addMembers passes members on to the membership protocol.
+func (n *Node) addMembers(all []membership.Member) {
 	if len(all) > 0 {
 		n.members.gossip.Introduce(all)
 	}
--- a/internal/node/keptlimits.go
+++ b/internal/node/keptlimits.go
@@ -18,8 +18,8 @@
 	limitsName = "kept"
 )
 
-// keptLimits is what daemons that are all killed at once know of before.
-type keptLimits struct {
+// limitsCheckpoint is what daemons that are all killed at once know of before.
+type limitsCheckpoint struct {
 	At time.Time `json:"at"` // the fleet's
 	// Daemons is how many there were; daemons that start again divide limits by it
 	// until they hear of each other.
@@ -29,8 +29,8 @@
 	Crashes []quarantine.Crash `json:"crashes,omitempty"`
 }
 
-// limitsKeeper writes it. It belongs to the duties' goroutine.
-type limitsKeeper struct {
+// limitsWriter writes it. It belongs to the duties' goroutine.
+type limitsWriter struct {
 	duties *duties
 	busy   bool
 	last   time.Time
@@ -39,19 +39,19 @@
 
 // due reports whether limits are to be written: each second, and at once where much
 // was spent since that no reader could know of.
-func (k *limitsKeeper) due(now time.Time) bool {
+func (k *limitsWriter) due(now time.Time) bool {
 	ago := now.Sub(k.last)
 	return !k.busy && (ago >= checkpointInterval || k.duties.node.state.CheckpointsOutdated(now, ago, k.limits))
 }
 
 // step writes when that is due.
-func (k *limitsKeeper) step(ctx context.Context, now time.Time) {
+func (k *limitsWriter) step(ctx context.Context, now time.Time) {
 	if !k.due(now) {
 		return
 	}
 	n := k.duties.node
 	k.last, k.limits = now, n.state.LimitCheckpoints(now)
-	text, err := json.Marshal(keptLimits{n.clock.Now(), n.members.number(), k.limits, n.crashes.table.Snapshot()})
+	text, err := json.Marshal(limitsCheckpoint{n.clock.Now(), n.members.cachedCount(), k.limits, n.crashes.table.Snapshot()})
 	if err != nil {
 		k.duties.log.WithError(err).Error("limits not encoded")
 		return
@@ -77,19 +77,19 @@
 	return err
 }
 
-// learnFleet reads how many daemons there were before this one started, and what
+// restoreLimits reads how many daemons there were before this one started, and what
 // the limits had left.
-func (n *Node) learnFleet(ctx context.Context) {
+func (n *Node) restoreLimits(ctx context.Context) {
 	if n.settings.Daemon.FirstStart {
 		return
 	}
-	kept, err := stored[keptLimits](n.platform.Store.Get(ctx, limitsKind, limitsName))
+	kept, err := stored[limitsCheckpoint](n.platform.Store.Get(ctx, limitsKind, limitsName))
 	if err != nil {
-		n.say("daemon").WithError(err).Info("fleet not known from before")
+		n.logFor("daemon").WithError(err).Info("fleet not known from before")
 		return
 	}
 	n.crashes.add(kept.Crashes)
-	n.members.known.Store(&kept.Daemons)
+	n.members.prior.Store(&kept.Daemons)
 	now := time.Now()
 	n.state.SetDaemons(now, max(kept.Daemons, len(n.members.serving())))
 	n.state.RestoreLimits(now, n.clock.Now().Sub(kept.At), kept.Limits)
--- a/internal/node/large_test.go
+++ b/internal/node/large_test.go
@@ -16,9 +16,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// mixed starts a fleet of strong and weak machines in some data centres, at once and for
+// newMixedFleet starts a fleet of strong and weak machines in some data centres, at once and for
 // the first time, so that its hubs relay to each other.
-func mixed(t *testing.T, centres, strong, weak int) *fleetOf {
+func newMixedFleet(t *testing.T, centres, strong, weak int) *testFleet {
 	f := newFleet(t, 0)
 	for i := range centres * (strong + weak) {
 		l := LimitSettings{Cores: 0.192, LinkMbps: 20}
@@ -34,37 +34,37 @@
 	return f
 }
 
-// lists returns how often a daemon has listed the endpoints in the store.
-func lists(n *Node) uint64 {
+// endpointLists returns how often a daemon has listed the endpoints in the store.
+func endpointLists(n *Node) uint64 {
 	name := `cyclamenbeam_store_calls_total{call="list",kind="endpoints",result="ok"}`
 	return n.metrics.set.GetOrCreateCounter(name).Get()
 }
 
 // Guards against a start in which each daemon of a fleet lists all endpoints.
-func TestWeakMachinesAreToldTheFirstList(t *testing.T) {
-	f := mixed(t, 2, 2, 8)
-	f.ready()
+func TestWeakMachinesGetTheFirstListFromHubs(t *testing.T) {
+	f := newMixedFleet(t, 2, 2, 8)
+	f.awaitReady()
 	for _, n := range f.nodes {
-		if n.watching.weak() {
-			assert.Equal(t, lists(n), uint64(0), "%s", n.settings.Daemon.Instance)
+		if n.watch.weak() {
+			assert.Equal(t, endpointLists(n), uint64(0), "%s", n.settings.Daemon.Instance)
 		}
 	}
 }
 
 // Guards against daemons that don't hear of what those of another data centre let in.
-func TestSpendingIsHeardThroughTwoHubs(t *testing.T) {
-	f := mixed(t, 2, 2, 3)
-	f.ready()
+func TestUsageReachesHubsOfOtherDataCentres(t *testing.T) {
+	f := newMixedFleet(t, 2, 2, 3)
+	f.awaitReady()
 	last := f.nodes[len(f.nodes)-1]
-	assert.Equal(t, string(order(last).body), "done")
+	assert.Equal(t, string(sendRequest(last).body), "done")
 	f.until("all hubs hear of the request", func(n *Node) bool {
 		if !strings.HasPrefix(string(n.id), "9-") {
 			return true
 		}
-		n.telling.mu.Lock()
-		defer n.telling.mu.Unlock()
+		n.peers.mu.Lock()
+		defer n.peers.mu.Unlock()
 		for window := range last.begun.windows() {
-			if n.telling.hub.RequestCounts(window)["w"] == 1 {
+			if n.peers.hub.RequestCounts(window)["w"] == 1 {
 				return true
 			}
 		}
@@ -72,25 +72,25 @@
 	})
 }
 
-// severed is a daemon's way to its peers, some of which can be cut off.
-type severed struct {
+// peerDialer is a daemon's way to its peers, some of which can be cut off.
+type peerDialer struct {
 	dial func(context.Context, string) (net.Conn, error)
 
-	mu    sync.Mutex
-	gone  []string
-	conns map[string][]net.Conn
+	mu     sync.Mutex
+	cutOff []string
+	conns  map[string][]net.Conn
 }
 
-func sever(n *Node) *severed {
-	s := &severed{dial: n.telling.client.Dial, conns: map[string][]net.Conn{}}
-	n.telling.client.Dial = s.to
+func interceptDial(n *Node) *peerDialer {
+	s := &peerDialer{dial: n.peers.client.Dial, conns: map[string][]net.Conn{}}
+	n.peers.client.Dial = s.dialPeer
 	return s
 }
 
-func (s *severed) to(ctx context.Context, address string) (net.Conn, error) {
+func (s *peerDialer) dialPeer(ctx context.Context, address string) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slices.Contains(s.gone, address) {
+	if slices.Contains(s.cutOff, address) {
 		return nil, net.ErrClosed
 	}
 	c, err := s.dial(ctx, address)
@@ -100,10 +100,10 @@
 	return c, err
 }
 
-func (s *severed) cut(addresses []string) {
+func (s *peerDialer) cut(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone = addresses
+	s.cutOff = addresses
 	for _, address := range addresses {
 		for _, c := range s.conns[address] {
 			_ = c.Close()
@@ -113,30 +113,30 @@
 
 // Guards against a data centre whose hubs don't answer, so that nobody hears of its
 // daemons' requests until the membership protocol has noticed.
-func TestNextStrongestStandsInForSilentHubs(t *testing.T) {
-	f := mixed(t, 2, 3, 3)
-	var way *severed
+func TestNextStrongestReplacesUnresponsiveHubs(t *testing.T) {
+	f := newMixedFleet(t, 2, 3, 3)
+	var way *peerDialer
 	last := f.addWith(f.store, func(n *Node) {
 		n.settings.Daemon.DataCentre = "dc-0"
 		n.settings.Limits = LimitSettings{Cores: 0.192, LinkMbps: 20}
 		n.id = newID(n.settings.Limits)
-		way = sever(n)
+		way = interceptDial(n)
 	})
-	f.ready()
+	f.awaitReady()
 	way.cut(peersOf(last.members.layout().own))
 	at := time.Now().Add(100 * time.Millisecond)
 	f.untilAmong("a hub of the other data centre has heard of the daemon", func(n *Node) bool {
 		if n.settings.Daemon.DataCentre == "dc-0" || !n.members.layout().isHub(n.id) {
 			return false
 		}
-		n.telling.mu.Lock()
-		defer n.telling.mu.Unlock()
-		return n.telling.hub.ReceivedFromAll(at, []fleet.DaemonID{last.id})
+		n.peers.mu.Lock()
+		defer n.peers.mu.Unlock()
+		return n.peers.hub.ReceivedFromAll(at, []fleet.DaemonID{last.id})
 	})
 }
 
 // untilAmong waits for a condition on one of the daemons.
-func (f *fleetOf) untilAmong(what string, ok func(n *Node) bool) {
+func (f *testFleet) untilAmong(what string, ok func(n *Node) bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		if slices.ContainsFunc(f.nodes, ok) {
@@ -147,8 +147,8 @@
 }
 
 func TestRoleIsAMetric(t *testing.T) {
-	f := mixed(t, 1, 3, 1)
-	f.ready()
+	f := newMixedFleet(t, 1, 3, 1)
+	f.awaitReady()
 	roles := map[string]int{}
 	for _, n := range f.nodes {
 		var text strings.Builder
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -8,13 +8,13 @@
 const (
 	// leaveMargin is kept of the grace for closing the listeners.
 	leaveMargin = 300 * time.Millisecond
-	// leastStay is how long a leaving daemon goes on serving though nothing is
+	// minDrain is how long a leaving daemon goes on serving though nothing is
 	// under way: callers keep the addresses they were told for three times
 	// answerAge, and new requests on open connections are answered with the
 	// connection's close.
-	leastStay = 3*answerAge + 500*time.Millisecond
-	// tellLeave bounds telling the others.
-	tellLeave = 500 * time.Millisecond
+	minDrain = 3*answerAge + 500*time.Millisecond
+	// announceTimeout bounds telling the others.
+	announceTimeout = 500 * time.Millisecond
 )
 
 // leave takes this daemon out of the entries, serves what still comes, ends the
@@ -26,44 +26,44 @@
 	started := time.Now()
 	n.stopping.Store(true)
 	n.relay.Stop(started)
-	n.say("daemon").WithField("active", n.relay.Active()).Info("leaving")
-	n.leaveMembers()
+	n.logFor("daemon").WithField("active", n.relay.Active()).Info("leaving")
+	n.announceLeave()
 	end := started.Add(time.Duration(n.grace.Load()) - leaveMargin)
-	n.serveOn(started, end)
+	n.drain(started, end)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	endListeners(ctx)
-	n.tellLast()
+	n.finalReport()
 	if err := n.members.gossip.Close(); err != nil {
-		n.say("membership").WithError(err).Debug("gossip not closed")
+		n.logFor("membership").WithError(err).Debug("gossip not closed")
 	}
 }
 
-// leaveMembers tells the others that this daemon leaves.
-func (n *Node) leaveMembers() {
-	ctx, cancel := context.WithTimeout(context.Background(), tellLeave)
+// announceLeave tells the others that this daemon leaves.
+func (n *Node) announceLeave() {
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	if err := n.members.gossip.Leave(ctx); err != nil {
-		n.say("membership").WithError(err).Warn("leaving not told")
+		n.logFor("membership").WithError(err).Warn("leaving not told")
 	}
 }
 
-// serveOn waits until nothing has been under way since leastStay, or the end.
-func (n *Node) serveOn(started, end time.Time) {
+// drain waits until nothing has been under way since leastStay, or the end.
+func (n *Node) drain(started, end time.Time) {
 	for time.Now().Before(end) {
-		if time.Since(started) > leastStay && n.relay.Active() == 0 {
+		if time.Since(started) > minDrain && n.relay.Active() == 0 {
 			return
 		}
-		time.Sleep(leavePoll)
+		time.Sleep(drainPoll)
 	}
 }
 
-// tellLast tells the hubs this daemon's part as it ends.
-func (n *Node) tellLast() {
-	ctx, cancel := context.WithTimeout(context.Background(), tellLeave)
+// finalReport tells the hubs this daemon's part as it ends.
+func (n *Node) finalReport() {
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
-	n.telling.round(ctx)
+	n.peers.round(ctx)
 }
 
-// leavePoll is how often the end of the last request is looked for.
-const leavePoll = 20 * time.Millisecond
+// drainPoll is how often the end of the last request is looked for.
+const drainPoll = 20 * time.Millisecond
--- a/internal/node/lister.go
+++ b/internal/node/lister.go
@@ -8,24 +8,24 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/feed"
 )
 
-// chooseLoader chooses the hub that tells the endpoints' loads: the first that
+// chooseLoadHub chooses the hub that tells the endpoints' loads: the first that
 // has answered lately, or all where none has.
-func (t *telling) chooseLoader(targets []string) {
+func (t *peerExchange) chooseLoadHub(targets []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.loader = ""
+	t.loadHub = ""
 	for _, address := range targets {
-		if address == t.node.settings.Listen.Peers || time.Since(t.to(address).answered) < t.silence() && !t.lost(address) {
-			t.loader = address
+		if address == t.node.settings.Listen.Peers || time.Since(t.reportsTo(address).answeredAt) < t.unresponsiveAfter() && !t.lostRelay(address) {
+			t.loadHub = address
 			return
 		}
 	}
 }
 
-// lost reports whether a hub that relays has left a report unanswered: what it was told
+// lostRelay reports whether a hub that relays has left a report unanswered: what it was told
 // since it last relayed isn't known to others. The lock is held.
-func (t *telling) lost(address string) bool {
-	return t.node.members.layout().meshed && t.to(address).unanswered
+func (t *peerExchange) lostRelay(address string) bool {
+	return t.node.members.layout().meshed && t.reportsTo(address).unanswered
 }
 
 // perDaemonLoads bounds the loads that a hub tells at 125 a second: they are
@@ -33,30 +33,30 @@
 const perDaemonLoads = 8 * time.Millisecond
 
 // brief reports whether a hub need not tell loads now. The lock is held.
-func (t *telling) brief(address string) bool {
-	if t.loader == "" {
+func (t *peerExchange) brief(address string) bool {
+	if t.loadHub == "" {
 		return false
 	}
 	daemons := time.Duration(len(t.node.members.serving()))
-	return t.loader != address || daemons > exchange.SmallFleet && time.Since(t.loadedAt) < daemons*perDaemonLoads
+	return t.loadHub != address || daemons > exchange.SmallFleet && time.Since(t.loadedAt) < daemons*perDaemonLoads
 }
 
-// position returns what this daemon has of a hub's list of endpoints. One hub's
+// endpointsPosition returns what this daemon has of a hub's list of endpoints. One hub's
 // list is followed at a time, and none while this daemon watches the store
 // itself. The lock is held.
-func (t *telling) position(l *layout, address string) feed.Position {
-	late := t.node.endpoints.late()
+func (t *peerExchange) endpointsPosition(l *layout, address string) feed.Position {
+	late := t.node.endpoints.lateList()
 	switch {
 	case t.node.endpoints.due() && !late:
 		return feed.NoUpdate
-	case !t.node.endpoints.known() && !late && !t.mayList(address):
+	case !t.node.endpoints.hasList() && !late && !t.mayAskList(address):
 		return feed.NoUpdate
-	case t.lister == "" && !t.follows(l, address):
+	case t.listHub == "" && !t.mayFollow(l, address):
 		return feed.NoUpdate // all there is comes from one hub
-	case t.lister == "":
+	case t.listHub == "":
 		return feed.Position{Revision: t.node.endpoints.upTo()}
-	case t.lister == address && t.listsOften(l):
-		return t.listed
+	case t.listHub == address && t.listsOften(l):
+		return t.listPosition
 	default:
 		return feed.NoUpdate
 	}
@@ -68,58 +68,58 @@
 
 // listsOften reports whether it is time to look at the list again. Hubs always do: what
 // they tell is late by as much. The lock is held.
-func (t *telling) listsOften(l *layout) bool {
+func (t *peerExchange) listsOften(l *layout) bool {
 	return !l.meshed || t.relaying || time.Since(t.listedAt) >= listInterval
 }
 
-// follows reports whether this daemon may begin to follow a hub's list. A hub that
-// relays follows those that watch the store. The lock is held.
-func (t *telling) follows(l *layout, address string) bool {
+// mayFollow reports whether this daemon may begin to follow a hub's list. A hub that
+// relays mayFollow those that watch the store. The lock is held.
+func (t *peerExchange) mayFollow(l *layout, address string) bool {
 	if t.relaying {
 		return slices.Contains(peersOf(l.watchers), address)
 	}
-	return t.loader == "" || t.loader == address || t.node.endpoints.known()
+	return t.loadHub == "" || t.loadHub == address || t.node.endpoints.hasList()
 }
 
-// list takes a hub's list of endpoints where this daemon follows it, or none. A
-// daemon that has no list takes an old one as well: it goes on from there.
-func (t *telling) list(address string, sum *exchange.Reply) {
+// takeList takes a hub's takeList of endpoints where this daemon follows it, or none. A
+// daemon that has no takeList takes an old one as well: it goes on from there.
+func (t *peerExchange) takeList(address string, sum *exchange.Reply) {
 	t.mu.Lock()
-	lister := t.lister
+	lister := t.listHub
 	t.mu.Unlock()
 	wanted := lister == "" || lister == address
-	old := sum.StoreAge > t.node.watching.stale() && t.node.endpoints.known()
+	old := sum.StoreAge > t.node.watch.staleAfter() && t.node.endpoints.hasList()
 	if !wanted || old || sum.Endpoints.To.Seq == 0 {
 		return
 	}
-	t.node.endpoints.heard(&sum.Endpoints)
-	t.setLister(address, sum.Endpoints.To, sum.StoreAge)
+	t.node.endpoints.applyHubList(&sum.Endpoints)
+	t.setListHub(address, sum.Endpoints.To, sum.StoreAge)
 }
 
-// checkLister lets the followed hub go where it has told nothing for a while.
+// checkListHub lets the followed hub go where it has told nothing for a while.
 // While this daemon watches the store itself the place in the hub's list is
 // kept: the whole list, of hundreds of kilobytes in a large fleet, would
 // otherwise be told each time that a hub is late.
-func (t *telling) checkLister() {
+func (t *peerExchange) checkListHub() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.node.endpoints.due():
 		t.listedAt = time.Now() // the hub's changes since then are asked for later
-	case time.Since(t.listedAt) > t.silence()+listInterval:
-		t.lister, t.listed = "", feed.Position{}
+	case time.Since(t.listedAt) > t.unresponsiveAfter()+listInterval:
+		t.listHub, t.listPosition = "", feed.Position{}
 	}
 }
 
-// silence is the time after which a hub that tells nothing is let go: two
+// unresponsiveAfter is the time after which a hub that tells nothing is let go: two
 // reports have gone unanswered by then.
-func (t *telling) silence() time.Duration { return 5 * t.node.interval() / 2 }
+func (t *peerExchange) unresponsiveAfter() time.Duration { return 5 * t.node.interval() / 2 }
 
-// setLister notes which hub's list this daemon has, as it was some time ago.
-func (t *telling) setLister(address string, at feed.Position, age time.Duration) {
+// setListHub notes which hub's list this daemon has, as it was some time ago.
+func (t *peerExchange) setListHub(address string, at feed.Position, age time.Duration) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lister, t.listed, t.listedAt = address, at, now
-	t.passedOn = now.Add(-age)
+	t.listHub, t.listPosition, t.listedAt = address, at, now
+	t.hubStoreContact = now.Add(-age)
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -25,14 +25,14 @@
 	gossip *gossip.Node
 	seeds  atomic.Pointer[[]membership.Member]
 	count  atomic.Int64 // of the serving daemons, at the last look
-	last   atomic.Pointer[viewed]
+	cache  atomic.Pointer[cachedLayout]
 	self   membership.Member
-	// known is how many daemons there were before this one started, once it has learned.
-	known atomic.Pointer[int]
+	// prior is how many daemons there were before this one started, once it has learned.
+	prior atomic.Pointer[int]
 }
 
-// viewed is the layout of a view.
-type viewed struct {
+// cachedLayout is the layout of a view.
+type cachedLayout struct {
 	view   *membership.View
 	large  bool
 	layout *layout
@@ -97,11 +97,11 @@
 	return out
 }
 
-// gatherFleet is how long a daemon that starts may take to find all others.
-const gatherFleet = 2500 * time.Millisecond
+// gatherPeriod is how long a daemon that starts may take to find all others.
+const gatherPeriod = 2500 * time.Millisecond
 
 // gathering reports whether this daemon may not have found all others yet.
-func (n *Node) gathering() bool { return time.Since(n.started) < gatherFleet }
+func (n *Node) gathering() bool { return time.Since(n.started) < gatherPeriod }
 
 // countInterval is how often the daemons are counted. Until a part of the fleet
 // knows that it is cut off, it lets in more than its part of the limits.
@@ -115,9 +115,9 @@
 		if n != seen {
 			seen = n
 			m.count.Store(int64(n))
-			m.node.telling.setInterval(m.node.way())
+			m.node.peers.setInterval(m.node.reportAge())
 			m.node.shareConnections()
-			m.node.say("membership").WithField("daemons", n).Info("fleet changed")
+			m.node.logFor("membership").WithField("daemons", n).Info("fleet changed")
 		}
 		// A daemon that has just started finds the others one by one.
 		if !m.node.gathering() {
@@ -126,17 +126,17 @@
 	})
 }
 
-// number returns how many daemons serve, as of countInterval ago at the most.
-func (m *members) number() int { return int(m.count.Load()) }
+// cachedCount returns how many daemons serve, as of countInterval ago at the most.
+func (m *members) cachedCount() int { return int(m.count.Load()) }
 
 // layout returns who works for whom, by the newest view.
 func (m *members) layout() *layout {
 	view, large := m.gossip.View(), m.large()
-	if last := m.last.Load(); last != nil && last.view == view && last.large == large {
+	if last := m.cache.Load(); last != nil && last.view == view && last.large == large {
 		return last.layout
 	}
 	l := newLayout(&m.self, aliveOf(view), large)
-	m.last.Store(&viewed{view, large, l})
+	m.cache.Store(&cachedLayout{view, large, l})
 	return l
 }
 
@@ -148,14 +148,14 @@
 		return false
 	}
 	first := m.node.settings.Daemon.FirstStart && m.mixed(m.gossip.View())
-	known, _ := m.before()
+	known, _ := m.priorCount()
 	return first || exchange.Meshed(known)
 }
 
-// before returns how many daemons there were before this one started, and whether it
+// priorCount returns how many daemons there were priorCount this one started, and whether it
 // has learned so; none at a first start.
-func (m *members) before() (daemons int, learned bool) {
-	if known := m.known.Load(); known != nil {
+func (m *members) priorCount() (daemons int, learned bool) {
+	if known := m.prior.Load(); known != nil {
 		return *known, true
 	}
 	return 0, false
@@ -166,7 +166,7 @@
 	strong, weak := false, false
 	for _, member := range view.Alive() {
 		grade := strengthOf(member.Daemon)
-		strong = strong || grade >= entryStrength
+		strong = strong || grade >= registerStrength
 		weak = weak || grade < hubStrength
 		if strong && weak {
 			return true
--- a/internal/node/memorystore_test.go
+++ b/internal/node/memorystore_test.go
@@ -14,18 +14,18 @@
 
 // memoryStore is an object store in memory that can be down.
 type memoryStore struct {
-	mu       sync.Mutex
-	down     bool
-	era      uint64
-	revision uint64                               // the counter; what is told has the era above it
-	objects  map[string]map[string]objects.Object // by kind and name
-	log      []logged
-	changed  chan struct{}
-	listed   int
-	called   atomic.Int64 // calls of all kinds
-}
-
-type logged struct {
+	mu        sync.Mutex
+	down      bool
+	era       uint64
+	revision  uint64                               // the counter; what is told has the era above it
+	objects   map[string]map[string]objects.Object // by kind and name
+	changes   []loggedChange
+	changed   chan struct{}
+	listCalls int
+	calls     atomic.Int64 // calls of all kinds
+}
+
+type loggedChange struct {
 	kind   string
 	change objects.Change
 }
@@ -49,46 +49,46 @@
 var errDown = objects.Error.New("down")
 
 func (s *memoryStore) List(_ context.Context, kind string) ([]objects.Object, uint64, error) {
-	s.called.Add(1)
+	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return nil, 0, errDown
 	}
-	s.listed++
+	s.listCalls++
 	var all []objects.Object
 	for _, o := range s.objects[kind] {
 		all = append(all, o)
 	}
-	return all, s.told(), nil
+	return all, s.revisionNow(), nil
 }
 
-// told returns the revision as it is told. The lock is held.
-func (s *memoryStore) told() uint64 { return objects.RevisionIn(s.era, s.revision) }
+// revisionNow returns the revision as it is revisionNow. The lock is held.
+func (s *memoryStore) revisionNow() uint64 { return objects.RevisionIn(s.era, s.revision) }
 
-// copied is the store at a moment.
-type copied struct {
+// storeSnapshot is the store at a moment.
+type storeSnapshot struct {
 	revision uint64
 	objects  map[string]map[string]objects.Object
 }
 
-func (s *memoryStore) copy() copied {
+func (s *memoryStore) snapshot() storeSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := copied{revision: s.revision, objects: map[string]map[string]objects.Object{}}
+	out := storeSnapshot{revision: s.revision, objects: map[string]map[string]objects.Object{}}
 	for kind, all := range s.objects {
 		out.objects[kind] = maps.Clone(all)
 	}
 	return out
 }
 
-// comeBack brings a copy back: the counter goes back, its numbers are given out
+// restore brings a copy back: the counter goes back, its numbers are given out
 // again, and the era rises.
-func (s *memoryStore) comeBack(c copied) {
+func (s *memoryStore) restore(c storeSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
-	s.revision, s.log = c.revision, nil
+	s.revision, s.changes = c.revision, nil
 	s.objects = map[string]map[string]objects.Object{}
 	for kind, all := range c.objects {
 		s.objects[kind] = map[string]objects.Object{}
@@ -100,17 +100,17 @@
 	s.wake()
 }
 
-// lists returns how often kinds were listed, and forgets it.
-func (s *memoryStore) lists() int {
+// takeListCount returns how often kinds were listed, and forgets it.
+func (s *memoryStore) takeListCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.listed
-	s.listed = 0
+	n := s.listCalls
+	s.listCalls = 0
 	return n
 }
 
 func (s *memoryStore) SetStatus(_ context.Context, kind, name string, revision uint64, status json.RawMessage) (objects.Object, error) {
-	s.called.Add(1)
+	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -124,25 +124,25 @@
 		return o, objects.ErrConflict
 	}
 	s.revision++
-	o.Revision, o.Status = s.told(), status
+	o.Revision, o.Status = s.revisionNow(), status
 	s.objects[kind][name] = o
-	s.log = append(s.log, logged{kind, objects.Change{Object: o}})
+	s.changes = append(s.changes, loggedChange{kind, objects.Change{Object: o}})
 	s.wake()
 	return o, nil
 }
 
 func (s *memoryStore) Watch(ctx context.Context, kind string, after uint64, wait time.Duration) ([]objects.Change, uint64, error) {
-	s.called.Add(1)
+	s.calls.Add(1)
 	late := time.After(wait)
 	for {
 		s.mu.Lock()
 		var out []objects.Change
-		for _, l := range s.log {
+		for _, l := range s.changes {
 			if l.kind == kind && l.change.Object.Revision > after {
 				out = append(out, l.change)
 			}
 		}
-		down, revision, changed := s.down, s.told(), s.changed
+		down, revision, changed := s.down, s.revisionNow(), s.changed
 		past := objects.EraOf(after) != s.era
 		s.mu.Unlock()
 		if past {
@@ -165,7 +165,7 @@
 }
 
 func (s *memoryStore) Get(_ context.Context, kind, name string) (objects.Object, error) {
-	s.called.Add(1)
+	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.objects[kind][name]
@@ -189,7 +189,7 @@
 }
 
 func (s *memoryStore) put(kind, name string, spec json.RawMessage, may func(objects.Object, bool) bool) (objects.Object, error) {
-	s.called.Add(1)
+	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -200,12 +200,12 @@
 		return old, objects.ErrConflict
 	}
 	s.revision++
-	o := objects.Object{Name: name, Revision: s.told(), Spec: spec}
+	o := objects.Object{Name: name, Revision: s.revisionNow(), Spec: spec}
 	if s.objects[kind] == nil {
 		s.objects[kind] = map[string]objects.Object{}
 	}
 	s.objects[kind][name] = o
-	s.log = append(s.log, logged{kind, objects.Change{Object: o}})
+	s.changes = append(s.changes, loggedChange{kind, objects.Change{Object: o}})
 	s.wake()
 	return o, nil
 }
--- a/internal/node/metricslisten.go
+++ b/internal/node/metricslisten.go
@@ -26,13 +26,13 @@
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: metricsTimeout, WriteTimeout: metricsTimeout}
 	n.wg.Go(func() {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			n.say("daemon").WithError(err).Error("metrics listener ended")
+			n.logFor("daemon").WithError(err).Error("metrics listener ended")
 		}
 	})
 	n.wg.Go(func() {
 		<-ctx.Done()
 		if err := srv.Close(); err != nil {
-			n.say("daemon").WithError(err).Debug("metrics listener not closed")
+			n.logFor("daemon").WithError(err).Debug("metrics listener not closed")
 		}
 	})
 	return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,16 +31,16 @@
 	pool      *upstream.Pool
 	clock     *clock.Clock
 	config    *configuration
-	fetching  *fetching
-	endpoints *endpointDuty
+	fetcher   *configFetcher
+	endpoints *endpointList
 	members   *members
 	joined    atomic.Pointer[members] // members, for who may ask before Run
-	telling   *telling
+	peers     *peerExchange
 	rollouts  *rolloutDuty
-	watching  *watching
-	starting  *starting
+	watch     *watchPolicy
+	startGate *startGate
 	begun     *begunCounts
-	crashes   *crashes
+	crashes   *crashGuard
 	requests  *requestLog
 	metrics   *metricSet
 
@@ -69,29 +69,29 @@
 	}
 	limits := quota.New(s.Daemon.FirstStart, s.Bounds.tolerance())
 	n.state = relay.NewState(s.Daemon.DataCentre, limits, budget, random())
-	n.crashes = newCrashes(n)
+	n.crashes = newCrashGuard(n)
 	n.begun = newBegunCounts(seconds(s.Bounds.UsageWindowSeconds))
 	n.metrics = newMetricSet(n)
 	n.platform.Store = &countedStore{store: p.Store, metrics: n.metrics}
 	n.requests = newRequestLog(log, n.metrics)
 	n.relay = relay.New(n.state, n.pool, p.Protocol, &observer{n}, n.crashes)
-	n.watching = newWatching(n)
-	n.starting = newStarting(n.started)
+	n.watch = newWatchPolicy(n)
+	n.startGate = newStartGate(n.started)
 	n.config = newConfiguration(n)
-	n.fetching = newFetching(n)
-	n.endpoints = newEndpointDuty(n)
-	n.telling = newTelling(n)
+	n.fetcher = newConfigFetcher(n)
+	n.endpoints = newEndpointList(n)
+	n.peers = newPeerExchange(n)
 	n.state.SetRollouts(s.Bounds.rollouts())
 	n.rollouts = newRolloutDuty(n)
 	n.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	return n
 }
 
-// contact is how long after a disturbance the platform's bounds hold again.
-func (n *Node) contact() time.Duration { return millis(n.settings.Bounds.ContactMillis) }
+// contactBound is how long after a disturbance the platform's bounds hold again.
+func (n *Node) contactBound() time.Duration { return millis(n.settings.Bounds.ContactMillis) }
 
-// change is how long after its acknowledgement a change may not yet be in force.
-func (n *Node) change() time.Duration { return millis(n.settings.Bounds.ChangeMillis) }
+// changeBound is how long after its acknowledgement a changeBound may not yet be in force.
+func (n *Node) changeBound() time.Duration { return millis(n.settings.Bounds.ChangeMillis) }
 
 // startShare is the connections to an endpoint until its service's bound and
 // the number of daemons are known.
@@ -110,7 +110,7 @@
 	}
 	n.members = members
 	n.joined.Store(members)
-	if err := n.telling.listen(work); err != nil {
+	if err := n.peers.listen(work); err != nil {
 		return err
 	}
 	if err := n.serveMetrics(work); err != nil {
@@ -120,22 +120,22 @@
 	if err != nil {
 		return err
 	}
-	n.say("daemon").WithField("instance", n.settings.Daemon.Instance).Info("started")
+	n.logFor("daemon").WithField("instance", n.settings.Daemon.Instance).Info("started")
 	n.start(work)
 	n.wg.Go(func() { n.watchSettings(work, path, signals) })
 	<-ctx.Done()
 	n.leave(stop)
 	cancel()
 	n.wg.Wait()
-	n.say("daemon").Info("stopped")
+	n.logFor("daemon").Info("stopped")
 	return nil
 }
 
 // start starts the duties.
 func (n *Node) start(ctx context.Context) {
 	duties := []func(context.Context){
-		n.config.run, n.fetching.run, n.endpoints.run, n.endpoints.tick, n.telling.run, n.members.run, n.sweep, n.requests.run,
-		n.meet, n.crashes.watch.Run, n.crashes.learn,
+		n.config.run, n.fetcher.run, n.endpoints.run, n.endpoints.tick, n.peers.run, n.members.run, n.sweep, n.requests.run,
+		n.discover, n.crashes.watch.Run, n.crashes.readStored,
 	}
 	if n.platform.Cloud != nil {
 		duties = append(duties, newDuties(n).run)
@@ -150,5 +150,5 @@
 	pause.Every(ctx, time.Second, func() { n.pool.Sweep(time.Now()) })
 }
 
-// say returns the log of a part.
-func (n *Node) say(part string) *logrus.Entry { return n.log.WithField("part", part) }
+// logFor returns the log of a part.
+func (n *Node) logFor(part string) *logrus.Entry { return n.log.WithField("part", part) }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,9 +14,9 @@
 
 // The operator's change reaches the store, which goes down at that moment for
 // all but one daemon's last watch. Every daemon must have it all the same.
-func TestConfigurationReachesAllAlsoWithTheStoreDown(t *testing.T) {
+func TestConfigurationReachesAllDaemonsWhileTheStoreIsDown(t *testing.T) {
 	f := newFleet(t, 3)
-	f.ready()
+	f.awaitReady()
 	_, err := f.store.Replace(t.Context(), "config", "main", 0, json.RawMessage("2"))
 	assert.NilError(t, err)
 	f.until("version 2", func(n *Node) bool { return n.Table().Version == 2 })
@@ -31,7 +31,7 @@
 // peer tells it one; before, it refuses as not run and isn't ready.
 func TestStartWithTheStoreDown(t *testing.T) {
 	f := newFleet(t, 2)
-	f.ready()
+	f.awaitReady()
 	f.store.setDown(true)
 	late := f.add()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -41,23 +41,23 @@
 		return poll.Continue("no configuration yet")
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
 	assert.Assert(t, !late.Ready()) // it has no endpoints
-	assert.Equal(t, order(late).refusal.Verdict, verdict.NotRun)
+	assert.Equal(t, sendRequest(late).refusal.Verdict, verdict.NotRun)
 	f.store.setDown(false)
 	f.until("ready", func(n *Node) bool { return n.Ready() })
-	assert.Equal(t, order(late).body, "done")
+	assert.Equal(t, sendRequest(late).body, "done")
 }
 
 // Orders are served at two daemons; a third one may hold the duties. Each
 // window is reported once, and together they have every order.
 func TestUsageOfAllDaemonsIsReported(t *testing.T) {
 	f := newFleet(t, 3)
-	f.ready()
-	f.held()
+	f.awaitReady()
+	f.awaitHolder()
 	const orders = 40
 	for i := range orders {
-		assert.Equal(t, order(f.nodes[i%2]).body, "done")
+		assert.Equal(t, sendRequest(f.nodes[i%2]).body, "done")
 	}
-	f.until("all reported", func(*Node) bool { return f.cloud.begun("w") == orders })
+	f.until("all reported", func(*Node) bool { return f.cloud.total("w") == orders })
 	seen := map[uint64]bool{}
 	for _, r := range f.cloud.reports {
 		assert.Assert(t, !seen[r.Window], "window %d twice", r.Window)
@@ -67,9 +67,9 @@
 
 // A daemon is told to stop. The others don't name it any more, and it still
 // serves whoever comes with an older answer.
-func TestLeavingDaemonIsNotNamedAndStillServes(t *testing.T) {
+func TestLeavingDaemonIsNotListedAndStillServes(t *testing.T) {
 	f := newFleet(t, 3)
-	f.ready()
+	f.awaitReady()
 	f.nodes[2].grace.Store(int64(20 * time.Second))
 	f.cancel[2]()
 	gone := f.nodes[2].settings.Listen.Callers
@@ -85,20 +85,20 @@
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(10*time.Millisecond))
 	assert.Assert(t, !f.nodes[2].Ready())
-	assert.Equal(t, order(f.nodes[2]).body, "done")
+	assert.Equal(t, sendRequest(f.nodes[2]).body, "done")
 }
 
 // The holder of the duties is told to stop. It must give the lease up, so that
 // the next one needn't wait until it has run out.
-func TestLeavingHolderGivesTheDutiesUp(t *testing.T) {
+func TestLeavingHolderReleasesTheDuties(t *testing.T) {
 	f := newFleet(t, 3)
-	f.ready()
+	f.awaitReady()
 	holder := -1
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for i, n := range f.nodes {
-			n.telling.mu.Lock()
-			holds := n.telling.holder.Daemon == n.id
-			n.telling.mu.Unlock()
+			n.peers.mu.Lock()
+			holds := n.peers.holder.Daemon == n.id
+			n.peers.mu.Unlock()
 			if holds {
 				holder = i
 				return poll.Success()
@@ -111,7 +111,7 @@
 	released := func() bool {
 		f.store.mu.Lock()
 		defer f.store.mu.Unlock()
-		for _, l := range f.store.log {
+		for _, l := range f.store.changes {
 			if l.kind == "lease" && strings.Contains(string(l.change.Object.Spec), `"released":true`) {
 				return true
 			}
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -8,13 +8,13 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// relayerKept is how long another hub is told after it last relayed something: it may
+// relayerTTL is how long another hub is told after it last relayed something: it may
 // stand in for one, which not all views of the fleet show.
-const relayerKept = time.Second
+const relayerTTL = time.Second
 
 // relays reports whether this daemon relays what it is told: it is one of the hubs, or
 // stands in for one, which others know before its view shows it.
-func (t *telling) relays(l *layout) bool {
+func (t *peerExchange) relays(l *layout) bool {
 	if !l.meshed {
 		return false
 	}
@@ -26,14 +26,14 @@
 	return t.hub.IsRelaying(time.Now())
 }
 
-// begin begins a round.
-func (t *telling) begin() {
+// beginRound begins a round.
+func (t *peerExchange) beginRound() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq++
 }
 
-func (t *telling) setRelaying(relays bool) {
+func (t *peerExchange) setRelaying(relays bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.relaying = relays
@@ -41,42 +41,42 @@
 
 // ownHubs returns the addresses of the hubs that this daemon reports to, and of as many
 // stand-ins as of these are silent.
-func (t *telling) ownHubs(l *layout) []string {
+func (t *peerExchange) ownHubs(l *layout) []string {
 	out := peersOf(l.own)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	silent := 0
 	for _, address := range out {
-		if t.silent(address) {
+		if t.unresponsive(address) {
 			silent++
 		}
 	}
 	out = append(out, peersOf(l.standIns[:min(silent, len(l.standIns))])...)
-	if l.meshed && silent == 0 && len(out) > 1 && t.loader == out[0] && t.seq%exchange.BackupEvery != 0 {
+	if l.meshed && silent == 0 && len(out) > 1 && t.loadHub == out[0] && t.seq%exchange.BackupEvery != 0 {
 		return out[:1]
 	}
 	return out
 }
 
-// silent reports whether a hub has left the last report unanswered. The lock is held.
-func (t *telling) silent(address string) bool { return t.to(address).unanswered }
+// unresponsive reports whether a hub has left the last report unanswered. The lock is held.
+func (t *peerExchange) unresponsive(address string) bool { return t.reportsTo(address).unanswered }
 
 // lostHub reports whether the hub that relays this daemon's reports has left the last one
 // unanswered, so that nobody may know of it.
-func (t *telling) lostHub() bool {
+func (t *peerExchange) lostHub() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.loader == "" || t.silent(t.loader)
+	return t.loadHub == "" || t.unresponsive(t.loadHub)
 }
 
 // otherHubs returns the addresses of all hubs, of those that stand in for one, and of
 // those that may hold the duties next and have to know all parts then.
-func (t *telling) otherHubs(l *layout) []string {
+func (t *peerExchange) otherHubs(l *layout) []string {
 	out := append(peersOf(l.hubs), peersOf(l.candidates)...)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for address, at := range t.relayers {
-		if time.Since(at) > relayerKept {
+		if time.Since(at) > relayerTTL {
 			delete(t.relayers, address)
 			continue
 		}
@@ -93,9 +93,9 @@
 	return out
 }
 
-// relay adds what this hub was told since it last told another one. The lock is held.
-func (t *telling) relay(l *layout, address string, p *exchange.Report) {
-	r := t.to(address)
+// addRelayed adds what this hub was told since it last told another one. The lock is held.
+func (t *peerExchange) addRelayed(l *layout, address string, p *exchange.Report) {
+	r := t.reportsTo(address)
 	r.relaying = t.hub.Cursor()
 	counted := r.relaying // no windows
 	if t.countsWindows(l, address) {
@@ -105,13 +105,13 @@
 }
 
 // countsWindows reports whether a daemon may hold the duties, for which usage is counted.
-func (t *telling) countsWindows(l *layout, address string) bool {
+func (t *peerExchange) countsWindows(l *layout, address string) bool {
 	return slices.ContainsFunc(l.candidates, func(m membership.Member) bool { return m.Peer == address }) ||
 		slices.ContainsFunc(l.serving, func(m membership.Member) bool { return m.Peer == address && m.Daemon == t.holder.Daemon })
 }
 
 // takeRelayed takes what another hub has relayed. The lock is held.
-func (t *telling) takeRelayed(now time.Time, steady time.Duration, p *exchange.Report) {
+func (t *peerExchange) takeRelayed(now time.Time, steady time.Duration, p *exchange.Report) {
 	if !p.IsHub || p.Daemon == t.node.id {
 		return
 	}
@@ -123,13 +123,13 @@
 	for i := range p.Relayed {
 		r := &p.Relayed[i]
 		t.hub.AddRelayed(now, steady, r)
-		t.node.rollouts.told.hear(r.Daemon, r.Rollouts)
+		t.node.rollouts.orders.addReports(r.Daemon, r.Rollouts)
 	}
 }
 
 // relayed notes that a hub has what was relayed to it, or that it is to be told all
 // again.
-func (r *reports) relayed(p *exchange.Report, err error) {
+func (r *hubReports) relayed(p *exchange.Report, err error) {
 	switch {
 	case !p.IsHub:
 	case err != nil:
@@ -139,11 +139,11 @@
 	}
 }
 
-// useHub takes another hub's answer to a relay, which has no sums: this hub makes its own.
-func (t *telling) useHub(address string, sum *exchange.Reply, took time.Duration) {
-	t.useNews(address, sum, took)
+// applyHubAnswer takes another hub's answer to a relay, which has no sums: this hub makes its own.
+func (t *peerExchange) applyHubAnswer(address string, sum *exchange.Reply, took time.Duration) {
+	t.applyUpdates(address, sum, took)
 	if took > exchange.ReplyTimeout {
-		t.late(sum)
+		t.applyLate(sum)
 		return
 	}
 	t.mu.Lock()
@@ -152,41 +152,41 @@
 	t.node.state.AdoptLevels(time.Now(), sum.Soft.Levels)
 }
 
-// fresh returns how old this daemon's word from the store is: its own, or that of the
+// storeAge returns how old this daemon's word from the store is: its own, or that of the
 // hub whose list it follows. The lock is held.
-func (t *telling) fresh(now time.Time) time.Duration {
+func (t *peerExchange) storeAge(now time.Time) time.Duration {
 	own := max(t.node.config.store.Age(), t.node.endpoints.store.Age())
-	if t.passedOn.IsZero() {
+	if t.hubStoreContact.IsZero() {
 		return own
 	}
-	return min(own, now.Sub(t.passedOn))
+	return min(own, now.Sub(t.hubStoreContact))
 }
 
-// startAsking is how long a daemon that has no list of endpoints looks for a strong
+// ownCentreOnly is how long a daemon that has no list of endpoints looks for a strong
 // machine in its own data centre that tells it; later any will do.
-const startAsking = 2 * time.Second
+const ownCentreOnly = 2 * time.Second
 
-// listers returns the address that a daemon without a list of endpoints asks for one
+// listSources returns the address that a daemon without a list of endpoints asks for one
 // besides the hubs, while it doesn't ask the store.
-func (t *telling) listers(l *layout) []string {
-	if t.node.endpoints.known() || t.node.endpoints.due() {
+func (t *peerExchange) listSources(l *layout) []string {
+	if t.node.endpoints.hasList() || t.node.endpoints.due() {
 		return nil
 	}
 	for _, m := range strongest(l.serving, len(l.serving)) {
-		if t.mayList(m.Peer) {
+		if t.mayAskList(m.Peer) {
 			return []string{m.Peer}
 		}
 	}
 	return nil
 }
 
-// mayList reports whether a daemon may be asked for a whole list: a weak machine's link
+// mayAskList reports whether a daemon may be asked for a whole list: a weak machine's link
 // isn't wide enough for those of hundreds.
-func (t *telling) mayList(address string) bool {
+func (t *peerExchange) mayAskList(address string) bool {
 	m, ok := t.node.members.at(address)
 	if !ok || strengthOf(m.Daemon) < hubStrength {
 		return false
 	}
 	near := m.DataCentre == t.node.settings.Daemon.DataCentre
-	return near || time.Since(t.node.started) > startAsking
+	return near || time.Since(t.node.started) > ownCentreOnly
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -18,7 +18,7 @@
 func (n *Node) watchSettings(ctx context.Context, path string, signals <-chan os.Signal) {
 	last, err := os.ReadFile(path)
 	if err != nil {
-		n.say("settings").WithError(err).Warn("not read")
+		n.logFor("settings").WithError(err).Warn("not read")
 	}
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
@@ -31,7 +31,7 @@
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
-			n.say("settings").WithError(err).Warn("not read")
+			n.logFor("settings").WithError(err).Warn("not read")
 			continue
 		}
 		if !bytes.Equal(text, last) {
@@ -44,7 +44,7 @@
 // reload applies what can change while the daemon runs: seeds, the log's level
 // and the grace of a stop. The rest is taken up at the next start.
 func (n *Node) reload(text []byte) {
-	log := n.say("settings")
+	log := n.logFor("settings")
 	s, err := ParseSettings(text)
 	if err != nil {
 		log.WithError(err).Error("not applied")
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -11,48 +11,48 @@
 // report, which are due seconds after their end.
 const windowsInterval = 800 * time.Millisecond
 
-// reports is how this daemon's reports to one hub fare.
-type reports struct {
+// hubReports is how this daemon's hubReports to one hub fare.
+type hubReports struct {
 	pending    bool      // one has no answer yet
 	unanswered bool      // the last one ended without
-	answered   time.Time // the last answer
-	counted    time.Time // the last answer to one with the windows of usage
-	// told is what the hub has of this daemon's crashes of endpoints, heard what
+	answeredAt time.Time // the last answer
+	windowsAt  time.Time // the last answer to one with the windows of usage
+	// crashesSent is what the hub has of this daemon's crashes of endpoints, crashesReceived what
 	// this daemon has of the hub's.
-	told, heard quarantine.Position
+	crashesSent, crashesReceived quarantine.Position
 	// relaying is up to when the relay under way has what this hub was told, relayedTo
 	// and windowsTo up to when the other hub has it.
 	relaying, relayedTo, windowsTo exchange.Cursor
 }
 
-// crashes takes what a hub told of crashes after it was told up to a position. A
+// takeCrashes takes what a hub told of takeCrashes after it was told up to a position. A
 // hub that has started again has nothing of what it was told before.
-func (t *telling) crashes(address string, upTo quarantine.Position, sum *exchange.Reply) {
+func (t *peerExchange) takeCrashes(address string, upTo quarantine.Position, sum *exchange.Reply) {
 	t.mu.Lock()
-	r := t.to(address)
-	if r.heard.Epoch != sum.CrashesPosition.Epoch && r.heard.Epoch != 0 {
+	r := t.reportsTo(address)
+	if r.crashesReceived.Epoch != sum.CrashesPosition.Epoch && r.crashesReceived.Epoch != 0 {
 		upTo = quarantine.Position{}
 	}
-	r.told, r.heard = upTo, sum.CrashesPosition
+	r.crashesSent, r.crashesReceived = upTo, sum.CrashesPosition
 	t.mu.Unlock()
 	t.node.crashes.add(sum.Crashes)
 }
 
-// to returns the reports to a hub. The lock is held.
-func (t *telling) to(address string) *reports {
+// reportsTo returns the reports reportsTo a hub. The lock is held.
+func (t *peerExchange) reportsTo(address string) *hubReports {
 	r := t.hubs[address]
 	if r == nil {
-		r = &reports{}
+		r = &hubReports{}
 		t.hubs[address] = r
 	}
 	return r
 }
 
-// enter reports whether no call to a hub is under way, and begins one.
-func (t *telling) enter(address string) bool {
+// beginCall reports whether no call to a hub is under way, and begins one.
+func (t *peerExchange) beginCall(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.to(address)
+	r := t.reportsTo(address)
 	if r.pending {
 		return false
 	}
@@ -60,30 +60,30 @@
 	return true
 }
 
-func (t *telling) exit(address string) {
+func (t *peerExchange) endCall(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.to(address).pending = false
+	t.reportsTo(address).pending = false
 }
 
-// ended notes how a report ended. The first failure after an answer is logged,
+// reportEnded notes how a report reportEnded. The first failure after an answer is logged,
 // further ones are only counted: in an outage there are several a second.
-func (t *telling) ended(address string, p *exchange.Report, err error) {
+func (t *peerExchange) reportEnded(address string, p *exchange.Report, err error) {
 	t.node.metrics.reported(err)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.to(address)
+	r := t.reportsTo(address)
 	r.relayed(p, err)
 	if err != nil {
 		if !r.unanswered {
-			t.node.say("peers").WithError(err).WithField("address", address).Warn("report not answered")
+			t.node.logFor("peers").WithError(err).WithField("address", address).Warn("report not answered")
 		}
 		r.unanswered = true
-		r.counted = time.Time{} // who answers there next may be another process
+		r.windowsAt = time.Time{} // who answers there next may be another process
 		return
 	}
-	r.answered, r.unanswered = time.Now(), false
+	r.answeredAt, r.unanswered = time.Now(), false
 	if p.Windows != nil {
-		r.counted = r.answered
+		r.windowsAt = r.answeredAt
 	}
 }
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -26,10 +26,10 @@
 // requestLog writes a line for each request that failed or was late and for some
 // of the others, on a goroutine of its own, within a bound.
 type requestLog struct {
-	log     *logrus.Logger
-	metrics *metricSet
-	ring    *ring.Ring[*relay.Outcome]
-	good    atomic.Uint64 // successes that were offered to the ring this second
+	log       *logrus.Logger
+	metrics   *metricSet
+	ring      *ring.Ring[*relay.Outcome]
+	successes atomic.Uint64 // successes that were offered to the ring this second
 }
 
 func newRequestLog(l *logrus.Logger, m *metricSet) *requestLog {
@@ -38,7 +38,7 @@
 
 // add takes an outcome; it never waits.
 func (r *requestLog) add(o *relay.Outcome) {
-	if o.Reason == "" && !o.Failed && o.Late == relay.InTime && r.good.Add(1) > successLines {
+	if o.Reason == "" && !o.Failed && o.Late == relay.InTime && r.successes.Add(1) > successLines {
 		return
 	}
 	r.ring.Push(o)
@@ -58,7 +58,7 @@
 				r.metrics.linesLeftOut.Add(left)
 			}
 			written, left = 0, 0
-			r.good.Store(0)
+			r.successes.Store(0)
 		case o := <-r.ring.C():
 			if written >= failureLines {
 				left++
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -34,13 +34,13 @@
 	server *http.Server
 	bad    *atomic.Bool // fails half of its requests
 	ran    atomic.Int64
-	under  atomic.Int64 // running now
+	active atomic.Int64 // running now
 }
 
 func (e *versionedEndpoint) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	n := e.ran.Add(1)
-	e.under.Add(1)
-	defer e.under.Add(-1)
+	e.active.Add(1)
+	defer e.active.Add(-1)
 	time.Sleep(20 * time.Millisecond)
 	if e.bad.Load() && n%2 == 0 {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -48,11 +48,11 @@
 	_, _ = w.Write([]byte("done"))
 }
 
-// rollingFleet is daemons before endpoints of two versions, under load.
-type rollingFleet struct {
-	*fleetOf
+// rolloutFleet is daemons before endpoints of two versions, under load.
+type rolloutFleet struct {
+	*testFleet
 	old, new []*versionedEndpoint
-	asked    atomic.Int64
+	sent     atomic.Int64
 	lost     atomic.Int64 // that may have run, and have no answer of an endpoint's
 	stopLoad func()
 }
@@ -91,9 +91,9 @@
 	return json.Marshal(map[string]any{"Target": target, "Phase": p})
 }
 
-func newRollingFleet(t *testing.T, daemons, endpoints int) *rollingFleet {
+func newRollingFleet(t *testing.T, daemons, endpoints int) *rolloutFleet {
 	t.Helper()
-	f := &rollingFleet{fleetOf: &fleetOf{t: t, store: newMemoryStore(), cloud: &cloudLog{}}}
+	f := &rolloutFleet{testFleet: &testFleet{t: t, store: newMemoryStore(), cloud: &recordingCloud{}}}
 	for i := range endpoints {
 		f.old = append(f.old, f.endpoint("o"+strconv.Itoa(i), "v1"))
 	}
@@ -103,13 +103,13 @@
 		f.start()
 	}
 	t.Cleanup(f.stop)
-	f.ready()
-	f.held()
+	f.awaitReady()
+	f.awaitHolder()
 	return f
 }
 
 // start starts one more daemon.
-func (f *rollingFleet) start() {
+func (f *rolloutFleet) start() {
 	f.addWith(f.store, func(n *Node) {
 		n.platform.DecodeEndpoint = decodeVersioned
 		n.platform.RolloutKind, n.platform.DecodeOrder = "orders", decodeTestOrder
@@ -120,7 +120,7 @@
 	})
 }
 
-func (f *rollingFleet) endpoint(name, version string) *versionedEndpoint {
+func (f *rolloutFleet) endpoint(name, version string) *versionedEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	e := &versionedEndpoint{Address: l.Addr().String(), Version: version, Born: time.Now().UnixMilli(), bad: &atomic.Bool{}}
@@ -135,7 +135,7 @@
 }
 
 // load sends requests to all daemons, some a second, until it is stopped.
-func (f *rollingFleet) load(perSecond int) {
+func (f *rolloutFleet) load(perSecond int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	tick := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -151,9 +151,9 @@
 			if n.Stopping() {
 				continue
 			}
-			f.asked.Add(1)
+			f.sent.Add(1)
 			wg.Go(func() {
-				if out := order(n); out.refusal != nil && out.refusal.Verdict != verdict.NotRun {
+				if out := sendRequest(n); out.refusal != nil && out.refusal.Verdict != verdict.NotRun {
 					f.lost.Add(1)
 				}
 			})
@@ -163,7 +163,7 @@
 }
 
 // rollOut orders a roll-out, whose new endpoints start.
-func (f *rollingFleet) rollOut(target string, seconds float64, bad bool) {
+func (f *rolloutFleet) rollOut(target string, seconds float64, bad bool) {
 	for i := range f.old {
 		e := f.endpoint(target+"-"+strconv.Itoa(i), target)
 		e.bad.Store(bad)
@@ -175,8 +175,8 @@
 	assert.NilError(f.t, err)
 }
 
-// ended waits for a final status, and returns it.
-func (f *rollingFleet) ended() rollout.Phase {
+// awaitFinal waits for a final status, and returns it.
+func (f *rolloutFleet) awaitFinal() rollout.Phase {
 	f.t.Helper()
 	var phase rollout.Phase
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
@@ -194,49 +194,49 @@
 	return phase
 }
 
-func runs(all []*versionedEndpoint) (ran, under int64) {
+func requestCounts(all []*versionedEndpoint) (ran, under int64) {
 	for _, e := range all {
 		ran += e.ran.Load()
-		under += e.under.Load()
+		under += e.active.Load()
 	}
 	return ran, under
 }
 
-func TestGoodVersionTakesOverAndNothingIsLost(t *testing.T) {
+func TestGoodVersionReplacesTheOldWithoutLostRequests(t *testing.T) {
 	f := newRollingFleet(t, 3, 3)
 	f.load(150)
 	f.rollOut("v2", 6, false)
-	assert.Equal(t, f.ended(), rollout.Completed)
+	assert.Equal(t, f.awaitFinal(), rollout.Completed)
 	for _, e := range f.old { // the platform stops them at once
-		_, under := runs([]*versionedEndpoint{e})
+		_, under := requestCounts([]*versionedEndpoint{e})
 		assert.Equal(t, under, int64(0))
 		assert.NilError(t, e.server.Close())
 	}
-	before, _ := runs(f.old)
+	before, _ := requestCounts(f.old)
 	time.Sleep(500 * time.Millisecond)
 	f.stopLoad()
-	after, _ := runs(f.old)
+	after, _ := requestCounts(f.old)
 	assert.Equal(t, after, before)
 	assert.Equal(t, f.lost.Load(), int64(0))
 }
 
-func TestBadVersionIsLeft(t *testing.T) {
+func TestBadVersionIsRolledBack(t *testing.T) {
 	f := newRollingFleet(t, 3, 3)
 	f.load(150)
 	f.rollOut("v2", 8, true)
-	assert.Equal(t, f.ended(), rollout.RolledBack)
+	assert.Equal(t, f.awaitFinal(), rollout.RolledBack)
 	time.Sleep(500 * time.Millisecond) // the last daemon hears of it
-	before, _ := runs(f.new)
+	before, _ := requestCounts(f.new)
 	time.Sleep(500 * time.Millisecond)
 	f.stopLoad()
-	after, _ := runs(f.new)
+	after, _ := requestCounts(f.new)
 	assert.Equal(t, after, before)
-	assert.Assert(t, float64(after) <= 0.1*float64(f.asked.Load())+50, "%d of %d", after, f.asked.Load())
+	assert.Assert(t, float64(after) <= 0.1*float64(f.sent.Load())+50, "%d of %d", after, f.sent.Load())
 	assert.Equal(t, f.lost.Load(), int64(0))
 }
 
 // Guards against a version that gets requests before an order for it is known.
-func TestVersionThatNobodyOrderedWaits(t *testing.T) {
+func TestVersionWithoutAnOrderGetsNoRequests(t *testing.T) {
 	f := newRollingFleet(t, 2, 2)
 	f.load(100)
 	e := f.endpoint("early", "v2")
@@ -248,7 +248,7 @@
 const newVersionWait = time.Second
 
 // Guards against a roll-out that ends with its decider.
-func TestSuccessorOfAKilledDeciderEndsTheRollout(t *testing.T) {
+func TestSuccessorOfAStoppedDeciderFinishesTheRollout(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		t.Run(strconv.FormatBool(bad), func(t *testing.T) {
 			f := newRollingFleet(t, 4, 3)
@@ -256,7 +256,7 @@
 			f.rollOut("v2", 12, bad)
 			time.Sleep(2 * time.Second)
 			f.stopHolder()
-			phase := f.ended()
+			phase := f.awaitFinal()
 			f.stopLoad()
 			want := rollout.Completed
 			if bad {
@@ -272,43 +272,43 @@
 	f := newRollingFleet(t, 2, 2)
 	f.load(150)
 	f.rollOut("v2", 8, true)
-	before := f.store.copy()
-	assert.Equal(t, f.ended(), rollout.RolledBack)
-	f.store.comeBack(before)
-	assert.Equal(t, f.ended(), rollout.RolledBack)
+	before := f.store.snapshot()
+	assert.Equal(t, f.awaitFinal(), rollout.RolledBack)
+	f.store.restore(before)
+	assert.Equal(t, f.awaitFinal(), rollout.RolledBack)
 	f.stopLoad()
 }
 
-// restingPace makes a follower of a test wait for long.
-type restingPace struct{}
+// idlePace makes a follower of a test wait for long.
+type idlePace struct{}
 
-func (restingPace) WatchTimeout() time.Duration { return time.Hour }
-func (restingPace) BatchDelay() time.Duration   { return 0 }
-func (restingPace) Backoff() follow.Backoff     { return follow.FastBackoff() }
+func (idlePace) WatchTimeout() time.Duration { return time.Hour }
+func (idlePace) BatchDelay() time.Duration   { return 0 }
+func (idlePace) Backoff() follow.Backoff     { return follow.FastBackoff() }
 
 // Guards against a holder that holds its lease again after a lapse and whose words are taken for older ones.
-func TestWordsOfALeaseThatIsHeldAgainCount(t *testing.T) {
+func TestUpdatesOfAReacquiredLeaseCount(t *testing.T) {
 	store := newMemoryStore()
 	n := New(&Settings{}, Platform{Store: store}, logrus.New())
 	n.state.SetRollouts(rollout.Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second})
 	d := newRolloutDuty(n)
-	d.store = follow.New(store, "orders", d.told, restingPace{})
+	d.store = follow.New(store, "orders", d.orders, idlePace{})
 	now := time.Now()
 	for range 2 {
 		d.begin(t.Context(), 7)
-		d.tell(now, now)
-		d.tell(now, now)
+		d.publish(now, now)
+		d.publish(now, now)
 		d.end()
 	}
 	assert.Equal(t, n.state.RolloutUpdate(now).Rank, rollout.Rank{Token: 7, Seq: 4})
 }
 
 // stopHolder stops the daemon that holds the duties.
-func (f *rollingFleet) stopHolder() {
+func (f *rolloutFleet) stopHolder() {
 	for i, n := range f.nodes {
-		n.telling.mu.Lock()
-		mine := n.telling.holder.Daemon == n.id
-		n.telling.mu.Unlock()
+		n.peers.mu.Lock()
+		mine := n.peers.holder.Daemon == n.id
+		n.peers.mu.Unlock()
 		if mine {
 			f.cancel[i]()
 			return
@@ -318,7 +318,7 @@
 }
 
 // Guards against an order that can't be carried out and stops the others.
-func TestOrdersThatCannotBeCarriedOut(t *testing.T) {
+func TestOrdersThatCannotBeCarriedOutDoNotStopOthers(t *testing.T) {
 	f := newRollingFleet(t, 2, 2)
 	for name, spec := range map[string]string{"zero": `"v2 0"`, "damaged": `{}`, "nowhere": `"v9 1"`} {
 		_, err := f.store.Create(t.Context(), "orders", name, json.RawMessage(spec))
@@ -326,7 +326,7 @@
 	}
 	f.load(100)
 	f.rollOut("v2", 5, false)
-	assert.Equal(t, f.ended(), rollout.Completed)
+	assert.Equal(t, f.awaitFinal(), rollout.Completed)
 	f.stopLoad()
 	for name, want := range map[string]rollout.Phase{"zero": rollout.RolledBack, "nowhere": rollout.RolledBack} {
 		o, err := f.store.Get(t.Context(), "orders", name)
--- a/internal/node/rolloutduty.go
+++ b/internal/node/rolloutduty.go
@@ -21,7 +21,7 @@
 type rolloutDuty struct {
 	node     *Node
 	log      *logrus.Entry
-	told     *rolloutOrders
+	orders   *rolloutOrders
 	store    *follow.Follower
 	followed chan struct{} // closed when the follower of an earlier holding has ended
 
@@ -37,13 +37,13 @@
 }
 
 func newRolloutDuty(n *Node) *rolloutDuty {
-	d := &rolloutDuty{node: n, log: n.say("roll-out"), told: newRolloutOrders(n)}
-	d.store = follow.New(n.platform.Store, n.platform.RolloutKind, d.told, orderPace{n.watching})
+	d := &rolloutDuty{node: n, log: n.logFor("roll-out"), orders: newRolloutOrders(n)}
+	d.store = follow.New(n.platform.Store, n.platform.RolloutKind, d.orders, orderPace{n.watch})
 	return d
 }
 
-// on reports whether roll-outs are in use.
-func (d *rolloutDuty) on() bool {
+// enabled reports whether roll-outs are in use.
+func (d *rolloutDuty) enabled() bool {
 	return d.node.settings.Bounds.rollouts().On() && d.node.platform.RolloutKind != ""
 }
 
@@ -52,7 +52,7 @@
 	d.end()
 	d.token, d.restored, d.reading = token, false, false
 	d.records, d.running, d.refused = map[string]rollout.Record{}, map[string]*runningRollout{}, map[string]uint64{}
-	d.told.forget()
+	d.orders.forget()
 	var following context.Context
 	following, d.stop = context.WithCancel(ctx)
 	d.holding = true
@@ -77,13 +77,13 @@
 
 // step decides all roll-outs.
 func (d *rolloutDuty) step(ctx context.Context, duties *duties, now time.Time) {
-	if !d.on() {
+	if !d.enabled() {
 		return
 	}
 	if !d.holding || d.token != duties.token {
 		d.begin(ctx, duties.token)
 	}
-	orders, listed := d.told.known()
+	orders, listed := d.orders.current()
 	if !d.restored {
 		d.restore(ctx, duties)
 	}
@@ -91,8 +91,8 @@
 		return
 	}
 	fleetNow := d.node.clock.Now()
-	d.take(fleetNow, orders)
-	heard := d.told.heard()
+	d.takeOrders(fleetNow, orders)
+	heard := d.orders.takeReports()
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
 		r := d.running[service]
 		for daemon, reports := range heard {
@@ -104,7 +104,7 @@
 		}
 		d.decide(ctx, duties, now, fleetNow, r)
 	}
-	d.tell(now, fleetNow)
+	d.publish(now, fleetNow)
 }
 
 // runs reports whether a service's roll-out is under way, as far as its decider knows.
@@ -140,8 +140,8 @@
 	})
 }
 
-// take begins the roll-outs that were ordered, and drops those whose orders are gone.
-func (d *rolloutDuty) take(fleetNow time.Time, orders map[string]ordered) {
+// takeOrders begins the roll-outs that were ordered, and drops those whose orders are gone.
+func (d *rolloutDuty) takeOrders(fleetNow time.Time, orders map[string]storedOrder) {
 	for service := range d.running {
 		if _, ok := orders[service]; !ok {
 			delete(d.running, service)
@@ -167,7 +167,7 @@
 }
 
 // start begins a roll-out, or goes on with one.
-func (d *rolloutDuty) start(order rollout.Order, o ordered) *runningRollout {
+func (d *rolloutDuty) start(order rollout.Order, o storedOrder) *runningRollout {
 	record := d.records[order.Service]
 	known := record.Order.Target == order.Target
 	if !known {
@@ -189,15 +189,15 @@
 		return
 	}
 	if r.decider.Step(fleetNow, d.view(r.order.Service)) {
-		d.say(r, "phase changed")
-		r.kept = time.Time{}
+		d.logState(r, "phase changed")
+		r.recordedAt = time.Time{}
 	}
 	record := r.decider.Record()
-	if !r.keeping && now.Sub(r.kept) >= recordInterval {
-		d.keep(ctx, duties, now, r, record)
+	if !r.writingRecord && now.Sub(r.recordedAt) >= recordInterval {
+		d.writeRecord(ctx, duties, now, r, record)
 	}
-	if wanted := !r.stated || record.Phase.Final(); wanted && !r.writing && !now.Before(r.retry) {
-		d.state(ctx, duties, r, record.Phase)
+	if wanted := !r.hasStatus || record.Phase.Final(); wanted && !r.writingStatus && !now.Before(r.retry) {
+		d.writeStatus(ctx, duties, r, record.Phase)
 	}
 }
 
@@ -224,9 +224,9 @@
 	return v
 }
 
-// tell passes the words on: the other daemons hear them in the answers to their
+// publish passes the words on: the other daemons hear them in the answers to their
 // reports.
-func (d *rolloutDuty) tell(now, fleetNow time.Time) {
+func (d *rolloutDuty) publish(now, fleetNow time.Time) {
 	d.seq++
 	news := rollout.Update{Rank: rollout.Rank{Token: d.token, Seq: d.seq}, OrdersAge: d.store.Age()}
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
@@ -238,11 +238,11 @@
 // movingInterval is the time between two reports while a service moves: what is
 // known of the requests at its old version must be fresh.
 func (n *Node) movingInterval() time.Duration {
-	return min(n.interval(), max(leastMovingInterval, time.Duration(n.members.reporters())*perDaemonMoving))
+	return min(n.interval(), max(minMovingInterval, time.Duration(n.members.reporters())*perDaemonMovingInterval))
 }
 
 const (
-	leastMovingInterval = 100 * time.Millisecond
-	// perDaemonMoving bounds the reports that come to the decider at 670 a second.
-	perDaemonMoving = 1500 * time.Microsecond
+	minMovingInterval = 100 * time.Millisecond
+	// perDaemonMovingInterval bounds the reports that come to the decider at 670 a second.
+	perDaemonMovingInterval = 1500 * time.Microsecond
 )
--- a/internal/node/rolloutorders.go
+++ b/internal/node/rolloutorders.go
@@ -14,10 +14,10 @@
 
 // orderPace is how often a decider asks for orders: how long ago it heard from the
 // store is a part of its word.
-type orderPace struct{ *watching }
+type orderPace struct{ *watchPolicy }
 
 // WatchTimeout implements follow.Timing.
-func (p orderPace) WatchTimeout() time.Duration { return min(hubWait, p.watching.WatchTimeout()) }
+func (p orderPace) WatchTimeout() time.Duration { return min(hubWait, p.watchPolicy.WatchTimeout()) }
 
 // rolloutOrders is what a decider is told: orders by the store's follower, reports
 // by the peers' goroutines.
@@ -26,19 +26,19 @@
 	log  *logrus.Entry
 
 	mu      sync.Mutex
-	orders  map[string]ordered // by service
+	orders  map[string]storedOrder // by service
 	listed  bool
 	reports map[fleet.DaemonID][]rollout.Report
 }
 
-// ordered is an order as the store has it.
-type ordered struct {
+// storedOrder is an order as the store has it.
+type storedOrder struct {
 	object objects.Object
 	seen   time.Time // the fleet's time
 }
 
 func newRolloutOrders(n *Node) *rolloutOrders {
-	r := &rolloutOrders{node: n, log: n.say("roll-out")}
+	r := &rolloutOrders{node: n, log: n.logFor("roll-out")}
 	r.forget()
 	return r
 }
@@ -47,7 +47,7 @@
 func (r *rolloutOrders) forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.orders, r.listed = map[string]ordered{}, false
+	r.orders, r.listed = map[string]storedOrder{}, false
 	r.reports = map[fleet.DaemonID][]rollout.Report{}
 }
 
@@ -58,13 +58,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.orders
-	r.orders, r.listed = map[string]ordered{}, true
+	r.orders, r.listed = map[string]storedOrder{}, true
 	for _, o := range all {
 		at := seen
 		if old, ok := before[o.Name]; ok {
 			at = old.seen
 		}
-		r.orders[o.Name] = ordered{o, at}
+		r.orders[o.Name] = storedOrder{o, at}
 	}
 }
 
@@ -83,7 +83,7 @@
 		if old, ok := r.orders[name]; ok && string(old.object.Spec) == string(c.Object.Spec) {
 			seen = old.seen
 		}
-		r.orders[name] = ordered{c.Object, seen}
+		r.orders[name] = storedOrder{c.Object, seen}
 	}
 }
 
@@ -93,8 +93,8 @@
 // Recovered implements follow.Handler.
 func (r *rolloutOrders) Recovered(time.Time) { r.log.Info("store is back") }
 
-// hear takes a daemon's reports.
-func (r *rolloutOrders) hear(daemon fleet.DaemonID, all []rollout.Report) {
+// addReports takes a daemon's reports.
+func (r *rolloutOrders) addReports(daemon fleet.DaemonID, all []rollout.Report) {
 	if len(all) == 0 {
 		return
 	}
@@ -103,8 +103,8 @@
 	r.reports[daemon] = all
 }
 
-// heard returns the reports since the last call.
-func (r *rolloutOrders) heard() map[fleet.DaemonID][]rollout.Report {
+// takeReports returns the reports since the last call.
+func (r *rolloutOrders) takeReports() map[fleet.DaemonID][]rollout.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.reports
@@ -112,8 +112,8 @@
 	return out
 }
 
-// known returns the orders, and whether the store has told them.
-func (r *rolloutOrders) known() (map[string]ordered, bool) {
+// current returns the orders, and whether the store has told them.
+func (r *rolloutOrders) current() (map[string]storedOrder, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.orders), r.listed
--- a/internal/node/rolloutrunning.go
+++ b/internal/node/rolloutrunning.go
@@ -21,15 +21,15 @@
 
 // runningRollout is a roll-out of which this daemon is the decider.
 type runningRollout struct {
-	decider  *rollout.Decider
-	order    rollout.Order
-	revision uint64 // of the order's object
-	kept     time.Time
-	keeping  bool
-	writing  bool
-	stated   bool // the status names this target and isn't final
-	final    bool // the status is final
-	retry    time.Time
+	decider       *rollout.Decider
+	order         rollout.Order
+	revision      uint64 // of the order's object
+	recordedAt    time.Time
+	writingRecord bool
+	writingStatus bool
+	hasStatus     bool // the status names this target and isn't final
+	final         bool // the status is final
+	retry         time.Time
 }
 
 // reorder takes an order with the same target and another duration.
@@ -48,9 +48,9 @@
 	}
 	r.revision = o.Revision
 	target, phase, final := n.platform.DecodeRollout(o)
-	r.stated = target == r.order.Target
+	r.hasStatus = target == r.order.Target
 	switch {
-	case !r.stated || !final:
+	case !r.hasStatus || !final:
 		r.final = false
 	case !r.final:
 		r.final = true
@@ -58,8 +58,8 @@
 	}
 }
 
-// say logs where a roll-out stands.
-func (d *rolloutDuty) say(r *runningRollout, what string) {
+// logState logs where a roll-out stands.
+func (d *rolloutDuty) logState(r *runningRollout, what string) {
 	record := r.decider.Record()
 	d.log.WithFields(logrus.Fields{
 		"service": r.order.Service, "target": r.order.Target, "phase": record.Phase.String(), "reason": record.Reason,
@@ -68,18 +68,18 @@
 	}).Info(what)
 }
 
-// keep writes the record for a successor.
-func (d *rolloutDuty) keep(ctx context.Context, duties *duties, now time.Time, r *runningRollout, record rollout.Record) {
+// writeRecord writes the record for a successor.
+func (d *rolloutDuty) writeRecord(ctx context.Context, duties *duties, now time.Time, r *runningRollout, record rollout.Record) {
 	text, err := json.Marshal(record)
 	if err != nil {
 		d.log.WithError(err).Error("record not encoded")
 		return
 	}
-	r.keeping, r.kept = true, now
+	r.writingRecord, r.recordedAt = true, now
 	duties.call(ctx, func() func(time.Time) {
 		err := d.node.put(ctx, RolloutRecordKind, r.order.Service, text)
 		return func(time.Time) {
-			r.keeping = false
+			r.writingRecord = false
 			if err != nil {
 				d.log.WithError(err).WithField("service", r.order.Service).Info("record not kept")
 			}
@@ -87,8 +87,8 @@
 	})
 }
 
-// state writes the status. Two deciders may try: the store takes one of them.
-func (d *rolloutDuty) state(ctx context.Context, duties *duties, r *runningRollout, phase rollout.Phase) {
+// writeStatus writes the status. Two deciders may try: the store takes one of them.
+func (d *rolloutDuty) writeStatus(ctx context.Context, duties *duties, r *runningRollout, phase rollout.Phase) {
 	if _, ok := duties.fence(); !ok {
 		return
 	}
@@ -97,21 +97,21 @@
 		d.log.WithError(err).Error("status not encoded")
 		return
 	}
-	r.writing = true
+	r.writingStatus = true
 	revision := r.revision
 	duties.call(ctx, func() func(time.Time) {
 		o, err := d.node.platform.Store.SetStatus(ctx, d.node.platform.RolloutKind, r.order.Service, revision, status)
-		return func(now time.Time) { d.stated(now, r, phase, o, err) }
+		return func(now time.Time) { d.statusWritten(now, r, phase, o, err) }
 	})
 }
 
-// stated takes the answer to a status.
-func (d *rolloutDuty) stated(now time.Time, r *runningRollout, phase rollout.Phase, o objects.Object, err error) {
-	r.writing = false
+// statusWritten takes the answer to a status.
+func (d *rolloutDuty) statusWritten(now time.Time, r *runningRollout, phase rollout.Phase, o objects.Object, err error) {
+	r.writingStatus = false
 	log := d.log.WithFields(logrus.Fields{"service": r.order.Service, "target": r.order.Target, "phase": phase.String()})
 	switch {
 	case err == nil:
-		r.revision, r.stated = max(r.revision, o.Revision), true
+		r.revision, r.hasStatus = max(r.revision, o.Revision), true
 		if phase.Final() {
 			r.final = true
 			r.decider.SetFinal(phase)
--- a/internal/node/scalingduty.go
+++ b/internal/node/scalingduty.go
@@ -47,7 +47,7 @@
 	}
 	s.last = now
 	var work map[string]relay.Work
-	s.duties.node.telling.ask(func(h *exchange.Hub) { work = h.Work() })
+	s.duties.node.peers.withHub(func(h *exchange.Hub) { work = h.Work() })
 	for i := range t.Services {
 		if service := &t.Services[i]; service.Scaling != nil && !s.duties.node.rollouts.runs(service.Name) {
 			s.plan(ctx, now, s.sample(service, work[service.Name], elapsed))
--- a/internal/node/serving.go
+++ b/internal/node/serving.go
@@ -18,7 +18,7 @@
 
 // Serve carries a caller's request.
 func (n *Node) Serve(ctx context.Context, q *relay.Request, sink relay.Sink) {
-	n.starting.wait(ctx, time.Now())
+	n.startGate.wait(ctx, time.Now())
 	n.relay.Serve(ctx, q, sink)
 }
 
@@ -69,7 +69,7 @@
 			ranked[i].strength = 1
 		}
 	}
-	return best(ranked, maxEntries)
+	return topRanked(ranked, maxEntries)
 }
 
 // shareConnections gives this daemon its share of the endpoints' connections.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -12,7 +12,7 @@
 // settingsPage is the page that must name every key.
 const settingsPage = "../../docs/PLATFORM-SETTINGS.md"
 
-func TestPageNamesEveryKey(t *testing.T) {
+func TestSettingsPageListsEveryKey(t *testing.T) {
 	text, err := os.ReadFile(settingsPage)
 	assert.NilError(t, err)
 	keys := 0
--- a/internal/node/slowlink_test.go
+++ b/internal/node/slowlink_test.go
@@ -22,20 +22,20 @@
 // slowLink is what a machine receives at a bounded rate, on all its connections
 // together.
 type slowLink struct {
-	mu    sync.Mutex
-	free  time.Time // when what has been received so far has passed
-	bytes float64   // a second
+	mu     sync.Mutex
+	idleAt time.Time // when what has been received so far has passed
+	bytes  float64   // a second
 }
 
 // pass waits until n more bytes have passed.
 func (l *slowLink) pass(n int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.bytes * float64(time.Second)))
-	until := l.free
+	l.idleAt = l.idleAt.Add(time.Duration(float64(n) / l.bytes * float64(time.Second)))
+	until := l.idleAt
 	l.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
@@ -54,12 +54,12 @@
 	return n, err
 }
 
-// behind puts a daemon behind a link, on the weakest of machines.
-func behind(link *slowLink) func(n *Node) {
+// behindLink puts a daemon behindLink a link, on the weakest of machines.
+func behindLink(link *slowLink) func(n *Node) {
 	return func(n *Node) {
 		n.id = newID(LimitSettings{})
-		dial := n.telling.client.Dial
-		n.telling.client.Dial = func(ctx context.Context, address string) (net.Conn, error) {
+		dial := n.peers.client.Dial
+		n.peers.client.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := dial(ctx, address)
 			if err != nil {
 				return nil, err
@@ -114,12 +114,12 @@
 // context deadline exceeded" and "after 737205 bytes of 874901".
 func TestLargeConfigurationReachesADaemonBehindASlowLink(t *testing.T) {
 	f := newFleet(t, 2)
-	f.ready()
-	f.held() // so that the others work for the weak one, and not the other way round
+	f.awaitReady()
+	f.awaitHolder() // so that the others work for the weak one, and not the other way round
 	store := &cutStore{Store: f.store}
 	link := &slowLink{bytes: 10e6 / 8}
-	weak := f.addWith(store, behind(link))
-	f.ready()
+	weak := f.addWith(store, behindLink(link))
+	f.awaitReady()
 	store.cut.Store(true)
 	_, err := f.store.Replace(t.Context(), "config", "main", 0, largeText("2"))
 	assert.NilError(t, err)
@@ -150,10 +150,10 @@
 		all, _ := n.endpoints.list()
 		return len(all) > many
 	})
-	f.held()
+	f.awaitHolder()
 	store := &cutStore{Store: f.store}
 	store.cut.Store(true)
-	weak := f.addWith(store, behind(&slowLink{bytes: 10e6 / 8}))
+	weak := f.addWith(store, behindLink(&slowLink{bytes: 10e6 / 8}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if all, _ := weak.endpoints.list(); len(all) > many {
 			return poll.Success()
--- a/internal/node/starting.go
+++ b/internal/node/starting.go
@@ -12,48 +12,48 @@
 	// are there within two to four tenths of a second, in a fleet of hundreds that
 	// starts at once and is told by each other. Later it refuses at once.
 	startHold = 800 * time.Millisecond
-	// heldRequests bounds the requests that wait: some megabytes of bodies.
-	heldRequests = 256
+	// maxWaiting bounds the requests that wait: some megabytes of bodies.
+	maxWaiting = 256
 )
 
-// starting lets the requests wait that come before a daemon knows a configuration
+// startGate lets the requests wait that come before a daemon knows a configuration
 // and endpoints. Failure: all daemons are killed and start again, and callers come
 // as soon as the listeners are open. Symptom: every request of these moments is
 // refused, and the callers' repeats, of which they have one or two, as well.
-type starting struct {
+type startGate struct {
 	until time.Time
-	known chan struct{} // closed when both are known
+	ready chan struct{} // closed when both are known
 
 	mu         sync.Mutex
 	configured bool
 	listed     bool
-	held       int
+	waiting    int
 }
 
-func newStarting(started time.Time) *starting {
-	return &starting{until: started.Add(startHold), known: make(chan struct{})}
+func newStartGate(started time.Time) *startGate {
+	return &startGate{until: started.Add(startHold), ready: make(chan struct{})}
 }
 
 // hasConfiguration notes that a configuration is in force.
-func (s *starting) hasConfiguration() { s.note(&s.configured) }
+func (s *startGate) hasConfiguration() { s.note(&s.configured) }
 
 // hasEndpoints notes that endpoints are listed.
-func (s *starting) hasEndpoints() { s.note(&s.listed) }
+func (s *startGate) hasEndpoints() { s.note(&s.listed) }
 
-func (s *starting) note(what *bool) {
+func (s *startGate) note(what *bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	complete := s.configured && s.listed
 	*what = true
 	if !complete && s.configured && s.listed {
-		close(s.known)
+		close(s.ready)
 	}
 }
 
 // wait returns when a request can be served, or when it is to be refused.
-func (s *starting) wait(ctx context.Context, now time.Time) {
+func (s *startGate) wait(ctx context.Context, now time.Time) {
 	select {
-	case <-s.known:
+	case <-s.ready:
 		return
 	default:
 	}
@@ -64,25 +64,25 @@
 	late := time.NewTimer(s.until.Sub(now))
 	defer late.Stop()
 	select {
-	case <-s.known:
+	case <-s.ready:
 	case <-late.C:
 	case <-ctx.Done():
 	}
 }
 
 // enter reports whether there is room for one more request that waits.
-func (s *starting) enter() bool {
+func (s *startGate) enter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held >= heldRequests {
+	if s.waiting >= maxWaiting {
 		return false
 	}
-	s.held++
+	s.waiting++
 	return true
 }
 
-func (s *starting) leave() {
+func (s *startGate) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held--
+	s.waiting--
 }
--- a/internal/node/starting_test.go
+++ b/internal/node/starting_test.go
@@ -13,20 +13,20 @@
 // must be served once it has one, a few tenths of a second later. Evidence: 845
 // requests refused without a configuration in the 0.4 s after all 195 daemons
 // started again; each caller has one repeat, which met the same.
-func TestRequestThatComesBeforeTheConfigurationIsServed(t *testing.T) {
+func TestRequestBeforeTheConfigurationIsServed(t *testing.T) {
 	f := newFleet(t, 0)
-	f.addWith(&slowConfig{memoryStore: f.store}, func(*Node) {})
-	out := order(f.nodes[0])
+	f.addWith(&slowConfigStore{memoryStore: f.store}, func(*Node) {})
+	out := sendRequest(f.nodes[0])
 	assert.Assert(t, out.refusal == nil, "%+v", out.refusal)
 	assert.Equal(t, out.body, "done")
 }
 
 // No configuration is to be had. Requests must be refused soon, and those that
 // come later at once: their callers can go elsewhere.
-func TestRequestsWaitForAStartOnlyBriefly(t *testing.T) {
+func TestRequestsWaitForAStartForABoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		s := newStarting(began)
+		s := newStartGate(began)
 		s.hasEndpoints()
 		s.wait(t.Context(), time.Now())
 		assert.Equal(t, time.Since(began), startHold)
@@ -36,15 +36,15 @@
 }
 
 // A caller leaves while its request waits.
-func TestLeavingCallerEndsItsWait(t *testing.T) {
+func TestWaitEndsWhenTheCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		s := newStarting(began)
+		s := newStartGate(began)
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		s.wait(ctx, time.Now())
 		assert.Equal(t, time.Since(began), 50*time.Millisecond)
-		assert.Equal(t, s.held, 0)
+		assert.Equal(t, s.waiting, 0)
 	})
 }
 
@@ -52,8 +52,8 @@
 func TestRequestsThatWaitAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		s := newStarting(began)
-		for range heldRequests {
+		s := newStartGate(began)
+		for range maxWaiting {
 			go s.wait(t.Context(), time.Now())
 		}
 		synctest.Wait()
@@ -63,6 +63,6 @@
 		s.hasEndpoints()
 		synctest.Wait()
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, s.held, 0)
+		assert.Equal(t, s.waiting, 0)
 	})
 }
--- a/internal/node/storecalls_test.go
+++ b/internal/node/storecalls_test.go
@@ -13,13 +13,13 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// failing is a store whose reads all fail in one way.
-type failing struct {
+// failingStore is a store whose reads all fail in one way.
+type failingStore struct {
 	objects.Store
 	err error
 }
 
-func (f failing) Get(context.Context, string, string) (objects.Object, error) {
+func (f failingStore) Get(context.Context, string, string) (objects.Object, error) {
 	return objects.Object{}, f.err
 }
 
@@ -36,7 +36,7 @@
 		"refused":    verdict.Wrap(verdict.NotRun, errors.New("status 503")),
 		"unanswered": context.DeadlineExceeded,
 	} {
-		c := &countedStore{store: failing{err: err}, metrics: n.metrics}
+		c := &countedStore{store: failingStore{err: err}, metrics: n.metrics}
 		_, got := c.Get(t.Context(), "things", "one")
 		assert.Assert(t, errors.Is(got, err))
 		var text strings.Builder
--- a/internal/node/strength.go
+++ b/internal/node/strength.go
@@ -62,11 +62,11 @@
 		id := all[i].Daemon
 		ranked[i] = graded{&all[i], strengthOf(id), rendezvous.Score(hubKey, string(id))}
 	}
-	return best(ranked, n)
+	return topRanked(ranked, n)
 }
 
-// best returns the n members of the highest grades, by score among equals.
-func best(ranked []graded, n int) []membership.Member {
+// topRanked returns the n members of the highest grades, by score among equals.
+func topRanked(ranked []graded, n int) []membership.Member {
 	slices.SortFunc(ranked, func(a, b graded) int {
 		return cmp.Or(cmp.Compare(b.strength, a.strength), cmp.Compare(b.score, a.score))
 	})
--- a/internal/node/telling.go
+++ b/internal/node/telling.go
@@ -27,55 +27,55 @@
 	return exchange.NormalInterval(l.reporters)
 }
 
-// way is how old a report is that a hub has from a daemon, whatever it came through.
-func (n *Node) way() time.Duration {
+// reportAge is how old a report is that a hub has from a daemon, whatever it came through.
+func (n *Node) reportAge() time.Duration {
 	if n.members.layout().meshed {
 		return n.interval() + exchange.RelayInterval
 	}
 	return n.interval()
 }
 
-// knownLevels is how long a daemon has run when its view of what is left of the
+// levelsAfter is how long a daemon has run when its view of what is left of the
 // limits is taken by one that has just started.
-const knownLevels = 4 * time.Second
+const levelsAfter = 4 * time.Second
 
-// telling is this daemon's side of the exchange, as teller and as hub.
-type telling struct {
+// peerExchange is this daemon's side of the exchange, as teller and as hub.
+type peerExchange struct {
 	node   *Node
 	client *exchange.Client
 
-	mu     sync.Mutex
-	hub    *exchange.Hub
-	holder exchange.Holder // of the duties, the newest that is known
-	listed feed.Position   // of the hub's list that this daemon has
-	lister string          // that hub's address
+	mu           sync.Mutex
+	hub          *exchange.Hub
+	holder       exchange.Holder // of the duties, the newest that is known
+	listPosition feed.Position   // of the hub's list that this daemon has
+	listHub      string          // that hub's address
 	// listedAt is when it told its list last.
-	listedAt time.Time
-	hubs     map[string]*reports  // by address
-	loader   string               // the hub that tells the endpoints' loads, empty: all
-	loadedAt time.Time            // when loads were told last
-	seq      uint64               // of the last round
-	relaying bool                 // in this round this daemon relays what it is told
-	relayers map[string]time.Time // when other hubs last relayed something, by address
-	members  *introducing
-	// passedOn is how old the list is that this daemon has from a hub.
-	passedOn time.Time
+	listedAt    time.Time
+	hubs        map[string]*hubReports // by address
+	loadHub     string                 // the hub that tells the endpoints' loads, empty: all
+	loadedAt    time.Time              // when loads were told last
+	seq         uint64                 // of the last round
+	relaying    bool                   // in this round this daemon relays what it is told
+	relayers    map[string]time.Time   // when other hubs last relayed something, by address
+	memberLists *memberLists
+	// hubStoreContact is how old the list is that this daemon has from a hub.
+	hubStoreContact time.Time
 }
 
-func newTelling(n *Node) *telling {
-	return &telling{
+func newPeerExchange(n *Node) *peerExchange {
+	return &peerExchange{
 		node:   n,
 		client: exchange.NewClient(),
 		hub:    exchange.NewHub(exchange.NormalInterval(1)),
-		hubs:   map[string]*reports{},
+		hubs:   map[string]*hubReports{},
 
-		relayers: map[string]time.Time{},
-		members:  newIntroducing(n),
+		relayers:    map[string]time.Time{},
+		memberLists: newMemberLists(n),
 	}
 }
 
 // listen answers other daemons.
-func (t *telling) listen(ctx context.Context) error {
+func (t *peerExchange) listen(ctx context.Context) error {
 	lc := net.ListenConfig{Control: upstream.UserTimeout}
 	l, err := lc.Listen(ctx, "tcp", t.node.settings.Listen.Peers)
 	if err != nil {
@@ -85,23 +85,23 @@
 	go func() {
 		defer t.node.wg.Done()
 		if err := exchange.Serve(ctx, l, t); err != nil && ctx.Err() == nil {
-			t.node.say("peers").WithError(err).Error("listener ended")
+			t.node.logFor("peers").WithError(err).Error("listener ended")
 		}
 	}()
 	return nil
 }
 
 // Fetch implements exchange.Handler.
-func (t *telling) Fetch(w spread.Want) (spread.Piece, error) { return t.node.config.piece(w) }
+func (t *peerExchange) Fetch(w spread.Want) (spread.Piece, error) { return t.node.config.piece(w) }
 
 // Report implements exchange.Handler.
-func (t *telling) Report(p exchange.Report) exchange.Reply {
-	t.node.fetching.heardFrom(p.Daemon, p.ConfigVersion)
+func (t *peerExchange) Report(p exchange.Report) exchange.Reply {
+	t.node.fetcher.offeredBy(p.Daemon, p.ConfigVersion)
 	t.node.crashes.add(p.Crashes)
 	if p.Self != nil {
-		t.node.introduce([]membership.Member{*p.Self})
+		t.node.addMembers([]membership.Member{*p.Self})
 	}
-	t.node.rollouts.told.hear(p.Daemon, p.Rollouts)
+	t.node.rollouts.orders.addReports(p.Daemon, p.Rollouts)
 	now := time.Now()
 	t.node.state.ApplyRollouts(now, p.RolloutUpdate)
 	steady := t.node.clock.Steady()
@@ -120,7 +120,7 @@
 	}
 	sum.RolloutUpdate = t.node.state.RolloutUpdate(now)
 	sum.Crashes, sum.CrashesPosition = t.node.crashes.table.Since(p.CrashesPosition)
-	if p.WantLevels && now.Sub(t.node.started) > knownLevels {
+	if p.WantLevels && now.Sub(t.node.started) > levelsAfter {
 		sum.Soft.Levels = t.node.state.Levels(now)
 	}
 	if skew, ok := t.hub.Skew(now); ok {
@@ -128,9 +128,9 @@
 	}
 	sum.Endpoints = t.node.endpoints.since(p.EndpointsPosition)
 	if t.relaying {
-		sum.Members = t.members.since(now, p.MembersPosition)
+		sum.Members = t.memberLists.since(now, p.MembersPosition)
 	}
-	sum.StoreAge = t.fresh(now)
+	sum.StoreAge = t.storeAge(now)
 	sum.ConfigRevision = t.node.config.upTo() // before the version, which may only be newer
 	newest := t.node.config.current()
 	sum.ConfigVersion = newest.Version
@@ -141,27 +141,27 @@
 }
 
 // run tells the hubs until the context ends.
-func (t *telling) run(ctx context.Context) {
+func (t *peerExchange) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t.wait(ctx)
 		t.round(ctx)
 	}
 }
 
-// urgentLook is how often a daemon whose hubs relay looks whether it has something
+// urgentCheck is how often a daemon whose hubs relay looks whether it has something
 // urgent to tell.
-const urgentLook = 250 * time.Millisecond
+const urgentCheck = 250 * time.Millisecond
 
 // wait waits until the next report is due, which may become urgent meanwhile.
-func (t *telling) wait(ctx context.Context) {
+func (t *peerExchange) wait(ctx context.Context) {
 	began := time.Now()
 	for ctx.Err() == nil {
-		left := t.next() - time.Since(began)
+		left := t.nextInterval() - time.Since(began)
 		if left <= 0 {
 			return
 		}
 		if t.node.members.layout().meshed {
-			left = min(left, urgentLook)
+			left = min(left, urgentCheck)
 		}
 		pause.For(ctx, left)
 		if !t.node.members.layout().meshed {
@@ -170,8 +170,8 @@
 	}
 }
 
-// next returns the time between the last report and the next.
-func (t *telling) next() time.Duration {
+// nextInterval returns the time between the last report and the nextInterval.
+func (t *peerExchange) nextInterval() time.Duration {
 	l := t.node.members.layout()
 	now := time.Now()
 	interval := t.node.interval()
@@ -197,7 +197,7 @@
 }
 
 // setInterval takes a changed interval of the fleet's reports.
-func (t *telling) setInterval(d time.Duration) {
+func (t *peerExchange) setInterval(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hub.SetInterval(d)
@@ -205,23 +205,23 @@
 
 // round tells all hubs and uses each one's sum as it comes. It doesn't wait for
 // a hub that is silent: what the other one tells would be late as well.
-func (t *telling) round(ctx context.Context) {
+func (t *peerExchange) round(ctx context.Context) {
 	targets := t.targets()
-	t.begin()
-	t.chooseLoader(targets)
+	t.beginRound()
+	t.chooseLoadHub(targets)
 	kept := appendNew(slices.Clone(targets), peersOf(t.node.members.layout().own)...)
 	t.client.KeepOnly(kept)
 	t.node.state.KeepHubs(kept)
-	t.checkLister()
+	t.checkListHub()
 	answered := make(chan struct{}, len(targets))
 	soft := t.node.state.OwnState()
 	for _, address := range targets {
 		go func() {
 			defer func() { answered <- struct{}{} }()
-			t.one(ctx, address, soft)
+			t.report(ctx, address, soft)
 		}()
 	}
-	late := time.After(roundWait)
+	late := time.After(roundTimeout)
 	for range targets {
 		select {
 		case <-answered:
@@ -233,13 +233,13 @@
 	}
 }
 
-// roundWait is how long a round waits for answers: many times the way there
+// roundTimeout is how long a round waits for answers: many times the way there
 // and back, so that rounds of a sound fleet don't overlap.
-const roundWait = 150 * time.Millisecond
+const roundTimeout = 150 * time.Millisecond
 
 // targets returns the addresses to tell: the hubs, the holder of the duties,
 // and before anyone is known the seeds.
-func (t *telling) targets() []string {
+func (t *peerExchange) targets() []string {
 	l := t.node.members.layout()
 	out := t.ownHubs(l)
 	relays := t.relays(l)
@@ -251,7 +251,7 @@
 	if relays || !l.meshed {
 		out = appendNew(out, t.holderAddress(l)...)
 	}
-	out = appendNew(out, t.listers(l)...)
+	out = appendNew(out, t.listSources(l)...)
 	if t.node.config.current().Version == 0 && (len(l.serving) <= 1 || t.node.config.store.Lost()) {
 		for _, s := range *t.node.members.seeds.Load() {
 			out = appendNew(out, s.Peer)
@@ -262,7 +262,7 @@
 
 // holderAddress returns the address of the holder of the duties, none where it isn't
 // known.
-func (t *telling) holderAddress(l *layout) []string {
+func (t *peerExchange) holderAddress(l *layout) []string {
 	t.mu.Lock()
 	holder := t.holder
 	t.mu.Unlock()
@@ -284,42 +284,42 @@
 	return all
 }
 
-// one tells one hub, itself without a call, and uses its sum. A hub that has not
+// report tells report hub, itself without a call, and uses its sum. A hub that has not
 // answered yet isn't told again meanwhile.
-func (t *telling) one(ctx context.Context, address string, soft relay.SoftState) {
-	if !t.enter(address) {
+func (t *peerExchange) report(ctx context.Context, address string, soft relay.SoftState) {
+	if !t.beginCall(address) {
 		return
 	}
-	defer t.exit(address)
+	defer t.endCall(address)
 	p, upTo := t.part(address, soft)
 	if address == t.node.settings.Listen.Peers {
 		sum := t.Report(p)
 		if t.node.gathering() && len(t.node.members.serving()) == 1 {
 			return // it has not found the others yet, and knows nothing of them
 		}
-		t.use(address, &sum, 0)
+		t.apply(address, &sum, 0)
 		return
 	}
 	asked := time.Now()
 	sum, err := t.client.Report(ctx, address, &p)
 	took := time.Since(asked)
-	t.ended(address, &p, err)
+	t.reportEnded(address, &p, err)
 	if err != nil {
 		return
 	}
-	t.node.fetching.heard(address, sum.ConfigVersion)
-	t.node.config.heard(sum.ConfigVersion, sum.ConfigRevision)
-	t.crashes(address, upTo, &sum)
+	t.node.fetcher.offered(address, sum.ConfigVersion)
+	t.node.config.noteHubRevision(sum.ConfigVersion, sum.ConfigRevision)
+	t.takeCrashes(address, upTo, &sum)
 	if p.IsHub {
-		t.useHub(address, &sum, took)
+		t.applyHubAnswer(address, &sum, took)
 		return
 	}
-	t.use(address, &sum, took)
+	t.apply(address, &sum, took)
 }
 
 // part returns this daemon's part for a hub, with what it has of its own in this round,
 // and up to where it tells crashes.
-func (t *telling) part(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
+func (t *peerExchange) part(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
 	p := exchange.Report{
 		Daemon:            t.node.id,
 		ConfigVersion:     t.node.config.current().Version,
@@ -333,15 +333,15 @@
 	l := t.node.members.layout()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p.Seq, p.Backup = t.seq, t.loader != "" && t.loader != address
-	if time.Since(t.to(address).counted) >= windowsInterval {
+	p.Seq, p.Backup = t.seq, t.loadHub != "" && t.loadHub != address
+	if time.Since(t.reportsTo(address).windowsAt) >= windowsInterval {
 		p.Windows = t.node.begun.windows()
 	}
 	p.Holder = t.holder
 	p.IsHub = t.relaying
-	p.EndpointsPosition = t.position(l, address)
-	p.MembersPosition = t.members.position(address, p.IsHub || t.loader == "" || t.loader == address)
-	if r := t.to(address); r.unanswered || r.answered.IsZero() {
+	p.EndpointsPosition = t.endpointsPosition(l, address)
+	p.MembersPosition = t.memberLists.position(address, p.IsHub || t.loadHub == "" || t.loadHub == address)
+	if r := t.reportsTo(address); r.unanswered || r.answeredAt.IsZero() {
 		p.Self = &t.node.members.self
 	}
 	p.OmitLoads = t.brief(address)
@@ -350,20 +350,20 @@
 		return p, quarantine.Position{}
 	}
 	if p.IsHub {
-		t.relay(l, address, &p)
+		t.addRelayed(l, address, &p)
 	}
 	var upTo quarantine.Position
-	p.Crashes, upTo = t.node.crashes.table.Since(t.to(address).told)
-	p.CrashesPosition = t.to(address).heard
+	p.Crashes, upTo = t.node.crashes.table.Since(t.reportsTo(address).crashesSent)
+	p.CrashesPosition = t.reportsTo(address).crashesReceived
 	return p, upTo
 }
 
-// use takes a hub's sum, whose answer took a while. Of one that took long, time
+// apply takes a hub's sum, whose answer took a while. Of one that took long, time
 // and loads are past, and only what stays true is taken.
-func (t *telling) use(address string, sum *exchange.Reply, took time.Duration) {
-	t.useNews(address, sum, took)
+func (t *peerExchange) apply(address string, sum *exchange.Reply, took time.Duration) {
+	t.applyUpdates(address, sum, took)
 	if took > exchange.ReplyTimeout {
-		t.late(sum)
+		t.applyLate(sum)
 		return
 	}
 	if !sum.FleetTime.IsZero() {
@@ -382,22 +382,22 @@
 	t.node.state.SetOthers(now, address, sum.Soft)
 }
 
-// useNews takes what a hub knows from the store and of the roll-outs.
-func (t *telling) useNews(address string, sum *exchange.Reply, took time.Duration) {
+// applyUpdates takes what a hub knows from the store and of the roll-outs.
+func (t *peerExchange) applyUpdates(address string, sum *exchange.Reply, took time.Duration) {
 	sum.StoreAge += took
 	sum.RolloutUpdate.Age += took
 	sum.RolloutUpdate.OrdersAge += took
 	t.node.state.ApplyRollouts(time.Now(), sum.RolloutUpdate)
-	t.node.watching.told(sum.StoreAge)
-	t.list(address, sum)
+	t.node.watch.noteHubContact(sum.StoreAge)
+	t.takeList(address, sum)
 	t.mu.Lock()
-	members := t.members.heard(address, &sum.Members)
+	members := t.memberLists.receive(address, &sum.Members)
 	t.mu.Unlock()
-	t.node.introduce(members)
+	t.node.addMembers(members)
 }
 
-// late takes what stays true of a sum that came late.
-func (t *telling) late(sum *exchange.Reply) {
+// applyLate takes what stays true of a sum that came applyLate.
+func (t *peerExchange) applyLate(sum *exchange.Reply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder = t.holder.Newer(sum.Holder)
@@ -405,15 +405,15 @@
 
 // setHolder notes that this daemon holds the duties since an acquisition. The
 // others learn it from the hubs, also where these can't reach the store.
-func (t *telling) setHolder(token uint64) {
+func (t *peerExchange) setHolder(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder = t.holder.Newer(exchange.Holder{Daemon: t.node.id, Token: token})
 }
 
-// heldBy returns the fencing token under which another daemon than one is known to
+// otherHolderToken returns the fencing token under which another daemon than one is known to
 // hold the duties, 0 where none is.
-func (t *telling) heldBy(but fleet.DaemonID) uint64 {
+func (t *peerExchange) otherHolderToken(but fleet.DaemonID) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.holder.Daemon == but {
@@ -422,8 +422,8 @@
 	return t.holder.Token
 }
 
-// ask calls f with the hub's state.
-func (t *telling) ask(f func(h *exchange.Hub)) {
+// withHub calls f with the hub's state.
+func (t *peerExchange) withHub(f func(h *exchange.Hub)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.hub)
--- a/internal/node/usageduty.go
+++ b/internal/node/usageduty.go
@@ -49,7 +49,7 @@
 // begun returns a window's counts from all daemons.
 func (d *duties) begun(window uint64) map[fleet.WorkspaceID]uint64 {
 	var out exchange.RequestCounts
-	d.node.telling.ask(func(h *exchange.Hub) { out = h.RequestCounts(window) })
+	d.node.peers.withHub(func(h *exchange.Hub) { out = h.RequestCounts(window) })
 	return out
 }
 
