--- a/internal/node/begun.go
+++ b/internal/node/begun.go
@@ -9,11 +9,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// keptWindows is the number of usage windows that are told: reports are late
-// by two windows at most.
+// keptWindows is the number of usage windows that are kept and reported: reports
+// are late by two windows at most.
 const keptWindows = 4
 
-// begunCounts counts the requests that began to run, by window of the fleet's time.
+// begunCounts counts the requests that began to run, per workspace and window of the
+// fleet's clock.
 type begunCounts struct {
 	window time.Duration
 	mu     sync.Mutex
@@ -24,7 +25,7 @@
 	return &begunCounts{window: window, counts: map[uint64]exchange.RequestCounts{}}
 }
 
-// number returns the window that a time lies in.
+// number returns the window that contains a time.
 func (b *begunCounts) number(at time.Time) uint64 { return uint64(at.UnixNano() / int64(b.window)) }
 
 func (b *begunCounts) add(w fleet.WorkspaceID, at time.Time) {
--- a/internal/node/checkpoint.go
+++ b/internal/node/checkpoint.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// checkpointName is where the windows that aren't frozen yet are kept.
+	// checkpointName is the object that holds the usage windows that aren't frozen yet.
 	checkpointName = "running"
-	// checkpointInterval is how often they are written: what a fleet that is
-	// killed at once loses is a fifth of a window.
+	// checkpointInterval is how often it is written: if all daemons are killed at once,
+	// the fleet loses the counts of this time, a fifth of a window.
 	checkpointInterval = time.Second
 )
 
-// checkpoints writes and restores what began in the windows that aren't frozen
-// yet. It belongs to the duties' goroutine.
+// checkpoints writes and restores the counts of the usage windows that aren't
+// frozen yet. Only the duties' goroutine uses it.
 type checkpoints struct {
 	duties   *duties
 	restored bool
@@ -27,8 +27,8 @@
 	last     time.Time
 }
 
-// step reports whether the counts from before were restored, and makes the
-// call that is due.
+// step reports whether the counts of the previous holder were restored, and starts
+// the call that is due.
 func (c *checkpoints) step(ctx context.Context, now time.Time) bool {
 	switch {
 	case c.busy:
@@ -57,7 +57,7 @@
 	}
 	saved, err := stored[exchange.Checkpoint](o, err)
 	if err != nil {
-		c.duties.log.WithError(err).Warn("running windows not read")
+		c.duties.log.WithError(err).Warn("checkpoint of usage windows not read")
 		return
 	}
 	c.restored = true
@@ -72,7 +72,7 @@
 	n.peers.withHub(func(h *exchange.Hub) { saved = h.Checkpoint(from) })
 	text, err := json.Marshal(saved)
 	if err != nil {
-		c.duties.log.WithError(err).Error("running windows not encoded")
+		c.duties.log.WithError(err).Error("checkpoint of usage windows not encoded")
 		return
 	}
 	c.busy = true
@@ -81,7 +81,7 @@
 		return func(time.Time) {
 			c.busy = false
 			if err != nil {
-				c.duties.log.WithError(err).Info("running windows not saved")
+				c.duties.log.WithError(err).Info("checkpoint of usage windows not written")
 			}
 		}
 	})
--- a/internal/node/configfetcher.go
+++ b/internal/node/configfetcher.go
@@ -9,18 +9,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// offer is a daemon's word that it has a version.
+// offer is a daemon's report that it has a version.
 type offer struct {
 	address string
 	version uint64
 }
 
-// offerRing bounds the offers that wait for the duty: each is repeated with the
-// next report, so that the oldest may go.
+// offerRing bounds the offers that wait: each is repeated with the next report, so
+// that the oldest may be dropped.
 const offerRing = 64
 
-// configFetcher brings newer configurations from other daemons. One goroutine owns
-// the decision.
+// configFetcher fetches newer configurations from other daemons. One goroutine owns
+// the spread.Fetcher, which chooses what is fetched from whom.
 type configFetcher struct {
 	node   *Node
 	offers *ring.Ring[offer]
@@ -31,7 +31,7 @@
 	return &configFetcher{node: n, offers: ring.New[offer]("offers", offerRing), fetch: spread.NewFetcher()}
 }
 
-// offered notes which version another daemon has.
+// offered notes which version the daemon at an address has.
 func (f *configFetcher) offered(address string, version uint64) {
 	if version > f.node.config.current().Version {
 		f.node.config.noteVersion(time.Now(), version, address)
@@ -39,7 +39,7 @@
 	}
 }
 
-// offeredBy notes which version a daemon has that is known by its name alone.
+// offeredBy notes which version a daemon has that is given by its ID.
 func (f *configFetcher) offeredBy(id fleet.DaemonID, version uint64) {
 	if version <= f.node.config.current().Version {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// round fetches until nothing newer is known of.
+// round fetches until no newer version is reported.
 func (f *configFetcher) round(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.fetch.Applied(f.node.config.current().Version)
@@ -92,11 +92,11 @@
 	}
 }
 
-// apply puts in force what a patch leads to.
+// apply decodes a fetched text, which may be a patch, and puts it in force.
 func (f *configFetcher) apply(done spread.Piece) {
 	base := f.node.config.current()
 	if done.Base != 0 && done.Base != base.Version {
-		return // the store was faster; what is newer still is fetched next
+		return // a newer version came from the store first; a still newer one is fetched next
 	}
 	if done.Base == 0 {
 		base = spread.Text{}
@@ -110,10 +110,10 @@
 		err = f.node.config.apply(text, "peer")
 	}
 	if err == nil && f.node.config.current().Version < done.Version {
-		err = Error.New("the text is of another version")
+		err = Error.New("fetched text has another version than its piece")
 	}
 	if err != nil {
-		log.WithError(err).Warn("fetched, can't be used")
+		log.WithError(err).Warn("fetched configuration not usable")
 		f.fetch.Unusable(done.Version)
 	}
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -10,20 +10,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// configuration keeps the newest configuration in force, from the store or
-// from other daemons, whichever has it first. Versions only ever rise.
+// configuration keeps the newest configuration in force, from the store or from
+// other daemons, whichever has it first. Versions only increase.
 type configuration struct {
 	node         *Node
 	store        *follow.Follower
 	mu           sync.Mutex
 	newest       spread.Text
-	hubRevision  uint64    // the store's revision up to which hubs know no newer version
-	announced    uint64    // the newest version that any daemon has told of
-	behindSince  time.Time // when one that isn't in force was told of first
-	behindLogged bool      // said in the log for since
+	hubRevision  uint64    // the store's revision up to which hubs report no newer version
+	announced    uint64    // the newest version that any daemon has reported
+	behindSince  time.Time // when a version that isn't in force was first reported
+	behindLogged bool      // the lag since behindSince is logged
 
 	sourceMu sync.Mutex
-	source   spread.Source // for other daemons
+	source   spread.Source // serves the text to other daemons
 }
 
 func newConfiguration(n *Node) *configuration {
@@ -36,15 +36,14 @@
 	c.node.watch.run(ctx, c.store, c.upTo, c.due)
 }
 
-// due reports whether this daemon should watch the configuration now. Where the
-// store doesn't answer, one that isn't a hub asks it for the endpoints alone until
-// it does.
+// due reports whether this daemon should watch the configuration now. While the
+// store doesn't answer, a daemon that isn't a hub watches the endpoints alone.
 func (c *configuration) due() bool {
 	w := c.node.watch
 	if w.reliesOnHubs() && c.node.endpoints.store.Lost() {
 		return c.lags(time.Now())
 	}
-	listed := c.store.Revision() > 0 || c.current().Version > 0 // there may be none yet
+	listed := c.store.Revision() > 0 || c.current().Version > 0 // the store may have no configuration yet
 	return w.due(listed) || c.lags(time.Now())
 }
 
@@ -74,16 +73,16 @@
 
 func (c *configuration) take(o objects.Object) {
 	if o.Name == c.node.platform.ConfigName {
-		_ = c.apply(o.Spec, "store") // said in the log; the next version may be better
+		_ = c.apply(o.Spec, "store") // apply logs the error; a later version may be valid
 	}
 }
 
-// apply puts a text in force if it is newer than what is.
+// apply puts a text in force if its version is newer than the one in force.
 func (c *configuration) apply(text []byte, source string) error {
 	log := c.node.logFor("configuration").WithField("source", source)
 	t, err := c.node.platform.DecodeTable(text)
 	if err != nil {
-		log.WithError(err).Error("not understood")
+		log.WithError(err).Error("not decoded")
 		return err
 	}
 	c.mu.Lock()
@@ -104,30 +103,29 @@
 	return nil
 }
 
-// current returns the newest configuration; Version 0 is none.
+// current returns the newest configuration; Version 0 means none.
 func (c *configuration) current() spread.Text {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// offer makes a version ready for other daemons.
+// offer makes a version available to other daemons.
 func (c *configuration) offer(t spread.Text) {
 	c.sourceMu.Lock()
 	defer c.sourceMu.Unlock()
 	c.source.Add(t)
 }
 
-// piece answers another daemon that fetches.
+// piece answers another daemon's fetch.
 func (c *configuration) piece(w spread.Want) (spread.Piece, error) {
 	c.sourceMu.Lock()
 	defer c.sourceMu.Unlock()
 	return c.source.Answer(w)
 }
 
-// maxLag is how long a version may be known of and not be in force before this
-// daemon looks into the store itself. Two sources that don't answer have been
-// given up by then.
+// maxLag is how long a reported version may not be in force before this daemon
+// reads the store itself. It covers two sources that don't answer.
 const maxLag = time.Second
 
 // noteVersion notes that the daemon at an address has a version.
@@ -146,8 +144,8 @@
 	}).Info("newer version known")
 }
 
-// lags reports whether a newer version has been known of for long: those that have it
-// may be of an earlier release, which can't be fetched from.
+// lags reports whether a newer version has been reported for longer than maxLag: the
+// daemons that have it may be of an earlier release, from which it can't be fetched.
 func (c *configuration) lags(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,8 +156,8 @@
 	return true
 }
 
-// lag returns how long a version has been known of that is newer than what is in
-// force. The lock is held.
+// lag returns how long ago a version newer than the one in force was first reported.
+// The lock is held.
 func (c *configuration) lag(now time.Time) time.Duration {
 	if c.announced <= c.newest.Version {
 		return 0
@@ -167,8 +165,8 @@
 	return now.Sub(c.behindSince)
 }
 
-// logBehind tells, once for each time it falls behind, what keeps this daemon from
-// the newest version. The lock is held.
+// logBehind logs, once for each time that this daemon falls behind, the state of its
+// sources. The lock is held.
 func (c *configuration) logBehind(now time.Time) {
 	if c.behindLogged {
 		return
@@ -180,15 +178,16 @@
 	}).Warn("newer version not in force")
 }
 
-// Lag returns for how long a newer version has been known of and isn't in force.
+// Lag returns how long ago a newer version was first reported that isn't in force yet,
+// 0 where there is none.
 func (c *configuration) Lag() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lag(time.Now())
 }
 
-// noteHubRevision takes a hub's word that there is nothing newer than a version up to a
-// revision of the store.
+// noteHubRevision notes a hub's report that up to a revision of the store there is no
+// version newer than the given one.
 func (c *configuration) noteHubRevision(version, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,8 +196,8 @@
 	}
 }
 
-// upTo returns the store's revision up to which this daemon knows all versions,
-// 0 where it has none. A watch from here has only changes, a list is a megabyte.
+// upTo returns the store's revision up to which this daemon has all versions, 0 where
+// it has none. A watch from here returns changes alone; a list is up to a megabyte.
 func (c *configuration) upTo() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -11,8 +11,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// crashGuard is what this daemon knows of endpoints' crashGuard, and which requests are
-// held for them. It implements relay.Guard.
+// crashGuard keeps the crashes of endpoints that this daemon has seen or received, and
+// which requests are held for them. It implements relay.Guard.
 type crashGuard struct {
 	node  *Node
 	table *quarantine.Table
@@ -32,12 +32,12 @@
 	return c
 }
 
-// storeReadInterval is the time between two looks whether what is kept should be read.
+// storeReadInterval is how often the need to read the stored crashes is checked.
 const storeReadInterval = time.Second
 
-// readStored reads what another part of the fleet has kept, when a hub has learned of
-// crashes: daemons that are cut off from the others but not from the store would
-// send on what the others hold.
+// readStored reads the stored crashes whenever this daemon, as a watcher, has new ones
+// in its table: daemons that are partitioned from the others but can reach the store
+// would otherwise dispatch requests that the others hold.
 func (c *crashGuard) readStored(ctx context.Context) {
 	var read quarantine.Position
 	pause.Every(ctx, storeReadInterval, func() {
@@ -53,7 +53,7 @@
 	})
 }
 
-// add takes crashes that were told or kept.
+// add takes crashes from other daemons or from the store.
 func (c *crashGuard) add(all []quarantine.Crash) {
 	if len(all) > 0 {
 		c.changed(c.table.Add(c.node.clock.Now(), all...))
@@ -65,15 +65,15 @@
 	ends.LogEnd(c.node.logFor("quarantine"), id, crash)
 }
 
-func (c *crashGuard) changed(what quarantine.Change) {
-	if len(what.Held)+len(what.Released) > 0 { // seldom, and it is asked with each answer
-		ends.LogChange(c.node.logFor("quarantine"), c.table, what)
+func (c *crashGuard) changed(change quarantine.Change) {
+	if len(change.Held)+len(change.Released) > 0 { // rare, and this runs for each answer
+		ends.LogChange(c.node.logFor("quarantine"), c.table, change)
 	}
 }
 
 // HeldFor implements relay.Guard.
 func (c *crashGuard) HeldFor(key func() quarantine.Key) time.Duration {
-	if c.table.HeldCount() == 0 { // nearly always: the clock is a system call
+	if c.table.HeldCount() == 0 { // the usual case; reading the clock is a system call
 		return 0
 	}
 	return c.table.Held(c.node.clock.Now(), key)
@@ -88,8 +88,7 @@
 	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.StartedAt), key))
 }
 
-// state reports whether an endpoint is listed, and whether it has said that it
-// leaves.
+// state reports whether an endpoint is listed, and whether it is leaving.
 func (d *endpointList) state(id fleet.EndpointID) (listed, leaving bool) {
 	all, _ := d.list()
 	for i := range all {
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -23,23 +23,23 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// crashingBody ends an endpoint of these tests that begins to run it.
+// crashingBody is a request body that crashes the endpoint that begins to run it.
 const crashingBody = "crash"
 
-// closingBody makes one close the connection.
+// closingBody is a request body for which an endpoint closes the connection.
 const closingBody = "close"
 
-// fragileEndpoints are endpoints that end when they begin to run crashingBody and don't come
-// back. They answer anything else.
+// fragileEndpoints are endpoints that end when they receive crashingBody and don't
+// restart. They answer anything else.
 type fragileEndpoints struct {
 	mu    sync.Mutex
 	conns map[net.Listener][]net.Conn
-	// closed is how many connections a listener's endpoint has closed by itself.
+	// closed counts the connections that a listener's endpoint has closed by itself.
 	closed  map[net.Listener]int
 	crashed atomic.Int64
 }
 
-// addFragile puts n of them into a fleet's store, the first in place of the endpoint
+// addFragile adds n of them to a fleet's store, the first in place of the endpoint
 // that is there.
 func (f *testFleet) addFragile(n int) *fragileEndpoints {
 	f.t.Helper()
@@ -102,8 +102,8 @@
 	}
 }
 
-// end ends an endpoint: its listener first, so that nobody finds it there after
-// a connection has ended.
+// end ends an endpoint: first its listener, so that no new connection succeeds after
+// the others have been closed.
 func (e *fragileEndpoints) end(l net.Listener) {
 	_ = l.Close()
 	e.mu.Lock()
@@ -136,15 +136,14 @@
 	return out
 }
 
-// Callers' streams break off by dozens, again and again. A request ends the
-// endpoint that begins to run it; its caller is told that it may have run and
-// sends it again, as another request, to any daemon. Each time it goes to one more
-// endpoint, which ends, with all that runs there. The cause: what bounds attempts
-// counts those of one try of a caller's, and nothing was known of the request
-// beyond its end. Evidence: on one day 39 endpoints ended under two requests, of
-// the same tokens each time, at nine daemons, none of which saw more than five.
+// A request crashes each endpoint that begins to run it, which also breaks all other
+// streams of that endpoint. Its caller gets the verdict may-have-run and sends it again,
+// as another request, to any daemon, and one more endpoint crashes. The bound on attempts
+// covers a single request of the caller, so that crashes must be counted by the
+// request's content and over all daemons: one such request has ended 39 endpoints in a
+// day through nine daemons, none of which saw more than five of the crashes.
 func TestRequestThatCrashesEndpointsIsHeld(t *testing.T) {
-	const endpoints, allowed = 12, 6 // three, and three retries
+	const endpoints, allowed = 12, 6 // 3 crashes until the request is held, and 3 retries
 	f := newFleet(t, 0)
 	e := f.addFragile(endpoints)
 	log := &logtest.Hook{}
@@ -162,9 +161,9 @@
 	assert.Equal(t, sendBody(n, "other", "innocent").body, "done")
 }
 
-// The same request comes to another daemon each time, and again after all daemons
-// were killed at once. What one has seen the others must know, and who starts
-// again.
+// The same request arrives at another daemon each time, and again after all daemons
+// were killed at once. All daemons must have the crashes that one has seen, and so
+// must a daemon that starts again.
 func TestRequestIsHeldByAllDaemonsAndAfterARestart(t *testing.T) {
 	const endpoints = 6
 	f := newFleet(t, 0)
@@ -175,7 +174,7 @@
 	f.awaitReady()
 	for i := range 3 {
 		sendBody(f.nodes[i], "try"+strconv.Itoa(i), crashingBody)
-		f.until("all daemons know of the end", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
+		f.until("all daemons have the crash", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
 	}
 	for _, n := range f.nodes {
 		assert.Equal(t, sendBody(n, "again", crashingBody).refusal.Reason, relay.Quarantined)
@@ -184,13 +183,14 @@
 	f.stop()
 	f.nodes, f.cancel, f.done = nil, nil, nil
 	n := f.addWith(f.store, func(n *Node) { n.settings.Daemon.FirstStart = false })
-	f.until("it knows what was held", func(n *Node) bool { return n.crashes.table.HeldCount() == 1 })
+	f.until("the held request is restored", func(n *Node) bool { return n.crashes.table.HeldCount() == 1 })
 	assert.Equal(t, sendBody(n, "after all", crashingBody).refusal.Reason, relay.Quarantined)
 	assert.Equal(t, e.crashed.Load(), int64(3))
 }
 
-// A daemon is cut off from the others, but not from the store. The same request
-// comes there: after one more end it knows what the others have kept.
+// A daemon is partitioned from the others, but not from the store, and receives a
+// request that the others hold. After one more crash it must read what the others have
+// stored.
 func TestPartitionedDaemonReadsHeldRequestsFromTheStore(t *testing.T) {
 	const endpoints = 8
 	f := newFleet(t, 0)
@@ -199,7 +199,7 @@
 	f.awaitHolder()
 	for i := range 3 {
 		sendBody(f.nodes[0], "try"+strconv.Itoa(i), crashingBody)
-		f.until("the end is known", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
+		f.until("the crash is counted", func(n *Node) bool { return n.crashes.table.CrashCount() == i+1 })
 	}
 	f.awaitStoredCrashes(3)
 	alone := f.addWith(f.store, func(n *Node) { n.extraSeeds = nil })
@@ -211,20 +211,20 @@
 	assert.Equal(t, len(alone.members.serving()), 1)
 }
 
-// awaitStoredCrashes waits until crashes are awaitStoredCrashes in the store.
+// awaitStoredCrashes waits until that many crashes are in the store.
 func (f *testFleet) awaitStoredCrashes(crashes int) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		kept, err := stored[limitsCheckpoint](f.store.Get(f.t.Context(), limitsKind, limitsName))
 		if err != nil || len(kept.Crashes) < crashes {
-			return poll.Continue("not kept yet")
+			return poll.Continue("not stored yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(10*time.Millisecond))
 }
 
-// Endpoints close connections under requests that are run elsewhere: they go on
-// listening, and have not ended.
+// Endpoints close connections on which requests are running, but go on listening: they
+// have not crashed.
 func TestClosedConnectionIsNotACrash(t *testing.T) {
 	f := newFleet(t, 0)
 	e := f.addFragile(3)
@@ -233,23 +233,23 @@
 	for range 3 {
 		assert.Equal(t, sendBody(n, "closed", closingBody).refusal.Reason, relay.Broken)
 	}
-	f.until("all were asked for", func(*Node) bool { return e.redialled() })
+	f.until("all endpoints were dialled again", func(*Node) bool { return e.redialled() })
 	assert.Equal(t, n.crashes.table.CrashCount(), 0)
 	assert.Equal(t, e.crashed.Load(), int64(0))
 }
 
-// awaitCrashLogs waits until the log tells of the ends of n endpoints.
+// awaitCrashLogs waits until the ends of n endpoints are logged.
 func awaitCrashLogs(t *testing.T, log *logtest.Hook, n int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		told := 0
+		logged := 0
 		for _, e := range log.AllEntries() {
 			if e.Level == logrus.WarnLevel && strings.HasPrefix(e.Message, "endpoint ended") {
-				told++
+				logged++
 			}
 		}
-		if told < n {
-			return poll.Continue("%d of %d ends told", told, n)
+		if logged < n {
+			return poll.Continue("%d of %d ends logged", logged, n)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -13,21 +13,22 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/pause"
 )
 
-// hubKind is the kind of the entries of machines that serve as hubs of a large fleet.
+// hubKind is the kind of the objects by which strong machines register as hubs of a
+// large fleet.
 const hubKind = "hubs"
 
 const (
-	// registerStrength is the least grade of a machine that enters itself in the store.
+	// registerStrength is the lowest strength of a machine that registers as a hub.
 	registerStrength = 8
-	// registerTime is how long after its start the others of a fleet have entered
-	// themselves; who reads earlier misses some.
+	// registerTime is how long after a daemon's start the others of a fleet that starts
+	// with it have registered; an earlier read misses some.
 	registerTime = 600 * time.Millisecond
-	// gossipTime is how long a weak machine of a small fleet takes to meet a strong one by
-	// the membership protocol.
+	// gossipTime is how long a weak machine of a small fleet takes to find a strong one
+	// by the membership protocol.
 	gossipTime = 300 * time.Millisecond
 )
 
-// hubEntry is a daemon's entry.
+// hubEntry is a daemon's registration as a hub.
 type hubEntry struct {
 	Daemon      fleet.DaemonID   `json:"daemon"`
 	Caller      string           `json:"caller"`
@@ -37,8 +38,8 @@
 	Incarnation uint64           `json:"incarnation"`
 }
 
-// discover learns what there was before this daemon started, and finds the hubs of a large
-// fleet. A store that doesn't answer leaves that to the seeds.
+// discover restores the limits from before this daemon's start, and finds the hubs of
+// a large fleet. Where the store doesn't answer, the seeds must do.
 func (n *Node) discover(ctx context.Context) {
 	n.restoreLimits(ctx)
 	first := n.settings.Daemon.FirstStart
@@ -70,12 +71,12 @@
 		_, err = n.platform.Store.Replace(ctx, hubKind, string(self.Instance), 0, text)
 	}
 	if err != nil {
-		n.logFor("membership").WithError(err).Info("not entered as a hub")
+		n.logFor("membership").WithError(err).Info("not registered as a hub")
 	}
 }
 
-// lacksHubs reports whether this daemon's machine is weak and knows no strong one in
-// its data centre.
+// lacksHubs reports whether this daemon's machine is weak and has found no strong one
+// in its data centre.
 func (n *Node) lacksHubs() bool {
 	if !n.watch.weak() {
 		return false
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,6 +1,6 @@
 // Package node is the daemon that relays requests on a platform with an object
-// store: it wires the decisions to the store, to the other daemons and to the
-// listeners. Each duty has a goroutine of its own.
+// store: it connects the packages that decide to the store, to the other daemons and
+// to the listeners. Each part runs on a goroutine of its own.
 package node
 
 import "github.com/zeebo/errs"
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	// dutyTick is how often the duties look for what is due.
+	// dutyTick is how often the duties check what is due.
 	dutyTick = 100 * time.Millisecond
-	// gatherTimeout is how long a new holder waits for the others' parts: they
-	// learn of it from the hubs within two rounds and tell it in the next.
+	// gatherTimeout is how long a new holder waits for the reports of all daemons: they
+	// learn of the new holder from the hubs within two rounds, and report in the next.
 	gatherTimeout = 1500 * time.Millisecond
-	// dutyDelay is how long after its start a daemon leaves the duties to others: it
-	// knows few yet, and would take itself for a candidate. A longer wait would leave
-	// a fleet that was killed at once without orders for endpoints.
+	// dutyDelay is how long after its start a daemon doesn't compete for the duties: it
+	// has found few others yet, and would take itself for a candidate. A longer delay
+	// would leave a fleet that was killed at once without orders for endpoints.
 	dutyDelay = 700 * time.Millisecond
-	// resultRing bounds the answers that wait for the duties' goroutine: a
-	// lease, a report and an order for each place are under way at most.
+	// resultRing bounds the results that wait for the duties' goroutine: at most a
+	// lease, a report and an order for each place are in flight.
 	resultRing = 64
 )
 
-// duties does the control duties while this daemon holds their lease. One
-// goroutine owns it; calls run on goroutines of their own and come back
-// through results.
+// duties runs the control duties, usage reports, scaling and roll-outs, while this
+// daemon holds their lease. One goroutine owns it; calls run on goroutines of their
+// own and return through results.
 type duties struct {
 	node        *Node
 	lease       *lease.Set
@@ -46,15 +46,15 @@
 	checkpoints *checkpoints
 	limits      *limitsWriter
 	results     *ring.Ring[func(now time.Time)]
-	token       uint64 // of the acquisition that usage and scaling belong to
+	token       uint64 // of the acquisition that the fields above belong to
 	acquiredAt  time.Time
-	// complete says that all daemons have told their part since then.
+	// complete means that all daemons have reported since acquiredAt.
 	complete bool
 	log      *logrus.Entry
 }
 
-// leaseConfig is a lease as long as the platform's bound for a change of
-// holders, so that two of them can't act in turns within it.
+// leaseConfig returns a lease as long as the platform's bound for a change of
+// holders, so that two holders can't alternate within it.
 func leaseConfig(length time.Duration) lease.Config {
 	return lease.Config{
 		Duration:        length,
@@ -119,7 +119,7 @@
 	}
 	l := d.lease.Lease(0)
 	l.Superseded(d.node.peers.otherHolderToken(d.node.id))
-	if !l.Held(now) { // asking whether an order may leave would put off the lease's release
+	if !l.Held(now) { // not MayOrderUnfenced, which would delay the lease's release
 		d.node.rollouts.end()
 		return
 	}
@@ -135,9 +135,9 @@
 	d.scaling.step(ctx, now)
 }
 
-// gathered reports whether the others' parts are here, without which windows would be
-// frozen with a part of their counts. A daemon that can't tell is not waited for longer
-// than gatherTime.
+// gathered reports whether all daemons have reported to the new holder, without which
+// windows would be frozen with a part of their counts. A daemon that can't report is
+// waited for no longer than gatherTimeout.
 func (d *duties) gathered(now time.Time) bool {
 	if !d.complete {
 		d.node.peers.withHub(func(h *exchange.Hub) { d.complete = h.ReceivedFromAll(d.acquiredAt, d.node.members.ids()) })
@@ -145,8 +145,8 @@
 	return d.complete || now.Sub(d.acquiredAt) >= gatherTimeout
 }
 
-// acquire starts the duties afresh with each acquisition: what was known before
-// may have been changed by another holder.
+// acquire resets the duties' state with each acquisition of the lease: another holder
+// may have changed what was kept before.
 func (d *duties) acquire(now time.Time, token uint64) {
 	if token == d.token && d.usage != nil {
 		return
@@ -160,13 +160,14 @@
 	d.log.WithField("token", token).Info("holds the duties")
 }
 
-// fence returns the right to a call that leaves now.
+// fence returns the fence of a call that is sent now, and whether it may be sent.
 func (d *duties) fence() (duty.Fence, bool) {
 	l := d.lease.Lease(0)
 	return duty.Fence{Holder: d.node.settings.Daemon.Instance, Token: l.Fencing()}, l.MayOrderUnfenced(time.Now())
 }
 
-// call runs f on a goroutine of its own and what it returns on the owner's.
+// call runs f on a goroutine of its own, and the function that it returns on the
+// duties' goroutine.
 func (d *duties) call(ctx context.Context, f func() func(now time.Time)) {
 	d.node.wg.Add(1)
 	go func() {
@@ -176,7 +177,7 @@
 	}()
 }
 
-// callLease makes a call that the lease asks for.
+// callLease makes a call that the lease requests.
 func (d *duties) callLease(ctx context.Context, a lease.Action) {
 	name := d.lease.Shards()[0].Object()
 	d.call(ctx, func() func(time.Time) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -15,31 +15,32 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// endpointList keeps the list of endpoints.
+// endpointList keeps the list of endpoints, from the store or from a hub.
 type endpointList struct {
 	node   *Node
 	mu     sync.Mutex
 	roster *roster.Roster
 	all    []roster.Endpoint
 	listed bool
-	era    uint64 // the store's
+	era    uint64 // the store's, see objects.EraOf
 
 	store *follow.Follower
-	specs map[fleet.EndpointID]spec // as the store or a hub told them
+	specs map[fleet.EndpointID]spec // as received from the store or a hub
 	log   *feed.Log                 // for daemons that don't watch the store
-	// unlogged says that the log lacks the newest list: most daemons are never asked.
+	// unlogged means that the log lacks the newest list. It is added when another daemon
+	// requests it, which happens at few daemons.
 	unlogged   bool
 	unreadable map[fleet.EndpointID]unreadableEntry
-	deleted    map[fleet.EndpointID]uint64 // the last revision of entries that the store has ended
+	deleted    map[fleet.EndpointID]uint64 // the last revision of entries that were deleted in the store
 }
 
-// unreadableEntry is an entry that names no endpoint, and why.
+// unreadableEntry is an entry that can't be decoded as an endpoint.
 type unreadableEntry struct {
 	reason   string
 	revision uint64
 }
 
-// spec is an endpoint's entry as it was told, with the store's revision.
+// spec is an endpoint's entry as it was received, with the store's revision.
 type spec struct {
 	text     []byte
 	revision uint64
@@ -61,7 +62,7 @@
 // due reports whether this daemon should watch the endpoints now.
 func (d *endpointList) due() bool { return d.node.watch.due(d.hasList()) }
 
-// graceCheckInterval is how often endpoints whose grace is over are looked for.
+// graceCheckInterval is how often endpoints whose grace has ended are looked for.
 const graceCheckInterval = 100 * time.Millisecond
 
 func (d *endpointList) tick(ctx context.Context) {
@@ -98,7 +99,7 @@
 	d.era = max(d.era, era)
 }
 
-// Era returns the store's era, 0 where it tells none.
+// Era returns the store's era, 0 where it reports none.
 func (d *endpointList) Era() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,16 +126,16 @@
 	})
 }
 
-// outdated reports whether a change is older than what is known, or of an entry
-// that has ended: a watch that goes on from a hub's revision tells again what the
-// hub has told since. The lock is held.
+// outdated reports whether a change is older than the one applied, or of an entry that
+// was deleted: a watch that starts at a hub's revision returns changes again that the
+// hub has already sent. The lock is held.
 func (d *endpointList) outdated(o objects.Object) bool {
 	id := fleet.EndpointID(o.Name)
 	return o.Revision != 0 && (o.Revision < max(d.specs[id].revision, d.unreadable[id].revision) || o.Revision <= d.deleted[id])
 }
 
-// remove takes an entry's remove from the store. It is remembered: an entry that comes
-// back has a later revision. The lock is held.
+// remove applies an entry's deletion in the store. Its revision is kept: an entry that is
+// created again has a later one. The lock is held.
 func (d *endpointList) remove(now time.Time, o objects.Object) {
 	id := fleet.EndpointID(o.Name)
 	if len(d.deleted) >= maxDeleted {
@@ -145,8 +146,8 @@
 	d.roster.Remove(now, id)
 }
 
-// maxDeleted bounds the ends that are remembered: those of some hours of an
-// ordinary day. They are forgotten all at once; what is told again is seconds old.
+// maxDeleted bounds the deletions that are kept, those of some hours of an ordinary day.
+// All are dropped at once: changes that are received again are seconds old.
 const maxDeleted = 4096
 
 // Lost implements follow.Handler.
@@ -158,8 +159,8 @@
 	d.update(func(time.Time) { d.roster.OutageEnded(failed) })
 }
 
-// decode reads an entry. One that names no endpoint is said once, and ends the
-// endpoint that it named before.
+// decode decodes an entry. One that can't be decoded is logged once for each reason,
+// and the endpoint that it described before is removed.
 func (d *endpointList) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
 	e, err := d.node.platform.DecodeEndpoint(now, o)
 	if err != nil {
@@ -173,7 +174,7 @@
 
 func (d *endpointList) markUnreadable(id fleet.EndpointID, u unreadableEntry) {
 	if d.unreadable[id].reason != u.reason {
-		d.node.logFor("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("entry names no endpoint")
+		d.node.logFor("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("endpoint entry not decoded")
 	}
 	if len(d.unreadable) >= maxUnreadable {
 		clear(d.unreadable)
@@ -182,13 +183,13 @@
 	d.roster.Withdraw(id)
 }
 
-// maxUnreadable bounds the entries that are remembered as unreadable; beyond it they
-// are said again.
+// maxUnreadable bounds the unreadable entries that are kept; beyond it they are
+// logged again.
 const maxUnreadable = 1024
 
-// applyHubList takes the list of a hub, where this daemon doesn't watch the store. A
-// hub has held back what may have lapsed with the store. Where the hub is behind
-// this daemon, only what it has that is newer counts.
+// applyHubList applies a hub's list, where this daemon doesn't watch the store. The
+// hub has delayed removals that may be due to the store's outage. Where the hub is
+// behind this daemon, only its entries that are newer count.
 func (d *endpointList) applyHubList(u *feed.Update) {
 	if u.Empty() {
 		return
@@ -206,7 +207,7 @@
 		}
 		older := u.To.Revision < d.roster.Revision()
 		if u.Full && !older {
-			d.node.logFor("endpoints").WithField("listed", len(list)).Info("whole list taken from a hub")
+			d.node.logFor("endpoints").WithField("listed", len(list)).Info("full list received from a hub")
 			d.roster.Replace(now, list)
 		}
 		for _, e := range list {
@@ -225,15 +226,15 @@
 	})
 }
 
-// removeOthers removes the endpoints that have none of some keys. The lock is
-// held.
+// removeOthers removes the endpoints whose key is not among the given ones. The lock
+// is held.
 func (d *endpointList) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
-	there := make(map[rendezvous.ShortKey]bool, len(keys))
+	present := make(map[rendezvous.ShortKey]bool, len(keys))
 	for _, k := range keys {
-		there[k] = true
+		present[k] = true
 	}
 	for _, e := range d.all {
-		if !there[rendezvous.ShortKeyOf(string(e.ID))] {
+		if !present[rendezvous.ShortKeyOf(string(e.ID))] {
 			d.roster.Remove(now, e.ID)
 		}
 	}
@@ -245,14 +246,14 @@
 	return listed
 }
 
-// lateList reports whether this daemon could not list the store though it has run
-// for a while: then a hub is asked for all.
+// lateList reports whether this daemon has not been able to list the store for longer
+// than firstListTimeout: then it requests the list from a hub.
 func (d *endpointList) lateList() bool {
 	return !d.hasList() && time.Since(d.node.started) > firstListTimeout && !d.node.watch.awaitsList()
 }
 
 // firstListTimeout is how long the first list of the store may take: a list of a
-// thousand endpoints goes over a weak machine's link in a quarter of a second.
+// thousand endpoints takes a weak machine's link a quarter of a second.
 const firstListTimeout = 1500 * time.Millisecond
 
 // upTo returns the store's revision up to which this daemon's list is complete,
@@ -263,7 +264,8 @@
 	return d.roster.CompleteRevision()
 }
 
-// since returns what leads another daemon to this one's list.
+// since returns the changes that lead from another daemon's position to this
+// daemon's list.
 func (d *endpointList) since(p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
@@ -274,7 +276,7 @@
 	return d.log.Since(p)
 }
 
-// update changes the roster and passes the new list on.
+// update changes the roster and publishes the new list.
 func (d *endpointList) update(change func(now time.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -292,7 +294,7 @@
 	d.node.logFor("endpoints").WithField("listed", len(all)).Debug("list changed")
 }
 
-// logChanges says which endpoints leave and which are gone, and returns the new list by
+// logChanges logs which endpoints leave and which are gone, and returns the new list by
 // ID. The lock is held.
 func (d *endpointList) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
 	current := make(map[fleet.EndpointID]*roster.Endpoint, len(now))
@@ -315,27 +317,27 @@
 	return current
 }
 
-// loggedChanges bounds the lines for one change of the list at a daemon that doesn't
-// watch the store: a thousand endpoints that leave would be a line of each at each
-// daemon of the fleet.
+// loggedChanges bounds the log lines for one change of the list at a daemon that doesn't
+// watch the store: otherwise a thousand endpoints that leave are a thousand lines at
+// each daemon of the fleet.
 const loggedChanges = 16
 
-// logEach says the same of some endpoints.
-func (d *endpointList) logEach(what string, all []*roster.Endpoint) {
+// logEach logs a message for each of some endpoints.
+func (d *endpointList) logEach(message string, all []*roster.Endpoint) {
 	log := d.node.logFor("endpoints")
-	said := all
+	logged := all
 	if len(all) > loggedChanges && !d.node.watch.watcher() {
-		said = all[:loggedChanges]
+		logged = all[:loggedChanges]
 	}
-	for _, e := range said {
-		log.WithFields(map[string]any{"endpoint": e.ID, "spot": e.Spot}).Info(what)
+	for _, e := range logged {
+		log.WithFields(map[string]any{"endpoint": e.ID, "spot": e.Spot}).Info(message)
 	}
-	if left := len(all) - len(said); left > 0 {
-		log.WithField("left_out", left).Info(what)
+	if omitted := len(all) - len(logged); omitted > 0 {
+		log.WithField("left_out", omitted).Info(message)
 	}
 }
 
-// publish puts the newest list into the log. The lock is held.
+// publish puts the newest list into the log for other daemons. The lock is held.
 func (d *endpointList) publish() {
 	if !d.unlogged {
 		return
@@ -349,8 +351,8 @@
 	d.log.Set(d.roster.CompleteRevision(), items)
 }
 
-// pruneSpecs forgets the entries of endpoints that are gone, some at a time. The lock is
-// held.
+// pruneSpecs drops the entries of endpoints that are gone, once there are more than
+// maxGoneSpecs. The lock is held.
 func (d *endpointList) pruneSpecs() {
 	if len(d.specs) <= len(d.all)+maxGoneSpecs {
 		return
@@ -362,12 +364,12 @@
 	d.specs = specs
 }
 
-// maxGoneSpecs is how many entries of endpoints that are gone may be kept: to look for them
-// takes as long as the list is.
+// maxGoneSpecs bounds the kept entries of endpoints that are gone: finding them takes a
+// pass over the whole list.
 const maxGoneSpecs = 256
 
-// forgetGone closes kept connections to addresses that nobody has any more, and
-// to endpoints that have started again.
+// forgetGone closes idle connections to addresses that no endpoint has any more, and
+// to endpoints that have restarted.
 func (d *endpointList) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
 	kept := make(map[string]bool, len(now))
 	for i := range now {
@@ -382,7 +384,7 @@
 	}
 }
 
-// list returns the endpoints, and whether the store has told them.
+// list returns the endpoints, and whether a list has been received.
 func (d *endpointList) list() ([]roster.Endpoint, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/endpoints_bench_test.go
+++ b/internal/node/endpoints_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// BenchmarkEndpointsTick is what a daemon does ten times a second while no endpoint
-// changes. Of 3,000 endpoints: 8.5 ms and 2.0 MB when all were sorted each time, below
-// a microsecond and no memory now.
+// BenchmarkEndpointsTick measures what a daemon does ten times a second while no
+// endpoint changes. With 3,000 endpoints, sorting all of them each time took 8.5 ms and
+// 2.0 MB; without the sort it takes less than a microsecond and no memory.
 func BenchmarkEndpointsTick(b *testing.B) {
 	for _, endpoints := range []int{100, 3000, 6000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -27,7 +27,7 @@
 	return out
 }
 
-// newIdleEndpointList returns the duty of a daemon that isn't started.
+// newIdleEndpointList returns the endpoint list of a daemon that isn't started.
 func newIdleEndpointList() *endpointList {
 	n := New(&Settings{}, Platform{
 		DecodeEndpoint: func(_ time.Time, o objects.Object) (roster.Endpoint, error) {
@@ -43,9 +43,9 @@
 	return objects.Object{Name: name, Spec: json.RawMessage(`"` + address + `"`), Revision: revision}
 }
 
-// A hub tells a daemon that an endpoint has a new address. Then the daemon turns
-// to the store and goes on from the revision that the hub vouched for, which is
-// older: the store tells the endpoint's old address first. It must not come back.
+// A hub sends a daemon an endpoint's new address. Then the daemon watches the store
+// from the revision that the hub's list is complete up to, which is older: the store
+// returns the endpoint's old address first, which must not replace the new one.
 func TestChangesOlderThanTheListAreIgnored(t *testing.T) {
 	d := newIdleEndpointList()
 	d.applyHubList(&feed.Update{
@@ -60,7 +60,7 @@
 }
 
 // A daemon that has listed the store follows a hub whose list is older and has
-// fewer endpoints. It takes the hub's names and what is newer than its own list.
+// fewer endpoints. It takes the hub's keys and what is newer than its own list.
 func TestHubKeysReplaceTheList(t *testing.T) {
 	d := newIdleEndpointList()
 	d.Listed([]objects.Object{endpointObject("a", "a", 3), endpointObject("b", "b", 4)}, 6)
@@ -73,28 +73,28 @@
 	assert.Equal(t, d.upTo(), uint64(8))
 }
 
-// An endpoint's entry is overwritten by somebody else with something that can't
-// be read, in a change, in a list and in a hub's word. Kept as it was, requests
-// would go to an endpoint that nobody vouches for; the others must stay. It is
-// said once for each reason.
+// An endpoint's entry is overwritten with something that can't be decoded, in a change,
+// in a list and in a hub's list. If the old entry were kept, requests would go to an
+// endpoint that the store no longer describes; the other endpoints must stay. It is
+// logged once for each reason.
 func TestUnreadableEntryRemovesItsEndpoint(t *testing.T) {
 	bad := objects.Object{Name: "a", Spec: json.RawMessage(`7`), Revision: 6}
-	for name, tell := range map[string]func(d *endpointList){
+	for name, apply := range map[string]func(d *endpointList){
 		"change": func(d *endpointList) { d.Changed([]objects.Change{{Object: bad}}, 6) },
 		"list":   func(d *endpointList) { d.Listed([]objects.Object{bad, endpointObject("b", "b", 4)}, 6) },
 		"hub": func(d *endpointList) {
 			d.applyHubList(&feed.Update{To: feed.Position{Epoch: 1, Seq: 4, Revision: 6}, Items: []feed.Item{{Name: "a", Spec: bad.Spec, Revision: 6}}})
 		},
 	} {
-		log, said := test.NewNullLogger()
+		log, hook := test.NewNullLogger()
 		d := newIdleEndpointList()
 		d.node.log = log
 		d.Listed([]objects.Object{endpointObject("a", "a", 3), endpointObject("b", "b", 4)}, 5)
-		tell(d)
-		tell(d)
+		apply(d)
+		apply(d)
 		assert.DeepEqual(t, addresses(d), map[fleet.EndpointID]string{"b": "b"})
 		errors := 0
-		for _, e := range said.AllEntries() {
+		for _, e := range hook.AllEntries() {
 			if e.Level == logrus.ErrorLevel {
 				errors++
 				assert.Equal(t, e.Data["entry"], fleet.EndpointID("a"), name)
@@ -108,11 +108,11 @@
 	}
 }
 
-// An endpoint's end is told by the store. Then this daemon follows a hub whose
-// list is older, is turned away by the store, and goes on from the older
-// revision: it hears the endpoint's entry and its end once more, and as the
-// store has just come back it would hold the end back for seconds, in which
-// requests go to an endpoint that has left.
+// The store reports an endpoint's deletion. Then the daemon follows a hub whose list is
+// older, is refused by the store, and resumes its watch from the older revision: it
+// receives the endpoint's entry and its deletion once more. As the store has just come
+// back, the deletion would be delayed for seconds, in which requests go to an endpoint
+// that has left.
 func TestRemovedEndpointIsNotRestoredByOlderData(t *testing.T) {
 	d := newIdleEndpointList()
 	d.Listed([]objects.Object{endpointObject("a", "a", 3), endpointObject("b", "b", 4)}, 5)
@@ -128,7 +128,7 @@
 
 	d.Recovered(time.Now())
 	d.Changed([]objects.Change{{Object: endpointObject("a", "a", 3)}, {Object: endpointObject("a", "a", 3), Deleted: true}}, 9)
-	assert.Equal(t, len(addresses(d)), 1, "the same told again")
+	assert.Equal(t, len(addresses(d)), 1, "the same changes again")
 	d.Changed([]objects.Change{{Object: endpointObject("a", "a", 12)}}, 12)
 	assert.Equal(t, len(addresses(d)), 2, "a new entry")
 }
--- a/internal/node/endpointslog_test.go
+++ b/internal/node/endpointslog_test.go
@@ -14,7 +14,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// Guards against a line for each endpoint at each daemon where thousands leave at once.
+// Guards against a line for each endpoint at each daemon when thousands leave at once.
 func TestRemovalOfManyEndpointsLogsAFewLines(t *testing.T) {
 	f := newFleet(t, exchange.HubCount+1)
 	f.awaitReady()
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// Guards against answers that name a whole fleet, of which callers take the first.
+// Guards against answers that list a whole fleet, of which callers use the first.
 func TestCallersGetAFewEntriesOfTheirDataCentre(t *testing.T) {
 	for _, daemons := range []int{6, 80, 986, 1972} {
 		all := fleetView(daemons, 1)
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against callers that leave their connections whenever a daemon comes or goes.
+// Guards against callers that close their connections whenever any daemon joins or leaves.
 func TestEntriesChangeOnlyByDaemonsThatJoinOrLeave(t *testing.T) {
 	all := fleetView(986, 1)
 	before := map[fleet.DaemonID]bool{}
--- a/internal/node/firstlist_test.go
+++ b/internal/node/firstlist_test.go
@@ -11,7 +11,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// slowConfigStore is a store whose lists of the configuration take a while.
+// slowConfigStore is a store whose lists of the configuration are slow.
 type slowConfigStore struct {
 	*memoryStore
 	lists, cancelled atomic.Int64
@@ -31,11 +31,11 @@
 	}
 }
 
-// All daemons are killed and start again. The endpoints are listed first, the
-// configuration, which is larger, takes longer. The list of endpoints is enough
-// for a daemon not to watch the store in its first second; was the other list cut
-// for it, nobody had a configuration for that long, and callers were refused.
-// Evidence: 2,028 refusals without a configuration in 1.5 s at 195 daemons.
+// All daemons are killed and start again. The list of the endpoints arrives first; that
+// of the configuration, which is larger, takes longer. With a list of endpoints a daemon
+// doesn't watch the store in its first second. If that cancelled the list of the
+// configuration, no daemon would have one for that second and all callers would be
+// refused: 2,028 refusals in 1.5 s at 195 daemons.
 func TestListOfTheConfigurationIsNotCancelledByThatOfTheEndpoints(t *testing.T) {
 	f := newFleet(t, 0)
 	store := &slowConfigStore{memoryStore: f.store}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -27,7 +27,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
 )
 
-// recordingCloud keeps what the duties' holder sends.
+// recordingCloud records the usage reports and their fencing tokens.
 type recordingCloud struct {
 	mu      sync.Mutex
 	reports []duty.Usage
@@ -54,7 +54,7 @@
 	return n
 }
 
-// echo is a protocol without names of its own.
+// echo is a protocol that returns answers unchanged.
 type echo struct{}
 
 func (echo) Header(r *relay.Request, _ *relay.Attempt) http.Header { return http.Header{"Id": {r.ID}} }
@@ -69,7 +69,7 @@
 }
 func (echo) Answer(h http.Header) http.Header { return h }
 
-// recordingSink keeps a caller's answer.
+// recordingSink records the answer to a caller.
 type recordingSink struct {
 	status  int
 	body    string
@@ -112,7 +112,7 @@
 }
 
 // decodeTable reads a version, the text's first word; the table lets one
-// workspace order from one service.
+// workspace call one service.
 func decodeTable(spec []byte) (*route.Table, error) {
 	word, _, _ := strings.Cut(string(spec), " ")
 	version, err := strconv.ParseUint(word, 10, 64)
@@ -162,8 +162,8 @@
 // add starts one more daemon.
 func (f *testFleet) add() *Node { return f.addWith(f.store, func(*Node) {}) }
 
-// addWith starts one more daemon with a view of the store of its own. change is
-// called before it runs.
+// addWith starts one more daemon with a store of its own, which may wrap the fleet's.
+// change is called before the daemon runs.
 func (f *testFleet) addWith(store objects.Store, change func(*Node)) *Node {
 	i := len(f.nodes)
 	s := &Settings{
@@ -179,8 +179,8 @@
 		Cloud:  CloudSettings{Duties: []string{"usage_report"}},
 		Limits: LimitSettings{Cores: 0.5, LinkMbps: 1000},
 	}
-	// All daemons of a platform have the same port for each other; here, on one
-	// address, they are found by the first one's.
+	// All daemons of a platform have the same peers' port; here, on one host, the ports
+	// differ, so that the first daemon's address is a seed.
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n := New(s, Platform{
@@ -232,7 +232,7 @@
 	f.until("ready", func(n *Node) bool { return n.Ready() && len(n.members.serving()) == len(f.nodes) })
 }
 
-// awaitHolder waits until all daemons know who holds the duties.
+// awaitHolder waits until all daemons have the holder of the duties.
 func (f *testFleet) awaitHolder() {
 	f.t.Helper()
 	f.until("the duties have a holder", func(n *Node) bool {
--- a/internal/node/hubreports.go
+++ b/internal/node/hubreports.go
@@ -7,26 +7,26 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quarantine"
 )
 
-// windowsInterval is how often a hub is told the windows of usage, a quarter of a
-// report, which are due seconds after their end.
+// windowsInterval is how often a hub is sent the windows of usage: they are a quarter of
+// a report's size, and due seconds after their end.
 const windowsInterval = 800 * time.Millisecond
 
-// hubReports is how this daemon's hubReports to one hub fare.
+// hubReports is the state of this daemon's reports to one hub.
 type hubReports struct {
-	pending    bool      // one has no answer yet
-	unanswered bool      // the last one ended without
-	answeredAt time.Time // the last answer
-	windowsAt  time.Time // the last answer to one with the windows of usage
-	// crashesSent is what the hub has of this daemon's crashes of endpoints, crashesReceived what
-	// this daemon has of the hub's.
+	pending    bool      // a report is in flight
+	unanswered bool      // the last report failed
+	answeredAt time.Time // when the last answer arrived
+	windowsAt  time.Time // when the last report with the windows of usage was answered
+	// crashesSent is the position up to which the hub has this daemon's crashes of endpoints,
+	// crashesReceived that up to which this daemon has the hub's.
 	crashesSent, crashesReceived quarantine.Position
-	// relaying is up to when the relay under way has what this hub was told, relayedTo
-	// and windowsTo up to when the other hub has it.
+	// relaying is the position up to which the relay in flight includes what this hub
+	// received; relayedTo and windowsTo are those up to which the other hub has it.
 	relaying, relayedTo, windowsTo exchange.Cursor
 }
 
-// takeCrashes takes what a hub told of takeCrashes after it was told up to a position. A
-// hub that has started again has nothing of what it was told before.
+// takeCrashes takes the crashes in the answer to a report that included this daemon's up
+// to a position. A hub that has restarted has lost what it received before.
 func (t *peerExchange) takeCrashes(address string, upTo quarantine.Position, sum *exchange.Reply) {
 	t.mu.Lock()
 	r := t.reportsTo(address)
@@ -38,7 +38,7 @@
 	t.node.crashes.add(sum.Crashes)
 }
 
-// reportsTo returns the reports reportsTo a hub. The lock is held.
+// reportsTo returns the state of the reports to a hub. The lock is held.
 func (t *peerExchange) reportsTo(address string) *hubReports {
 	r := t.hubs[address]
 	if r == nil {
@@ -48,7 +48,7 @@
 	return r
 }
 
-// beginCall reports whether no call to a hub is under way, and begins one.
+// beginCall reports whether no call to a hub is in flight, and begins one.
 func (t *peerExchange) beginCall(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +66,7 @@
 	t.reportsTo(address).pending = false
 }
 
-// reportEnded notes how a report reportEnded. The first failure after an answer is logged,
+// reportEnded notes how a report ended. The first failure after an answer is logged,
 // further ones are only counted: in an outage there are several a second.
 func (t *peerExchange) reportEnded(address string, p *exchange.Report, err error) {
 	t.node.metrics.reported(err)
@@ -79,7 +79,7 @@
 			t.node.logFor("peers").WithError(err).WithField("address", address).Warn("report not answered")
 		}
 		r.unanswered = true
-		r.windowsAt = time.Time{} // who answers there next may be another process
+		r.windowsAt = time.Time{} // the next answer there may be another process's
 		return
 	}
 	r.answeredAt, r.unanswered = time.Now(), false
--- a/internal/node/large_test.go
+++ b/internal/node/large_test.go
@@ -16,8 +16,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// newMixedFleet starts a fleet of strong and weak machines in some data centres, at once and for
-// the first time, so that its hubs relay to each other.
+// newMixedFleet starts a fleet of strong and weak machines in some data centres, at once
+// and for the first time, so that its hubs relay to each other.
 func newMixedFleet(t *testing.T, centres, strong, weak int) *testFleet {
 	f := newFleet(t, 0)
 	for i := range centres * (strong + weak) {
@@ -51,13 +51,13 @@
 	}
 }
 
-// Guards against daemons that don't hear of what those of another data centre let in.
+// Guards against daemons that don't receive what those of another data centre admitted.
 func TestUsageReachesHubsOfOtherDataCentres(t *testing.T) {
 	f := newMixedFleet(t, 2, 2, 3)
 	f.awaitReady()
 	last := f.nodes[len(f.nodes)-1]
 	assert.Equal(t, string(sendRequest(last).body), "done")
-	f.until("all hubs hear of the request", func(n *Node) bool {
+	f.until("all hubs count the request", func(n *Node) bool {
 		if !strings.HasPrefix(string(n.id), "9-") {
 			return true
 		}
@@ -72,7 +72,7 @@
 	})
 }
 
-// peerDialer is a daemon's way to its peers, some of which can be cut off.
+// peerDialer dials a daemon's peers, some of which can be made unreachable.
 type peerDialer struct {
 	dial func(context.Context, string) (net.Conn, error)
 
@@ -111,8 +111,8 @@
 	}
 }
 
-// Guards against a data centre whose hubs don't answer, so that nobody hears of its
-// daemons' requests until the membership protocol has noticed.
+// Guards against a data centre whose hubs don't answer, so that no other daemon receives
+// its daemons' reports until the membership protocol has detected the failure.
 func TestNextStrongestReplacesUnresponsiveHubs(t *testing.T) {
 	f := newMixedFleet(t, 2, 3, 3)
 	var way *peerDialer
@@ -125,7 +125,7 @@
 	f.awaitReady()
 	way.cut(peersOf(last.members.layout().own))
 	at := time.Now().Add(100 * time.Millisecond)
-	f.untilAmong("a hub of the other data centre has heard of the daemon", func(n *Node) bool {
+	f.untilAmong("a hub of the other data centre has the daemon's report", func(n *Node) bool {
 		if n.settings.Daemon.DataCentre == "dc-0" || !n.members.layout().isHub(n.id) {
 			return false
 		}
@@ -135,7 +135,7 @@
 	})
 }
 
-// untilAmong waits for a condition on one of the daemons.
+// untilAmong waits for a condition on any one of the daemons.
 func (f *testFleet) untilAmong(what string, ok func(n *Node) bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
--- a/internal/node/layout.go
+++ b/internal/node/layout.go
@@ -10,15 +10,17 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// layout is who works for whom among the serving daemons, as follows from one view
-// of the fleet. Daemons with the same view agree on it. It is not changed once made.
+// layout is the assignment of hubs, watchers and candidates among the serving daemons.
+// It depends on one view of the fleet alone, so that daemons with the same view have
+// the same layout. It is immutable.
 type layout struct {
 	serving []membership.Member
 	// watchers watch the store for all others.
 	watchers []membership.Member
-	// own are the hubs that this daemon reports to, itself first if it is one of them.
+	// own are the hubs that this daemon reports to; a hub reports to itself alone where the
+	// fleet is meshed.
 	own []membership.Member
-	// standIns take the place of hubs of its own that are silent, in this order.
+	// standIns replace unresponsive hubs of its own, in this order.
 	standIns []membership.Member
 	// hubs are all hubs, which relay to each other where the fleet is meshed.
 	hubs       []membership.Member
@@ -27,12 +29,12 @@
 	meshed     bool
 }
 
-// standInCount is the daemons that may stand in for silent hubs: as many as a
-// daemon has hubs.
+// standInCount is the number of daemons that may replace unresponsive hubs: as many
+// as a daemon has hubs.
 const standInCount = exchange.HubCount
 
-// newLayout makes the layout of one daemon of a fleet. large says that there are more
-// than it has met.
+// newLayout returns the layout of one daemon of a fleet. large means that the fleet has
+// more daemons than those found so far.
 func newLayout(self *membership.Member, serving []membership.Member, large bool) *layout {
 	best := strongest(serving, max(dutyCandidates, exchange.HubCount+standInCount))
 	l := &layout{
@@ -55,7 +57,7 @@
 	for _, m := range l.serving {
 		centres[m.DataCentre] = append(centres[m.DataCentre], m)
 	}
-	l.hubs = nil // each centre's own in place of the fleet's
+	l.hubs = nil // the hubs of each data centre replace those of the fleet
 	for centre, all := range centres {
 		groups := exchange.Groups(len(all))
 		ranked := strongest(all, groups*exchange.HubCount+standInCount)
@@ -67,13 +69,13 @@
 		}
 	}
 	if len(l.own) == 0 {
-		l.own = l.watchers // nobody of this data centre is known
+		l.own = l.watchers // the view has no daemon of this data centre
 	}
 	slices.SortFunc(l.hubs, func(a, b membership.Member) int { return cmp.Compare(a.Daemon, b.Daemon) })
 }
 
 // ownHubs returns the hubs that a daemon of a data centre reports to. A hub reports
-// to itself alone: the others hear of it by what it relays.
+// to itself alone, and relays its reports to the other hubs.
 func ownHubs(self *membership.Member, hubs []membership.Member, groups int) []membership.Member {
 	if i := slices.IndexFunc(hubs, func(m membership.Member) bool { return m.Daemon == self.Daemon }); i >= 0 {
 		return hubs[i : i+1]
--- a/internal/node/layout_test.go
+++ b/internal/node/layout_test.go
@@ -11,8 +11,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// fleetView returns the serving daemons of a fleet in six data centres, of which some
-// in each have strong machines.
+// fleetView returns the serving daemons of a fleet in six data centres, each of which
+// has some strong machines.
 func fleetView(daemons, strong int) []membership.Member {
 	out := make([]membership.Member, daemons)
 	for i := range out {
@@ -28,14 +28,15 @@
 	return out
 }
 
-// Guards against a hub whose reports, or a daemon whose hubs, grow with the fleet.
+// Guards against a number of reports to a hub, or of hubs of a daemon, that grows with
+// the fleet.
 func TestNoHubServesMoreThanAGroup(t *testing.T) {
 	for _, daemons := range []int{6, 80, 266, 340, 986, 1972} {
 		all := fleetView(daemons, 10)
 		served := map[fleet.DaemonID]int{}
 		every := 1
 		if daemons > exchange.GroupSize {
-			every = 7 // no multiple of the data centres
+			every = 7 // coprime to the six data centres
 		}
 		for i := 0; i < daemons; i += every {
 			l := newLayout(&all[i], all, false)
@@ -47,7 +48,7 @@
 				assert.Assert(t, !l.meshed || h.DataCentre == all[i].DataCentre)
 			}
 			for _, w := range l.watchers {
-				assert.Assert(t, l.isHub(w.Daemon), "a watcher relays what it hears")
+				assert.Assert(t, l.isHub(w.Daemon), "a watcher is a hub")
 			}
 		}
 		for id, n := range served {
@@ -57,7 +58,8 @@
 	}
 }
 
-// The strong machines of a data centre are gone.
+// A data centre has lost its strong machines: weak ones of the same data centre must
+// be the hubs.
 func TestWeakMachinesServeWhereNoStrongOneIsLeft(t *testing.T) {
 	all := fleetView(986, 10)
 	left := make([]membership.Member, 0, len(all))
@@ -72,7 +74,7 @@
 	}
 }
 
-// BenchmarkLayout is the layout of one view, which is made once for each.
+// BenchmarkLayout measures a layout, which is computed once for each view.
 func BenchmarkLayout(b *testing.B) {
 	for _, daemons := range []int{340, 986, 1972} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -6,22 +6,21 @@
 )
 
 const (
-	// leaveMargin is kept of the grace for closing the listeners.
+	// leaveMargin is the part of the grace that is left for closing the listeners.
 	leaveMargin = 300 * time.Millisecond
-	// minDrain is how long a leaving daemon goes on serving though nothing is
-	// under way: callers keep the addresses they were told for three times
+	// minDrain is how long a leaving daemon goes on serving though no request is
+	// running: callers keep the addresses that they received for up to three times
 	// answerAge, and new requests on open connections are answered with the
 	// connection's close.
 	minDrain = 3*answerAge + 500*time.Millisecond
-	// announceTimeout bounds telling the others.
+	// announceTimeout bounds the messages to the others about the leave.
 	announceTimeout = 500 * time.Millisecond
 )
 
-// leave takes this daemon out of the entries, serves what still comes, ends the
-// listeners, and tells the others last what it let in. It returns when nothing
-// is under way or the grace is over. Failure: the listeners are closed though a
-// request came after the last look. Symptom: an endpoint ran it, and its caller
-// gets no answer.
+// leave removes this daemon from the entries, drains it, closes the listeners, and
+// then sends a last report of what it admitted. It returns when no request is running
+// or the grace has ended. The listeners stay open for minDrain at least: a request that
+// arrives on a closing one would run at an endpoint without an answer to its caller.
 func (n *Node) leave(endListeners func(context.Context)) {
 	started := time.Now()
 	n.stopping.Store(true)
@@ -39,16 +38,16 @@
 	}
 }
 
-// announceLeave tells the others that this daemon leaves.
+// announceLeave announces by the membership protocol that this daemon leaves.
 func (n *Node) announceLeave() {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	if err := n.members.gossip.Leave(ctx); err != nil {
-		n.logFor("membership").WithError(err).Warn("leaving not told")
+		n.logFor("membership").WithError(err).Warn("leave not announced")
 	}
 }
 
-// drain waits until nothing has been under way since leastStay, or the end.
+// drain waits until minDrain has passed and no request is running, or until the end.
 func (n *Node) drain(started, end time.Time) {
 	for time.Now().Before(end) {
 		if time.Since(started) > minDrain && n.relay.Active() == 0 {
@@ -58,12 +57,12 @@
 	}
 }
 
-// finalReport tells the hubs this daemon's part as it ends.
+// finalReport sends the hubs this daemon's last report.
 func (n *Node) finalReport() {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	n.peers.round(ctx)
 }
 
-// drainPoll is how often the end of the last request is looked for.
+// drainPoll is how often running requests are checked for during a drain.
 const drainPoll = 20 * time.Millisecond
--- a/internal/node/limitscheckpoint.go
+++ b/internal/node/limitscheckpoint.go
@@ -12,39 +12,39 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/quota"
 )
 
-// The place in the store of what is kept of the limits.
+// The object that holds the checkpoint of the limits.
 const (
 	limitsKind = "limits"
 	limitsName = "kept"
 )
 
-// limitsCheckpoint is what daemons that are all killed at once know of before.
+// limitsCheckpoint is the state that is restored when all daemons are killed at once.
 type limitsCheckpoint struct {
-	At time.Time `json:"at"` // the fleet's
+	At time.Time `json:"at"` // of the fleet's clock
 	// Daemons is how many there were; daemons that start again divide limits by it
-	// until they hear of each other.
+	// until they have found each other.
 	Daemons int                                    `json:"daemons"`
 	Limits  map[fleet.WorkspaceID]quota.Checkpoint `json:"limits"`
-	// Crashes is what requests are held for.
+	// Crashes are the endpoints' crashes, from which it follows which requests are held.
 	Crashes []quarantine.Crash `json:"crashes,omitempty"`
 }
 
-// limitsWriter writes it. It belongs to the duties' goroutine.
+// limitsWriter writes the checkpoint. Only the duties' goroutine uses it.
 type limitsWriter struct {
 	duties *duties
 	busy   bool
 	last   time.Time
-	limits map[fleet.WorkspaceID]quota.Checkpoint // as written last
+	limits map[fleet.WorkspaceID]quota.Checkpoint // as last written
 }
 
-// due reports whether limits are to be written: each second, and at once where much
-// was spent since that no reader could know of.
+// due reports whether a checkpoint is to be written: each second, and at once where so
+// much was spent since the last one that restored limits would be too high.
 func (k *limitsWriter) due(now time.Time) bool {
 	ago := now.Sub(k.last)
 	return !k.busy && (ago >= checkpointInterval || k.duties.node.state.CheckpointsOutdated(now, ago, k.limits))
 }
 
-// step writes when that is due.
+// step writes a checkpoint when it is due.
 func (k *limitsWriter) step(ctx context.Context, now time.Time) {
 	if !k.due(now) {
 		return
@@ -62,13 +62,13 @@
 		return func(time.Time) {
 			k.busy = false
 			if err != nil {
-				k.duties.log.WithError(err).Info("limits not kept")
+				k.duties.log.WithError(err).Info("limits not written")
 			}
 		}
 	})
 }
 
-// put writes an object, whatever it is now.
+// put writes an object whatever its revision, and creates it where there is none.
 func (n *Node) put(ctx context.Context, kind, name string, text []byte) error {
 	_, err := n.platform.Store.Replace(ctx, kind, name, 0, text)
 	if errors.Is(err, objects.ErrNotFound) || errors.Is(err, objects.ErrConflict) {
@@ -77,15 +77,15 @@
 	return err
 }
 
-// restoreLimits reads how many daemons there were before this one started, and what
-// the limits had left.
+// restoreLimits reads the checkpoint that was written before this daemon started: the
+// number of daemons, what the limits had left, and the crashes.
 func (n *Node) restoreLimits(ctx context.Context) {
 	if n.settings.Daemon.FirstStart {
 		return
 	}
 	kept, err := stored[limitsCheckpoint](n.platform.Store.Get(ctx, limitsKind, limitsName))
 	if err != nil {
-		n.logFor("daemon").WithError(err).Info("fleet not known from before")
+		n.logFor("daemon").WithError(err).Info("limits not restored")
 		return
 	}
 	n.crashes.add(kept.Crashes)
--- a/internal/node/memberlists.go
+++ b/internal/node/memberlists.go
@@ -9,27 +9,29 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// membersInterval is the least time between two looks at the view for the list that
-// others are told.
+// membersInterval is the minimum time between two updates of the list of members from
+// the view.
 const membersInterval = 100 * time.Millisecond
 
-// memberLists tells a large fleet's daemons who there is: hubs hear from all of their
-// own data centre and from each other, while the membership protocol takes minutes to
-// spread a thousand that start at once. The exchange's lock is held for all methods.
+// memberLists sends a large fleet's daemons the list of its members: hubs receive reports
+// from all daemons of their data centre and from each other, while the membership
+// protocol takes minutes to spread a thousand that start at once. The lock of
+// peerExchange is held for all methods.
 type memberLists struct {
 	node       *Node
 	log        *feed.Log
-	view       *membership.View // that the log has
+	view       *membership.View // the view that the log has
 	at         time.Time
-	positions  map[string]feed.Position // what this daemon has of hubs' lists, by address
-	receivedAt map[string]time.Time     // when they last told theirs
+	positions  map[string]feed.Position // in the hubs' lists, by address
+	receivedAt map[string]time.Time     // when a hub's list was last received, by address
 }
 
 func newMemberLists(n *Node) *memberLists {
 	return &memberLists{node: n, log: feed.NewLog(rand.Uint64() | 1), positions: map[string]feed.Position{}, receivedAt: map[string]time.Time{}}
 }
 
-// since returns what leads another daemon to this hub's list of members.
+// since returns the changes that lead from another daemon's position to this hub's list
+// of members.
 func (i *memberLists) since(now time.Time, p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
@@ -51,7 +53,8 @@
 	return out
 }
 
-// receive takes a hub's list. Who isn't on it any more is left to the membership protocol.
+// receive takes a hub's list and returns its members. Members that are no longer in it
+// are left to the membership protocol.
 func (i *memberLists) receive(address string, u *feed.Update) []membership.Member {
 	if u.To.Seq == 0 {
 		return nil
@@ -66,8 +69,8 @@
 	return out
 }
 
-// position returns what this daemon has of a hub's list, Unwanted where another one
-// tells it or it was told a short while ago.
+// position returns this daemon's position in a hub's list, Unwanted where another hub
+// sends it or it was received less than listInterval ago.
 func (i *memberLists) position(address string, wanted bool) feed.Position {
 	if !wanted || time.Since(i.receivedAt[address]) < listInterval {
 		return feed.NoUpdate
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -14,20 +14,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// probeInterval is the time between two probes of the membership protocol. A
-// dead daemon is known everywhere within about a second, in which callers
-// would waste a connection attempt on it.
+// probeInterval is the time between two probes of the membership protocol. A dead
+// daemon is detected everywhere within about a second, in which callers waste
+// connection attempts on it.
 const probeInterval = 300 * time.Millisecond
 
-// members is which daemons there are.
+// members keeps the view of the fleet and what follows from it.
 type members struct {
 	node   *Node
 	gossip *gossip.Node
 	seeds  atomic.Pointer[[]membership.Member]
-	count  atomic.Int64 // of the serving daemons, at the last look
+	count  atomic.Int64 // of the serving daemons, updated each countInterval
 	cache  atomic.Pointer[cachedLayout]
 	self   membership.Member
-	// prior is how many daemons there were before this one started, once it has learned.
+	// prior is how many daemons there were before this one started, nil until it is read.
 	prior atomic.Pointer[int]
 }
 
@@ -66,7 +66,7 @@
 	return m, nil
 }
 
-// addSeeds takes the seeds of settings that are new or have changed.
+// addSeeds replaces the seeds by those of settings.
 func (m *members) addSeeds(s *Settings) {
 	seeds := seedMembers(s)
 	for _, address := range m.node.extraSeeds {
@@ -76,8 +76,8 @@
 	m.gossip.AddSeeds(seeds)
 }
 
-// seedMembers turns the seeds' machines into peers: all daemons have the same
-// port for each other.
+// seedMembers returns the peers on the seeds' machines: all daemons use the same port
+// for each other.
 func seedMembers(s *Settings) []membership.Member {
 	_, port, err := net.SplitHostPort(s.Listen.Peers)
 	if err != nil {
@@ -103,11 +103,11 @@
 // gathering reports whether this daemon may not have found all others yet.
 func (n *Node) gathering() bool { return time.Since(n.started) < gatherPeriod }
 
-// countInterval is how often the daemons are counted. Until a part of the fleet
-// knows that it is cut off, it lets in more than its part of the limits.
+// countInterval is how often the daemons are counted. Until a part of the fleet has
+// detected a partition, it admits more than its share of the limits.
 const countInterval = 250 * time.Millisecond
 
-// run keeps what depends on the number of daemons up to date.
+// run updates what depends on the number of daemons.
 func (m *members) run(ctx context.Context) {
 	seen := 0
 	pause.Every(ctx, countInterval, func() {
@@ -129,7 +129,7 @@
 // cachedCount returns how many daemons serve, as of countInterval ago at the most.
 func (m *members) cachedCount() int { return int(m.count.Load()) }
 
-// layout returns who works for whom, by the newest view.
+// layout returns the layout of the newest view.
 func (m *members) layout() *layout {
 	view, large := m.gossip.View(), m.large()
 	if last := m.cache.Load(); last != nil && last.view == view && last.large == large {
@@ -140,9 +140,9 @@
 	return l
 }
 
-// large reports whether the fleet is taken for a large one though few have been met yet:
-// there were many before this daemon started, or it has met strong and weak machines of a
-// fleet that starts for the first time.
+// large reports whether the fleet counts as a large one though few daemons have been found
+// yet: there were many before this daemon started, or strong and weak machines have been
+// found in a fleet that starts for the first time.
 func (m *members) large() bool {
 	if time.Since(m.node.started) > startTime {
 		return false
@@ -152,16 +152,16 @@
 	return first || exchange.Meshed(known)
 }
 
-// priorCount returns how many daemons there were priorCount this one started, and whether it
-// has learned so; none at a first start.
-func (m *members) priorCount() (daemons int, learned bool) {
+// priorCount returns how many daemons there were before this one started, and whether that
+// has been read; at a first start it never is.
+func (m *members) priorCount() (daemons int, read bool) {
 	if known := m.prior.Load(); known != nil {
 		return *known, true
 	}
 	return 0, false
 }
 
-// mixed reports whether a view has machines that enter themselves as hubs and weak ones.
+// mixed reports whether a view has both machines that register as hubs and weak ones.
 func (m *members) mixed(view *membership.View) bool {
 	strong, weak := false, false
 	for _, member := range view.Alive() {
@@ -176,7 +176,7 @@
 }
 
 // aliveOf returns the daemons of a view that take requests, its own among them unless
-// it leaves.
+// it is leaving.
 func aliveOf(view *membership.View) []membership.Member {
 	all := view.Alive()
 	out := make([]membership.Member, 0, len(all))
@@ -188,11 +188,11 @@
 	return out
 }
 
-// serving returns the daemons that take requests, this one among them unless
-// it leaves. The slice is shared.
+// serving returns the daemons that take requests, this one among them unless it is
+// leaving. The slice is shared.
 func (m *members) serving() []membership.Member { return m.layout().serving }
 
-// reporters returns how many daemons report to a hub of this one's.
+// reporters returns how many daemons report to each of this daemon's hubs.
 func (m *members) reporters() int { return m.layout().reporters }
 
 // at returns the serving daemon at a peers' address.
--- a/internal/node/memorystore_test.go
+++ b/internal/node/memorystore_test.go
@@ -17,12 +17,12 @@
 	mu        sync.Mutex
 	down      bool
 	era       uint64
-	revision  uint64                               // the counter; what is told has the era above it
+	revision  uint64                               // the counter; revisionNow adds the era
 	objects   map[string]map[string]objects.Object // by kind and name
 	changes   []loggedChange
 	changed   chan struct{}
 	listCalls int
-	calls     atomic.Int64 // calls of all kinds
+	calls     atomic.Int64 // of all kinds
 }
 
 type loggedChange struct {
@@ -63,10 +63,10 @@
 	return all, s.revisionNow(), nil
 }
 
-// revisionNow returns the revision as it is revisionNow. The lock is held.
+// revisionNow returns the revision that calls return. The lock is held.
 func (s *memoryStore) revisionNow() uint64 { return objects.RevisionIn(s.era, s.revision) }
 
-// storeSnapshot is the store at a moment.
+// storeSnapshot is the store's content at a moment.
 type storeSnapshot struct {
 	revision uint64
 	objects  map[string]map[string]objects.Object
@@ -82,7 +82,7 @@
 	return out
 }
 
-// restore brings a copy back: the counter goes back, its numbers are given out
+// restore restores a snapshot: the counter goes back, so that its numbers are used
 // again, and the era rises.
 func (s *memoryStore) restore(c storeSnapshot) {
 	s.mu.Lock()
@@ -100,7 +100,7 @@
 	s.wake()
 }
 
-// takeListCount returns how often kinds were listed, and forgets it.
+// takeListCount returns the number of lists since the last call, and resets it.
 func (s *memoryStore) takeListCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,8 +195,8 @@
 	if s.down {
 		return objects.Object{}, verdict.Wrap(verdict.NotRun, errDown)
 	}
-	old, there := s.objects[kind][name]
-	if !may(old, there) {
+	old, exists := s.objects[kind][name]
+	if !may(old, exists) {
 		return old, objects.ErrConflict
 	}
 	s.revision++
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,8 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/relay"
 )
 
-// metricSet is what the daemon counts. Names and meanings stand in
-// docs/OPERATIONS.md.
+// metricSet is the daemon's metrics.
 type metricSet struct {
 	set          *metrics.Set
 	node         *Node
@@ -65,7 +64,7 @@
 	}
 }
 
-// crashed counts an endpoint's end.
+// crashed counts an endpoint that ended, by whether it was leaving.
 func (m *metricSet) crashed(leaving bool) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`cyclamenbeam_endpoint_ends_total{leaving="%t"}`, leaving)).Inc()
 }
--- a/internal/node/metricslisten.go
+++ b/internal/node/metricslisten.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// metricsTimeout bounds a reading of the metrics.
+// metricsTimeout bounds a request for the metrics.
 const metricsTimeout = 5 * time.Second
 
 // serveMetrics answers GET /metrics until the context ends.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	fetcher   *configFetcher
 	endpoints *endpointList
 	members   *members
-	joined    atomic.Pointer[members] // members, for who may ask before Run
+	joined    atomic.Pointer[members] // members, for calls before Run
 	peers     *peerExchange
 	rollouts  *rolloutDuty
 	watch     *watchPolicy
@@ -44,11 +44,11 @@
 	requests  *requestLog
 	metrics   *metricSet
 
-	// extraSeeds are peers' addresses with ports of their own.
+	// extraSeeds are seeds in the form of peers' addresses, whose ports may differ.
 	extraSeeds []string
 
 	started  time.Time
-	grace    atomic.Int64 // of a stop, ns
+	grace    atomic.Int64 // of a stop, in nanoseconds
 	stopping atomic.Bool
 	wg       sync.WaitGroup
 }
@@ -87,20 +87,20 @@
 	return n
 }
 
-// contactBound is how long after a disturbance the platform's bounds hold again.
+// contactBound is how long after a disturbance the platform's bounds apply again.
 func (n *Node) contactBound() time.Duration { return millis(n.settings.Bounds.ContactMillis) }
 
-// changeBound is how long after its acknowledgement a changeBound may not yet be in force.
+// changeBound is the longest time from a change's acknowledgement until it is in force.
 func (n *Node) changeBound() time.Duration { return millis(n.settings.Bounds.ChangeMillis) }
 
-// startShare is the connections to an endpoint until its service's bound and
-// the number of daemons are known.
+// startShare is the bound on connections to an endpoint until its service's bound and
+// the number of daemons are available.
 const startShare = 16
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Run serves until the context ends, then leaves in order. The settings' file
-// is followed while it runs; signals ask for a look at once.
+// Run serves until the context ends, then drains and stops. The settings' file at path
+// is reloaded when it changes; a signal makes the daemon check it at once.
 func (n *Node) Run(ctx context.Context, path string, signals <-chan os.Signal) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// start starts the duties.
+// start starts the goroutines of all parts.
 func (n *Node) start(ctx context.Context) {
 	duties := []func(context.Context){
 		n.config.run, n.fetcher.run, n.endpoints.run, n.endpoints.tick, n.peers.run, n.members.run, n.sweep, n.requests.run,
@@ -145,7 +145,7 @@
 	}
 }
 
-// sweep closes connections to endpoints that were idle for too long.
+// sweep closes connections to endpoints that have been idle for too long.
 func (n *Node) sweep(ctx context.Context) {
 	pause.Every(ctx, time.Second, func() { n.pool.Sweep(time.Now()) })
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,8 +12,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// The operator's change reaches the store, which goes down at that moment for
-// all but one daemon's last watch. Every daemon must have it all the same.
+// A change of the configuration is stored, and the store goes down before all but one
+// daemon have read it. All daemons must get it.
 func TestConfigurationReachesAllDaemonsWhileTheStoreIsDown(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitReady()
@@ -24,11 +24,11 @@
 	f.nodes[0].config.apply([]byte("3"), "store")
 	f.until("version 3 from peers", func(n *Node) bool { return n.Table().Version == 3 })
 	f.store.setDown(false)
-	f.until("no way back", func(n *Node) bool { return n.Table().Version == 3 })
+	f.until("version 3 stays", func(n *Node) bool { return n.Table().Version == 3 })
 }
 
-// A daemon starts while the store is down. It knows no configuration until a
-// peer tells it one; before, it refuses as not run and isn't ready.
+// A daemon starts while the store is down. It has no configuration until a peer sends
+// one; before, it refuses requests as not-run and isn't ready.
 func TestStartWithTheStoreDown(t *testing.T) {
 	f := newFleet(t, 2)
 	f.awaitReady()
@@ -47,8 +47,8 @@
 	assert.Equal(t, sendRequest(late).body, "done")
 }
 
-// Orders are served at two daemons; a third one may hold the duties. Each
-// window is reported once, and together they have every order.
+// Requests are served by two daemons; a third one may hold the duties. Each window must
+// be reported once, and together they must count every request.
 func TestUsageOfAllDaemonsIsReported(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitReady()
@@ -65,8 +65,8 @@
 	}
 }
 
-// A daemon is told to stop. The others don't name it any more, and it still
-// serves whoever comes with an older answer.
+// A daemon is stopped. The others must not list it any more, and it must still serve
+// callers that use an older list.
 func TestLeavingDaemonIsNotListedAndStillServes(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitReady()
@@ -78,7 +78,7 @@
 			addresses, _ := n.Entries("r", "a")
 			for _, a := range addresses {
 				if a == gone {
-					return poll.Continue("still named")
+					return poll.Continue("still listed")
 				}
 			}
 		}
@@ -88,8 +88,8 @@
 	assert.Equal(t, sendRequest(f.nodes[2]).body, "done")
 }
 
-// The holder of the duties is told to stop. It must give the lease up, so that
-// the next one needn't wait until it has run out.
+// The holder of the duties is stopped. It must release the lease, so that the next
+// holder needn't wait until the lease expires.
 func TestLeavingHolderReleasesTheDuties(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitReady()
@@ -104,7 +104,7 @@
 				return poll.Success()
 			}
 		}
-		return poll.Continue("nobody holds the duties")
+		return poll.Continue("no daemon holds the duties")
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(10*time.Millisecond))
 	f.nodes[holder].grace.Store(int64(20 * time.Second))
 	f.cancel[holder]()
@@ -122,6 +122,6 @@
 		if released() {
 			return poll.Success()
 		}
-		return poll.Continue("not given up")
+		return poll.Continue("not released")
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -11,7 +11,7 @@
 // observer implements relay.Observer.
 type observer struct{ node *Node }
 
-// Began implements relay.Observer. The time is moved to the fleet's clock.
+// Began implements relay.Observer. The time is converted to the fleet's clock.
 func (o *observer) Began(w fleet.WorkspaceID, at time.Time) {
 	o.node.begun.add(w, o.node.clock.Now().Add(-time.Since(at)))
 }
--- a/internal/node/peerexchange.go
+++ b/internal/node/peerexchange.go
@@ -18,7 +18,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/upstream"
 )
 
-// interval is the normal one of the fleet as this daemon knows it.
+// interval is the time between two reports to a hub when nothing is urgent.
 func (n *Node) interval() time.Duration {
 	l := n.members.layout()
 	if l.meshed {
@@ -27,7 +27,8 @@
 	return exchange.NormalInterval(l.reporters)
 }
 
-// reportAge is how old a report is that a hub has from a daemon, whatever it came through.
+// reportAge is the age that a daemon's last report may have at a hub, directly or
+// relayed.
 func (n *Node) reportAge() time.Duration {
 	if n.members.layout().meshed {
 		return n.interval() + exchange.RelayInterval
@@ -35,30 +36,31 @@
 	return n.interval()
 }
 
-// levelsAfter is how long a daemon has run when its view of what is left of the
-// limits is taken by one that has just started.
+// levelsAfter is how long a daemon must have run until others that have just started
+// adopt what it counts as left of the limits.
 const levelsAfter = 4 * time.Second
 
-// peerExchange is this daemon's side of the exchange, as teller and as hub.
+// peerExchange is this daemon's part in the exchange of reports: it reports to hubs, and
+// answers as a hub.
 type peerExchange struct {
 	node   *Node
 	client *exchange.Client
 
 	mu           sync.Mutex
 	hub          *exchange.Hub
-	holder       exchange.Holder // of the duties, the newest that is known
-	listPosition feed.Position   // of the hub's list that this daemon has
-	listHub      string          // that hub's address
-	// listedAt is when it told its list last.
+	holder       exchange.Holder // of the duties, the newest reported
+	listPosition feed.Position   // this daemon's position in the list of listHub
+	listHub      string          // address of the hub whose list of endpoints is followed, empty: none
+	// listedAt is when that hub last sent its list.
 	listedAt    time.Time
 	hubs        map[string]*hubReports // by address
-	loadHub     string                 // the hub that tells the endpoints' loads, empty: all
-	loadedAt    time.Time              // when loads were told last
+	loadHub     string                 // the hub that sends the endpoints' loads, empty: all
+	loadedAt    time.Time              // when loads were last received
 	seq         uint64                 // of the last round
-	relaying    bool                   // in this round this daemon relays what it is told
+	relaying    bool                   // in this round this daemon relays what it receives
 	relayers    map[string]time.Time   // when other hubs last relayed something, by address
 	memberLists *memberLists
-	// hubStoreContact is how old the list is that this daemon has from a hub.
+	// hubStoreContact is when the followed hub last had contact with the store.
 	hubStoreContact time.Time
 }
 
@@ -140,7 +142,7 @@
 	return sum
 }
 
-// run tells the hubs until the context ends.
+// run reports to the hubs until the context ends.
 func (t *peerExchange) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t.wait(ctx)
@@ -148,8 +150,8 @@
 	}
 }
 
-// urgentCheck is how often a daemon whose hubs relay looks whether it has something
-// urgent to tell.
+// urgentCheck is how often a daemon whose hubs relay checks whether it has something
+// urgent to report.
 const urgentCheck = 250 * time.Millisecond
 
 // wait waits until the next report is due, which may become urgent meanwhile.
@@ -170,7 +172,7 @@
 	}
 }
 
-// nextInterval returns the time between the last report and the nextInterval.
+// nextInterval returns the time from the last report to the next.
 func (t *peerExchange) nextInterval() time.Duration {
 	l := t.node.members.layout()
 	now := time.Now()
@@ -196,15 +198,15 @@
 	return interval
 }
 
-// setInterval takes a changed interval of the fleet's reports.
+// setInterval sets the interval of the fleet's reports.
 func (t *peerExchange) setInterval(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hub.SetInterval(d)
 }
 
-// round tells all hubs and uses each one's sum as it comes. It doesn't wait for
-// a hub that is silent: what the other one tells would be late as well.
+// round reports to all hubs and applies each answer as it arrives. It doesn't wait for
+// an unresponsive hub, which would delay the reports to the others.
 func (t *peerExchange) round(ctx context.Context) {
 	targets := t.targets()
 	t.beginRound()
@@ -233,12 +235,12 @@
 	}
 }
 
-// roundTimeout is how long a round waits for answers: many times the way there
-// and back, so that rounds of a sound fleet don't overlap.
+// roundTimeout is how long a round waits for answers: many round-trip times, and short
+// enough that rounds of a healthy fleet don't overlap.
 const roundTimeout = 150 * time.Millisecond
 
-// targets returns the addresses to tell: the hubs, the holder of the duties,
-// and before anyone is known the seeds.
+// targets returns the addresses to report to: the hubs, the holder of the duties, and
+// the seeds until another daemon has been found.
 func (t *peerExchange) targets() []string {
 	l := t.node.members.layout()
 	out := t.ownHubs(l)
@@ -260,8 +262,8 @@
 	return out
 }
 
-// holderAddress returns the address of the holder of the duties, none where it isn't
-// known.
+// holderAddress returns the address of the holder of the duties, none where no serving
+// daemon is reported as the holder.
 func (t *peerExchange) holderAddress(l *layout) []string {
 	t.mu.Lock()
 	holder := t.holder
@@ -284,8 +286,8 @@
 	return all
 }
 
-// report tells report hub, itself without a call, and uses its sum. A hub that has not
-// answered yet isn't told again meanwhile.
+// report sends a report to one hub, or takes it locally if the hub is this daemon, and
+// applies the answer. A hub that has not answered yet gets no further report meanwhile.
 func (t *peerExchange) report(ctx context.Context, address string, soft relay.SoftState) {
 	if !t.beginCall(address) {
 		return
@@ -295,14 +297,14 @@
 	if address == t.node.settings.Listen.Peers {
 		sum := t.Report(p)
 		if t.node.gathering() && len(t.node.members.serving()) == 1 {
-			return // it has not found the others yet, and knows nothing of them
+			return // the others aren't found yet: the answer would be for this daemon alone
 		}
 		t.apply(address, &sum, 0)
 		return
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	sum, err := t.client.Report(ctx, address, &p)
-	took := time.Since(asked)
+	took := time.Since(sentAt)
 	t.reportEnded(address, &p, err)
 	if err != nil {
 		return
@@ -317,8 +319,8 @@
 	t.apply(address, &sum, took)
 }
 
-// part returns this daemon's part for a hub, with what it has of its own in this round,
-// and up to where it tells crashes.
+// part returns this daemon's report to a hub, with soft as of this round, and the
+// position up to which it includes crashes.
 func (t *peerExchange) part(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
 	p := exchange.Report{
 		Daemon:            t.node.id,
@@ -358,8 +360,8 @@
 	return p, upTo
 }
 
-// apply takes a hub's sum, whose answer took a while. Of one that took long, time
-// and loads are past, and only what stays true is taken.
+// apply applies a hub's answer, which took a while. Of an answer that took longer than
+// exchange.Prompt, the clock and the loads are out of date and not applied.
 func (t *peerExchange) apply(address string, sum *exchange.Reply, took time.Duration) {
 	t.applyUpdates(address, sum, took)
 	if took > exchange.ReplyTimeout {
@@ -382,7 +384,7 @@
 	t.node.state.SetOthers(now, address, sum.Soft)
 }
 
-// applyUpdates takes what a hub knows from the store and of the roll-outs.
+// applyUpdates applies what a hub sends of the store and the roll-outs.
 func (t *peerExchange) applyUpdates(address string, sum *exchange.Reply, took time.Duration) {
 	sum.StoreAge += took
 	sum.RolloutUpdate.Age += took
@@ -396,23 +398,23 @@
 	t.node.addMembers(members)
 }
 
-// applyLate takes what stays true of a sum that came applyLate.
+// applyLate applies what remains valid in an answer that came late.
 func (t *peerExchange) applyLate(sum *exchange.Reply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder = t.holder.Newer(sum.Holder)
 }
 
-// setHolder notes that this daemon holds the duties since an acquisition. The
-// others learn it from the hubs, also where these can't reach the store.
+// setHolder notes that this daemon has acquired the duties. The others receive this
+// from the hubs, also where they can't reach the store.
 func (t *peerExchange) setHolder(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder = t.holder.Newer(exchange.Holder{Daemon: t.node.id, Token: token})
 }
 
-// otherHolderToken returns the fencing token under which another daemon than one is known to
-// hold the duties, 0 where none is.
+// otherHolderToken returns the fencing token under which another daemon than the given
+// one is reported to hold the duties, 0 where none is.
 func (t *peerExchange) otherHolderToken(but fleet.DaemonID) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -422,7 +424,7 @@
 	return t.holder.Token
 }
 
-// withHub calls f with the hub's state.
+// withHub calls f with the hub's state, under the lock.
 func (t *peerExchange) withHub(f func(h *exchange.Hub)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -8,12 +8,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// relayerTTL is how long another hub is told after it last relayed something: it may
-// stand in for one, which not all views of the fleet show.
+// relayerTTL is how long another hub gets relayed reports after it last relayed
+// something: it may replace an unresponsive hub, which not all views of the fleet show.
 const relayerTTL = time.Second
 
-// relays reports whether this daemon relays what it is told: it is one of the hubs, or
-// stands in for one, which others know before its view shows it.
+// relays reports whether this daemon relays the reports that it receives: it is one of
+// the hubs, or replaces an unresponsive one, which others detect before its view does.
 func (t *peerExchange) relays(l *layout) bool {
 	if !l.meshed {
 		return false
@@ -40,37 +40,38 @@
 }
 
 // ownHubs returns the addresses of the hubs that this daemon reports to, and of as many
-// stand-ins as of these are silent.
+// stand-ins as of these are unresponsive.
 func (t *peerExchange) ownHubs(l *layout) []string {
 	out := peersOf(l.own)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	silent := 0
+	unresponsive := 0
 	for _, address := range out {
 		if t.unresponsive(address) {
-			silent++
+			unresponsive++
 		}
 	}
-	out = append(out, peersOf(l.standIns[:min(silent, len(l.standIns))])...)
-	if l.meshed && silent == 0 && len(out) > 1 && t.loadHub == out[0] && t.seq%exchange.BackupEvery != 0 {
+	out = append(out, peersOf(l.standIns[:min(unresponsive, len(l.standIns))])...)
+	if l.meshed && unresponsive == 0 && len(out) > 1 && t.loadHub == out[0] && t.seq%exchange.BackupEvery != 0 {
 		return out[:1]
 	}
 	return out
 }
 
-// unresponsive reports whether a hub has left the last report unanswered. The lock is held.
+// unresponsive reports whether a hub has left the last report unanswered. The lock is
+// held.
 func (t *peerExchange) unresponsive(address string) bool { return t.reportsTo(address).unanswered }
 
 // lostHub reports whether the hub that relays this daemon's reports has left the last one
-// unanswered, so that nobody may know of it.
+// unanswered, so that it may not have reached any daemon.
 func (t *peerExchange) lostHub() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.loadHub == "" || t.unresponsive(t.loadHub)
 }
 
-// otherHubs returns the addresses of all hubs, of those that stand in for one, and of
-// those that may hold the duties next and have to know all parts then.
+// otherHubs returns the addresses of all hubs, of those that replace one, and of those
+// that may hold the duties next and need all reports then.
 func (t *peerExchange) otherHubs(l *layout) []string {
 	out := append(peersOf(l.hubs), peersOf(l.candidates)...)
 	t.mu.Lock()
@@ -93,24 +94,26 @@
 	return out
 }
 
-// addRelayed adds what this hub was told since it last told another one. The lock is held.
+// addRelayed adds to a report what this hub has received since it last relayed to another
+// hub. The lock is held.
 func (t *peerExchange) addRelayed(l *layout, address string, p *exchange.Report) {
 	r := t.reportsTo(address)
 	r.relaying = t.hub.Cursor()
-	counted := r.relaying // no windows
+	counted := r.relaying // excludes the windows of usage
 	if t.countsWindows(l, address) {
 		counted = r.windowsTo
 	}
 	p.Relayed = t.hub.ReportsToRelay(time.Now(), r.relayedTo, counted)
 }
 
-// countsWindows reports whether a daemon may hold the duties, for which usage is counted.
+// countsWindows reports whether a daemon may hold the duties, and so needs the windows of
+// usage.
 func (t *peerExchange) countsWindows(l *layout, address string) bool {
 	return slices.ContainsFunc(l.candidates, func(m membership.Member) bool { return m.Peer == address }) ||
 		slices.ContainsFunc(l.serving, func(m membership.Member) bool { return m.Peer == address && m.Daemon == t.holder.Daemon })
 }
 
-// takeRelayed takes what another hub has relayed. The lock is held.
+// takeRelayed applies what another hub has relayed. The lock is held.
 func (t *peerExchange) takeRelayed(now time.Time, steady time.Duration, p *exchange.Report) {
 	if !p.IsHub || p.Daemon == t.node.id {
 		return
@@ -127,8 +130,8 @@
 	}
 }
 
-// relayed notes that a hub has what was relayed to it, or that it is to be told all
-// again.
+// relayed notes that a hub has what was relayed to it, or, after an error, that all of it
+// must be relayed again.
 func (r *hubReports) relayed(p *exchange.Report, err error) {
 	switch {
 	case !p.IsHub:
@@ -139,7 +142,8 @@
 	}
 }
 
-// applyHubAnswer takes another hub's answer to a relay, which has no sums: this hub makes its own.
+// applyHubAnswer applies another hub's answer to a relay, which has no sums: this hub
+// computes its own.
 func (t *peerExchange) applyHubAnswer(address string, sum *exchange.Reply, took time.Duration) {
 	t.applyUpdates(address, sum, took)
 	if took > exchange.ReplyTimeout {
@@ -152,8 +156,8 @@
 	t.node.state.AdoptLevels(time.Now(), sum.Soft.Levels)
 }
 
-// storeAge returns how old this daemon's word from the store is: its own, or that of the
-// hub whose list it follows. The lock is held.
+// storeAge returns the time since the last contact with the store: this daemon's own, or
+// that of the hub whose list it follows. The lock is held.
 func (t *peerExchange) storeAge(now time.Time) time.Duration {
 	own := max(t.node.config.store.Age(), t.node.endpoints.store.Age())
 	if t.hubStoreContact.IsZero() {
@@ -162,12 +166,12 @@
 	return min(own, now.Sub(t.hubStoreContact))
 }
 
-// ownCentreOnly is how long a daemon that has no list of endpoints looks for a strong
-// machine in its own data centre that tells it; later any will do.
+// ownCentreOnly is how long a daemon without a list of endpoints requests it from strong
+// machines of its own data centre alone; later from any.
 const ownCentreOnly = 2 * time.Second
 
-// listSources returns the address that a daemon without a list of endpoints asks for one
-// besides the hubs, while it doesn't ask the store.
+// listSources returns the address from which a daemon without a list of endpoints requests
+// one in addition to the hubs, while it doesn't list the store.
 func (t *peerExchange) listSources(l *layout) []string {
 	if t.node.endpoints.hasList() || t.node.endpoints.due() {
 		return nil
@@ -180,8 +184,8 @@
 	return nil
 }
 
-// mayAskList reports whether a daemon may be asked for a whole list: a weak machine's link
-// isn't wide enough for those of hundreds.
+// mayAskList reports whether a whole list may be requested from a daemon: a weak machine's
+// link is too narrow for the lists of hundreds of daemons.
 func (t *peerExchange) mayAskList(address string) bool {
 	m, ok := t.node.members.at(address)
 	if !ok || strengthOf(m.Daemon) < hubStrength {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloadInterval is how often the settings' file is looked at: it may change
-// without a signal.
+// reloadInterval is how often the settings' file is read: it may change without a
+// signal.
 const reloadInterval = 2 * time.Second
 
 // watchSettings applies the settings' file whenever it changes, at once on a
@@ -41,8 +41,8 @@
 	}
 }
 
-// reload applies what can change while the daemon runs: seeds, the log's level
-// and the grace of a stop. The rest is taken up at the next start.
+// reload applies the settings that can change while the daemon runs: seeds, the log's
+// level and the grace of a stop. The others are applied at the next start.
 func (n *Node) reload(text []byte) {
 	log := n.logFor("settings")
 	s, err := ParseSettings(text)
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -16,27 +16,26 @@
 const (
 	// requestRing bounds the outcomes that wait to be logged.
 	requestRing = 512
-	// failureLines and successLines bound the lines a second: a line costs
-	// some 10 microseconds, so that both together stay below a thousandth of
-	// a core.
+	// failureLines and successLines bound the lines a second: a line costs about 10
+	// microseconds, so that both together stay below a thousandth of a core.
 	failureLines = 60
 	successLines = 4
 )
 
-// requestLog writes a line for each request that failed or was late and for some
-// of the others, on a goroutine of its own, within a bound.
+// requestLog logs each request that failed or was late and some of the others, up to a
+// bound a second, on a goroutine of its own.
 type requestLog struct {
 	log       *logrus.Logger
 	metrics   *metricSet
 	ring      *ring.Ring[*relay.Outcome]
-	successes atomic.Uint64 // successes that were offered to the ring this second
+	successes atomic.Uint64 // successes offered in this second
 }
 
 func newRequestLog(l *logrus.Logger, m *metricSet) *requestLog {
 	return &requestLog{log: l, metrics: m, ring: ring.New[*relay.Outcome]("requests", requestRing)}
 }
 
-// add takes an outcome; it never waits.
+// add takes an outcome; it never blocks.
 func (r *requestLog) add(o *relay.Outcome) {
 	if o.Reason == "" && !o.Failed && o.Late == relay.InTime && r.successes.Add(1) > successLines {
 		return
@@ -47,21 +46,21 @@
 func (r *requestLog) run(ctx context.Context) {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
-	written, left := 0, 0
+	written, dropped := 0, 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-second.C:
-			if left > 0 {
-				r.log.WithFields(logrus.Fields{"part": "requests", "left_out": left}).Warn("lines left out")
-				r.metrics.linesLeftOut.Add(left)
+			if dropped > 0 {
+				r.log.WithFields(logrus.Fields{"part": "requests", "left_out": dropped}).Warn("lines left out")
+				r.metrics.linesLeftOut.Add(dropped)
 			}
-			written, left = 0, 0
+			written, dropped = 0, 0
 			r.successes.Store(0)
 		case o := <-r.ring.C():
 			if written >= failureLines {
-				left++
+				dropped++
 				continue
 			}
 			written++
--- a/internal/node/requestlog_test.go
+++ b/internal/node/requestlog_test.go
@@ -14,9 +14,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/relay"
 )
 
-// A caller complains of an endpoint's failure that was passed on to it. Among
-// thousands of answers a second its line must be there: successes are left out
-// first.
+// An endpoint's failure is passed on to the caller. Among thousands of successes a second
+// its line must be in the log: successes are left out first.
 func TestFailuresAreLoggedBeforeSuccesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var text bytes.Buffer
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -11,11 +11,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/exchange"
 )
 
-// The store comes back from an older copy: the newest configuration is gone, the
-// counter has gone back, and the operator writes the next version with a number
-// that was given out before. At all daemons, also those that hear of the store from
-// hubs alone, the version in force must not go back, and the next one come into
-// force; and the store must not be listed by the whole fleet again and again.
+// The store is restored from an older copy: the newest configuration is gone, the
+// counter has gone back, and the operator writes the next version with a revision that
+// was used before. At all daemons, also those that get the store's content from hubs
+// alone, the version in force must not go back, and the next one must come into force;
+// and the fleet must not list the store again and again.
 func TestFleetKeepsItsVersionWhenTheStoreIsRestored(t *testing.T) {
 	for _, daemons := range []int{3, exchange.SmallFleet + 2} {
 		f := newFleet(t, daemons)
@@ -28,7 +28,7 @@
 		f.store.setDown(true)
 		f.store.restore(old)
 		f.store.setDown(false)
-		f.until("the era is known to who watches", func(n *Node) bool {
+		f.until("daemons that watch have the new era", func(n *Node) bool {
 			return n.watch.reliesOnHubs() || n.endpoints.Era() == 1
 		})
 		for _, n := range f.nodes {
@@ -37,7 +37,7 @@
 		}
 		f.write("3")
 		f.until("version 3 in force", func(n *Node) bool { return n.config.current().Version == 3 })
-		f.until("somebody holds the duties in the new era", func(n *Node) bool {
+		f.until("the duties have a holder in the new era", func(n *Node) bool {
 			n.peers.mu.Lock()
 			defer n.peers.mu.Unlock()
 			return n.peers.holder.Token > 0
@@ -55,8 +55,8 @@
 	assert.NilError(f.t, err)
 }
 
-// Calls to the store in the five seconds after it came back from an older copy, and
-// in as long before. On the machine that the capacity page names: see there.
+// BenchmarkStoreCallsAfterARestore counts the calls to the store in the five seconds
+// before it is restored from an older copy, and in the five seconds after.
 func BenchmarkStoreCallsAfterARestore(b *testing.B) {
 	const span = 5 * time.Second
 	for _, daemons := range []int{6, 80, 195} {
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -25,16 +25,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// versionedEndpoint is an endpoint of a version that counts what it runs.
+// versionedEndpoint is an endpoint of a version that counts its requests.
 type versionedEndpoint struct {
 	Address string
 	Version string
 	Born    int64 // Unix ms
 
 	server *http.Server
-	bad    *atomic.Bool // fails half of its requests
+	bad    *atomic.Bool // whether half of its requests fail
 	ran    atomic.Int64
-	active atomic.Int64 // running now
+	active atomic.Int64 // requests that are running
 }
 
 func (e *versionedEndpoint) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
@@ -48,12 +48,12 @@
 	_, _ = w.Write([]byte("done"))
 }
 
-// rolloutFleet is daemons before endpoints of two versions, under load.
+// rolloutFleet is daemons with endpoints of two versions, under load.
 type rolloutFleet struct {
 	*testFleet
 	old, new []*versionedEndpoint
 	sent     atomic.Int64
-	lost     atomic.Int64 // that may have run, and have no answer of an endpoint's
+	lost     atomic.Int64 // requests that may have run and got no endpoint's answer
 	stopLoad func()
 }
 
@@ -65,7 +65,7 @@
 	}, err
 }
 
-// testOrder is an order as the tests write it: target and seconds.
+// decodeTestOrder decodes an order as the tests write it: target and seconds.
 func decodeTestOrder(o objects.Object) (rollout.Order, error) {
 	var target string
 	var duration float64
@@ -134,7 +134,7 @@
 	return e
 }
 
-// load sends requests to all daemons, some a second, until it is stopped.
+// load sends requests to all daemons in turn, at a rate, until stopLoad is called.
 func (f *rolloutFleet) load(perSecond int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -162,7 +162,7 @@
 	f.stopLoad = func() { cancel(); wg.Wait() }
 }
 
-// rollOut orders a roll-out, whose new endpoints start.
+// rollOut orders a roll-out and starts its endpoints.
 func (f *rolloutFleet) rollOut(target string, seconds float64, bad bool) {
 	for i := range f.old {
 		e := f.endpoint(target+"-"+strconv.Itoa(i), target)
@@ -207,7 +207,7 @@
 	f.load(150)
 	f.rollOut("v2", 6, false)
 	assert.Equal(t, f.awaitFinal(), rollout.Completed)
-	for _, e := range f.old { // the platform stops them at once
+	for _, e := range f.old { // the platform stops them when the roll-out has ended
 		_, under := requestCounts([]*versionedEndpoint{e})
 		assert.Equal(t, under, int64(0))
 		assert.NilError(t, e.server.Close())
@@ -225,7 +225,7 @@
 	f.load(150)
 	f.rollOut("v2", 8, true)
 	assert.Equal(t, f.awaitFinal(), rollout.RolledBack)
-	time.Sleep(500 * time.Millisecond) // the last daemon hears of it
+	time.Sleep(500 * time.Millisecond) // until the last daemon has the change
 	before, _ := requestCounts(f.new)
 	time.Sleep(500 * time.Millisecond)
 	f.stopLoad()
@@ -235,7 +235,7 @@
 	assert.Equal(t, f.lost.Load(), int64(0))
 }
 
-// Guards against a version that gets requests before an order for it is known.
+// Guards against a version that gets requests before an order for it has been read.
 func TestVersionWithoutAnOrderGetsNoRequests(t *testing.T) {
 	f := newRollingFleet(t, 2, 2)
 	f.load(100)
@@ -247,7 +247,7 @@
 
 const newVersionWait = time.Second
 
-// Guards against a roll-out that ends with its decider.
+// Guards against a roll-out that stays unfinished when its decider stops.
 func TestSuccessorOfAStoppedDeciderFinishesTheRollout(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		t.Run(strconv.FormatBool(bad), func(t *testing.T) {
@@ -267,7 +267,7 @@
 	}
 }
 
-// Guards against a final state that is lost with the store's copy.
+// Guards against a final status that is lost when the store is restored from a copy.
 func TestFinalStateIsWrittenAgainAfterTheStoreLostIt(t *testing.T) {
 	f := newRollingFleet(t, 2, 2)
 	f.load(150)
@@ -279,14 +279,15 @@
 	f.stopLoad()
 }
 
-// idlePace makes a follower of a test wait for long.
+// idlePace makes a test's follower wait for long.
 type idlePace struct{}
 
 func (idlePace) WatchTimeout() time.Duration { return time.Hour }
 func (idlePace) BatchDelay() time.Duration   { return 0 }
 func (idlePace) Backoff() follow.Backoff     { return follow.FastBackoff() }
 
-// Guards against a holder that holds its lease again after a lapse and whose words are taken for older ones.
+// Guards against a holder that acquires its lease again after a lapse, with the same
+// token, and whose updates are taken for older ones.
 func TestUpdatesOfAReacquiredLeaseCount(t *testing.T) {
 	store := newMemoryStore()
 	n := New(&Settings{}, Platform{Store: store}, logrus.New())
@@ -314,10 +315,10 @@
 			return
 		}
 	}
-	f.t.Fatal("nobody holds the duties")
+	f.t.Fatal("no daemon holds the duties")
 }
 
-// Guards against an order that can't be carried out and stops the others.
+// Guards against an invalid order that blocks the others.
 func TestOrdersThatCannotBeCarriedOutDoNotStopOthers(t *testing.T) {
 	f := newRollingFleet(t, 2, 2)
 	for name, spec := range map[string]string{"zero": `"v2 0"`, "damaged": `{}`, "nowhere": `"v9 1"`} {
--- a/internal/node/rolloutduty.go
+++ b/internal/node/rolloutduty.go
@@ -13,27 +13,28 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-// RolloutRecordKind is the kind of what is kept of each roll-out, by service.
+// RolloutRecordKind is the kind of the objects that hold the decider's record of each
+// roll-out, by service.
 const RolloutRecordKind = "rollout-records"
 
-// rolloutDuty decides the roll-outs while this daemon holds the duties. It belongs to
-// the duties' goroutine.
+// rolloutDuty decides the roll-outs while this daemon holds the duties. Only the duties'
+// goroutine uses it.
 type rolloutDuty struct {
 	node     *Node
 	log      *logrus.Entry
 	orders   *rolloutOrders
 	store    *follow.Follower
-	followed chan struct{} // closed when the follower of an earlier holding has ended
+	followed chan struct{} // closed when the follower of the previous acquisition has ended
 
 	holding  bool
 	stop     context.CancelFunc // of the follower
 	token    uint64
-	seq      uint64 // of the last word; it never falls, also where the same lease is held again
+	seq      uint64 // of the last update; it only increases, also where the same lease is acquired again
 	restored bool
 	reading  bool
-	records  map[string]rollout.Record // as they were found in the store
+	records  map[string]rollout.Record // as read from the store
 	running  map[string]*runningRollout
-	refused  map[string]uint64 // by service, the revision of an order that is none
+	refused  map[string]uint64 // by service, the revision of an order that can't be decoded
 }
 
 func newRolloutDuty(n *Node) *rolloutDuty {
@@ -47,7 +48,7 @@
 	return d.node.settings.Bounds.rollouts().On() && d.node.platform.RolloutKind != ""
 }
 
-// begin starts afresh with an acquisition of the duties.
+// begin resets the state at an acquisition of the duties.
 func (d *rolloutDuty) begin(ctx context.Context, token uint64) {
 	d.end()
 	d.token, d.restored, d.reading = token, false, false
@@ -56,12 +57,12 @@
 	var following context.Context
 	following, d.stop = context.WithCancel(ctx)
 	d.holding = true
-	before, done := d.followed, make(chan struct{})
+	previous, done := d.followed, make(chan struct{})
 	d.followed = done
 	d.node.wg.Go(func() {
 		defer close(done)
-		if before != nil {
-			<-before
+		if previous != nil {
+			<-previous
 		}
 		d.store.Run(following, 0, func() bool { return following.Err() == nil })
 	})
@@ -75,7 +76,7 @@
 	}
 }
 
-// step decides all roll-outs.
+// step advances all roll-outs.
 func (d *rolloutDuty) step(ctx context.Context, duties *duties, now time.Time) {
 	if !d.enabled() {
 		return
@@ -92,10 +93,10 @@
 	}
 	fleetNow := d.node.clock.Now()
 	d.takeOrders(fleetNow, orders)
-	heard := d.orders.takeReports()
+	reported := d.orders.takeReports()
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
 		r := d.running[service]
-		for daemon, reports := range heard {
+		for daemon, reports := range reported {
 			for i := range reports {
 				if reports[i].Service == service {
 					r.decider.AddReport(fleetNow, string(daemon), &reports[i])
@@ -107,13 +108,13 @@
 	d.publish(now, fleetNow)
 }
 
-// runs reports whether a service's roll-out is under way, as far as its decider knows.
+// runs reports whether a service's roll-out is running, as far as this decider has read.
 func (d *rolloutDuty) runs(service string) bool {
 	r := d.running[service]
 	return r != nil && !r.final
 }
 
-// restore reads what is kept of the roll-outs.
+// restore reads the records of the roll-outs.
 func (d *rolloutDuty) restore(ctx context.Context, duties *duties) {
 	if d.reading {
 		return
@@ -131,7 +132,7 @@
 			for _, o := range all {
 				var r rollout.Record
 				if err := json.Unmarshal(o.Spec, &r); err != nil {
-					d.log.WithError(err).WithField("service", o.Name).Error("record not understood")
+					d.log.WithError(err).WithField("service", o.Name).Error("record not decoded")
 					continue
 				}
 				d.records[o.Name] = r
@@ -166,7 +167,7 @@
 	}
 }
 
-// start begins a roll-out, or goes on with one.
+// start begins a roll-out, or resumes one from its record.
 func (d *rolloutDuty) start(order rollout.Order, o storedOrder) *runningRollout {
 	record := d.records[order.Service]
 	known := record.Order.Target == order.Target
@@ -183,7 +184,7 @@
 	return r
 }
 
-// decide takes one roll-out a step further.
+// decide advances one roll-out.
 func (d *rolloutDuty) decide(ctx context.Context, duties *duties, now, fleetNow time.Time, r *runningRollout) {
 	if r.final {
 		return
@@ -201,7 +202,7 @@
 	}
 }
 
-// view returns what the decider must know of a service.
+// view returns the fleet's state as the decider needs it for a service.
 func (d *rolloutDuty) view(service string) rollout.View {
 	n := d.node
 	v := rollout.View{Routes: map[string]bool{}, ReportInterval: n.movingInterval()}
@@ -224,25 +225,25 @@
 	return v
 }
 
-// publish passes the words on: the other daemons hear them in the answers to their
+// publish passes the splits on: the other daemons receive them in the answers to their
 // reports.
 func (d *rolloutDuty) publish(now, fleetNow time.Time) {
 	d.seq++
-	news := rollout.Update{Rank: rollout.Rank{Token: d.token, Seq: d.seq}, OrdersAge: d.store.Age()}
+	update := rollout.Update{Rank: rollout.Rank{Token: d.token, Seq: d.seq}, OrdersAge: d.store.Age()}
 	for _, service := range slices.Sorted(maps.Keys(d.running)) {
-		news.Splits = append(news.Splits, d.running[service].decider.Split(fleetNow))
+		update.Splits = append(update.Splits, d.running[service].decider.Split(fleetNow))
 	}
-	d.node.state.ApplyRollouts(now, news)
+	d.node.state.ApplyRollouts(now, update)
 }
 
-// movingInterval is the time between two reports while a service moves: what is
-// known of the requests at its old version must be fresh.
+// movingInterval is the time between two reports while a service moves to another version:
+// the counts of requests at its versions must be recent.
 func (n *Node) movingInterval() time.Duration {
 	return min(n.interval(), max(minMovingInterval, time.Duration(n.members.reporters())*perDaemonMovingInterval))
 }
 
 const (
 	minMovingInterval = 100 * time.Millisecond
-	// perDaemonMovingInterval bounds the reports that come to the decider at 670 a second.
+	// perDaemonMovingInterval bounds the reports to the decider at 670 a second.
 	perDaemonMovingInterval = 1500 * time.Microsecond
 )
--- a/internal/node/rolloutorders.go
+++ b/internal/node/rolloutorders.go
@@ -12,15 +12,15 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-// orderPace is how often a decider asks for orders: how long ago it heard from the
-// store is a part of its word.
+// orderPace is how often a decider polls for orders: the age of its last contact with
+// the store is a part of its updates.
 type orderPace struct{ *watchPolicy }
 
 // WatchTimeout implements follow.Timing.
 func (p orderPace) WatchTimeout() time.Duration { return min(hubWait, p.watchPolicy.WatchTimeout()) }
 
-// rolloutOrders is what a decider is told: orders by the store's follower, reports
-// by the peers' goroutines.
+// rolloutOrders holds the decider's inputs: orders from the store's follower, reports
+// from the peers' goroutines.
 type rolloutOrders struct {
 	node *Node
 	log  *logrus.Entry
@@ -34,7 +34,7 @@
 // storedOrder is an order as the store has it.
 type storedOrder struct {
 	object objects.Object
-	seen   time.Time // the fleet's time
+	seen   time.Time // of the fleet's clock
 }
 
 func newRolloutOrders(n *Node) *rolloutOrders {
@@ -43,7 +43,7 @@
 	return r
 }
 
-// forget drops what was told to an earlier holding of the duties.
+// forget drops what was received during an earlier acquisition of the duties.
 func (r *rolloutOrders) forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // Listed implements follow.Handler. An order that was there before this daemon
-// looked is taken to be as old as a change of holders takes.
+// followed them is taken to be as old as a change of holders takes.
 func (r *rolloutOrders) Listed(all []objects.Object, _ uint64) {
 	seen := r.node.clock.Now().Add(-millis(r.node.settings.Bounds.LeaseMillis))
 	r.mu.Lock()
@@ -112,7 +112,7 @@
 	return out
 }
 
-// current returns the orders, and whether the store has told them.
+// current returns the orders, and whether they have been listed.
 func (r *rolloutOrders) current() (map[string]storedOrder, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/rolloutrunning.go
+++ b/internal/node/rolloutrunning.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// recordInterval is how often a running roll-out is written.
+	// recordInterval is how often the record of a running roll-out is written.
 	recordInterval = time.Second
 	// statusRetry is the pause after a status that could not be written.
 	statusRetry = 200 * time.Millisecond
@@ -32,7 +32,7 @@
 	retry         time.Time
 }
 
-// reorder takes an order with the same target and another duration.
+// reorder applies an order with the same target and another duration.
 func (r *runningRollout) reorder(order rollout.Order) {
 	if r.order != order {
 		r.order = order
@@ -40,8 +40,8 @@
 	}
 }
 
-// take takes what the store says of a roll-out. A final status is never left; one that
-// the store has lost is written again.
+// take applies the status of a roll-out from the store. A final phase is never left; a
+// final status that the store has lost is written again.
 func (r *runningRollout) take(n *Node, o objects.Object) {
 	if o.Revision < r.revision {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// logState logs where a roll-out stands.
+// logState logs the state of a roll-out.
 func (d *rolloutDuty) logState(r *runningRollout, what string) {
 	record := r.decider.Record()
 	d.log.WithFields(logrus.Fields{
@@ -68,7 +68,7 @@
 	}).Info(what)
 }
 
-// writeRecord writes the record for a successor.
+// writeRecord writes the record from which a successor resumes.
 func (d *rolloutDuty) writeRecord(ctx context.Context, duties *duties, now time.Time, r *runningRollout, record rollout.Record) {
 	text, err := json.Marshal(record)
 	if err != nil {
@@ -81,13 +81,14 @@
 		return func(time.Time) {
 			r.writingRecord = false
 			if err != nil {
-				d.log.WithError(err).WithField("service", r.order.Service).Info("record not kept")
+				d.log.WithError(err).WithField("service", r.order.Service).Info("record not written")
 			}
 		}
 	})
 }
 
-// writeStatus writes the status. Two deciders may try: the store takes one of them.
+// writeStatus writes the status. Two deciders may write at once: the condition on the
+// revision lets one succeed.
 func (d *rolloutDuty) writeStatus(ctx context.Context, duties *duties, r *runningRollout, phase rollout.Phase) {
 	if _, ok := duties.fence(); !ok {
 		return
@@ -105,7 +106,7 @@
 	})
 }
 
-// statusWritten takes the answer to a status.
+// statusWritten handles the result of writing a status.
 func (d *rolloutDuty) statusWritten(now time.Time, r *runningRollout, phase rollout.Phase, o objects.Object, err error) {
 	r.writingStatus = false
 	log := d.log.WithFields(logrus.Fields{"service": r.order.Service, "target": r.order.Target, "phase": phase.String()})
@@ -120,7 +121,7 @@
 	case errors.Is(err, objects.ErrConflict) && o.Revision != 0:
 		r.retry = now.Add(statusRetry)
 		r.take(d.node, o)
-		log.Info("another revision of the order stands")
+		log.Info("status not written: the order has another revision")
 	default:
 		r.retry = now.Add(statusRetry)
 		log.WithError(err).Warn("status not written")
--- a/internal/node/scalingduty.go
+++ b/internal/node/scalingduty.go
@@ -13,10 +13,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// scalingTick is how often the number of endpoints is decided.
+// scalingTick is how often the number of endpoints is planned.
 const scalingTick = 500 * time.Millisecond
 
-// scalingDuty orders endpoints. It belongs to the duties' goroutine.
+// scalingDuty orders endpoints. Only the duties' goroutine uses it.
 type scalingDuty struct {
 	duties   *duties
 	planners map[string]*scaling.Planner // by service
@@ -34,8 +34,8 @@
 	}
 }
 
-// step decides and orders where that is due. A service that moves to another version
-// has two sets of endpoints, and an order for fewer could take either away.
+// step plans and orders where that is due. A service that moves to another version is left
+// out: it has two sets of endpoints, and an order for fewer could remove either.
 func (s *scalingDuty) step(ctx context.Context, now time.Time) {
 	t := s.duties.node.Table()
 	if !s.enabled || t == nil || now.Sub(s.last) < scalingTick {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sample describes a service as the fleet sees it.
+// sample returns a service's endpoints and its work in the whole fleet.
 func (s *scalingDuty) sample(service *route.Service, work relay.Work, elapsed time.Duration) *scaling.Sample {
 	out := &scaling.Sample{
 		Service:         service,
@@ -64,8 +64,8 @@
 		PrefillCapacity: s.duties.node.state.PrefillRate(),
 		Seconds:         elapsed.Seconds(),
 	}
-	// A total is smaller than before where a daemon that is gone was forgotten,
-	// and a holder's first totals are no difference.
+	// A total decreases where a daemon that is gone was dropped; and a new holder has no
+	// earlier totals to compare with.
 	if last, ok := s.work[service.Name]; ok {
 		out.Slots = max(work.SlotSeconds-last.SlotSeconds, 0) / out.Seconds
 		out.Prefill = max(work.Prefill-last.Prefill, 0) / out.Seconds
--- a/internal/node/serving.go
+++ b/internal/node/serving.go
@@ -11,9 +11,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/route"
 )
 
-// answerAge is how long callers may keep the addresses they were told. Some
-// keep them three times as long, which must fit in the time a leaving daemon
-// goes on serving.
+// answerAge is how long callers may keep the addresses that they received. Some keep
+// them three times as long, which must fit in the time a leaving daemon goes on serving.
 const answerAge = 1500 * time.Millisecond
 
 // Serve carries a caller's request.
@@ -22,21 +21,21 @@
 	n.relay.Serve(ctx, q, sink)
 }
 
-// Table returns the configuration in force, nil where none is known.
+// Table returns the configuration in force, nil where there is none.
 func (n *Node) Table() *route.Table { return n.state.Table() }
 
-// Stopping reports whether this daemon leaves.
+// Stopping reports whether this daemon is leaving.
 func (n *Node) Stopping() bool { return n.stopping.Load() }
 
-// Ready reports whether this daemon should be sent requests: it has a
-// configuration, knows endpoints and doesn't leave.
+// Ready reports whether this daemon should be sent requests: it has a configuration and
+// a list of endpoints, and isn't leaving.
 func (n *Node) Ready() bool {
 	_, listed := n.endpoints.list()
 	return !n.Stopping() && n.Table() != nil && listed
 }
 
-// Entries returns the addresses that callers in a data centre should use, and for how
-// long.
+// Entries returns the addresses that callers in a data centre should use, and how long
+// they may keep them.
 func (n *Node) Entries(_ fleet.Region, dc fleet.DataCentre) ([]string, time.Duration) {
 	var all []membership.Member
 	for _, m := range n.members.serving() {
@@ -55,8 +54,9 @@
 const maxEntries = 64
 
 // entriesOf returns the daemons that callers in a data centre should use: its own first,
-// then others. Of too many it is the same choice at all daemons, and one that comes or
-// goes changes one of them: callers leave connections to who isn't named any more.
+// then others. If there are too many, all daemons make the same choice, and one that
+// joins or leaves changes one of them: callers close connections to daemons that are no
+// longer listed.
 func entriesOf(all []membership.Member, dc fleet.DataCentre) []membership.Member {
 	if len(all) <= maxEntries {
 		return all
@@ -72,7 +72,7 @@
 	return topRanked(ranked, maxEntries)
 }
 
-// shareConnections gives this daemon its share of the endpoints' connections.
+// shareConnections sets this daemon's share of the connections to each endpoint.
 func (n *Node) shareConnections() {
 	t := n.state.Table()
 	if t == nil || n.members == nil {
@@ -90,8 +90,8 @@
 }
 
 const (
-	// connectionShare is the part of an endpoint's bound that is used: an
-	// endpoint with a long queue takes fewer.
+	// connectionShare is the part of an endpoint's bound that is used: an endpoint with a
+	// long queue takes fewer.
 	connectionShare = 0.9
 	// minShare lets every daemon reach every endpoint.
 	minShare = 2
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,13 +11,13 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-// Settings are a daemon's, as its file gives them. Times are in the unit that
+// Settings are a daemon's settings, as its file gives them. Times are in the unit that
 // the key names.
 type Settings struct {
 	Daemon DaemonSettings `yaml:"daemon"`
 	Listen ListenSettings `yaml:"listen"`
-	// Seeds are addresses of other daemons' machines, host:port; the port is
-	// not used. They may be stale.
+	// Seeds are addresses of other daemons' machines, host:port; the port is not used. They
+	// may be out of date.
 	Seeds  []string       `yaml:"seeds"`
 	Store  StoreSettings  `yaml:"store"`
 	Cloud  CloudSettings  `yaml:"cloud"`
@@ -26,7 +26,7 @@
 	Log    LogSettings    `yaml:"log"`
 }
 
-// DaemonSettings say who the daemon is.
+// DaemonSettings identify the daemon.
 type DaemonSettings struct {
 	Instance   fleet.InstanceID `yaml:"instance"`
 	DataCentre fleet.DataCentre `yaml:"dataCentre"`
@@ -45,51 +45,50 @@
 	Metrics   string `yaml:"metrics"`
 }
 
-// StoreSettings say where the platform's object store is.
+// StoreSettings are the address of the platform's object store, host:port.
 type StoreSettings struct {
 	Address string `yaml:"address"`
 }
 
-// CloudSettings say where control duties are reported; empty where there are none.
+// CloudSettings are the address to which control duties are reported and the duties that
+// are enabled; empty where there are none.
 type CloudSettings struct {
 	Address string   `yaml:"address"`
 	Duties  []string `yaml:"duties"`
 }
 
-// LimitSettings are the process's.
+// LimitSettings are the resources of the process.
 type LimitSettings struct {
 	MemoryMB int `yaml:"memoryMB"`
-	// Cores is the machine's share of a core or the number of its cores.
+	// Cores is the number of the machine's cores, or its share of one.
 	Cores float64 `yaml:"cores"`
-	// LinkMbps is the machine's link, in megabits a second.
+	// LinkMbps is the rate of the machine's network link, in megabits a second.
 	LinkMbps float64 `yaml:"linkMbps"`
 }
 
-// BoundsSettings are what the platform's operators hold the system to.
+// BoundsSettings are the bounds that the platform's operators require of the system.
 type BoundsSettings struct {
 	GraceSeconds       float64 `yaml:"graceSeconds"`
 	RetryRatio         float64 `yaml:"retryRatio"`
 	RetryWindowSeconds float64 `yaml:"retryWindowSeconds"`
 	RetrySlack         float64 `yaml:"retrySlack"`
-	// LimitExcess is what is tolerated beyond a workspace's limit in a window,
-	// in the limit's unit.
+	// LimitExcess is the tolerated excess over a workspace's limit in a window, in the
+	// limit's unit.
 	LimitExcess float64 `yaml:"limitExcess"`
-	// LimitExcessShare is what is tolerated besides, as a part of what a limit
+	// LimitExcessShare is the excess tolerated in addition, as a part of what a limit
 	// allows in LimitWindowSeconds.
 	LimitExcessShare    float64 `yaml:"limitExcessShare"`
 	LimitWindowSeconds  float64 `yaml:"limitWindowSeconds"`
 	UsageWindowSeconds  float64 `yaml:"usageWindowSeconds"`
 	LeaseMillis         float64 `yaml:"leaseMillis"`
 	AnswerMaxAgeSeconds float64 `yaml:"answerMaxAgeSeconds"`
-	// ContactMillis is how long after a disturbance changes must be in force in
-	// time again.
+	// ContactMillis is how long after a disturbance changes must be in force in time again.
 	ContactMillis float64 `yaml:"contactMillis"`
-	// ChangeMillis is how long after its acknowledgement a change may not yet be
-	// in force.
+	// ChangeMillis is the longest time from a change's acknowledgement until it is in force.
 	ChangeMillis float64 `yaml:"changeMillis"`
-	// RolloutShare and RolloutSlack bound the requests that a bad version may get: a
-	// part of its service's until the deadline, and some more. No roll-outs where
-	// the share is 0.
+	// RolloutShare and RolloutSlack bound the requests that a bad version may get: a part of
+	// its service's requests until the deadline, plus RolloutSlack. There are no roll-outs
+	// where the share is 0.
 	RolloutShare float64 `yaml:"rolloutShare"`
 	RolloutSlack float64 `yaml:"rolloutSlack"`
 	// RollbackMillis is how long after its fiftieth bad answer a bad version may
@@ -97,12 +96,12 @@
 	RollbackMillis float64 `yaml:"rollbackMillis"`
 }
 
-// tolerance returns what may be let in beyond a workspace's limit.
+// tolerance returns the tolerated excess over a workspace's limit.
 func (b *BoundsSettings) tolerance() quota.Tolerance {
 	return quota.Tolerance{Amount: b.LimitExcess, Share: b.LimitExcessShare, Window: seconds(b.LimitWindowSeconds)}
 }
 
-// rollouts returns what roll-outs are held to.
+// rollouts returns the bounds of roll-outs.
 func (b *BoundsSettings) rollouts() rollout.Bounds {
 	return rollout.Bounds{Share: b.RolloutShare, Slack: b.RolloutSlack, Stop: millis(b.RollbackMillis)}
 }
@@ -112,7 +111,8 @@
 	Level string `yaml:"level"`
 }
 
-// ParseSettings reads and checks settings. A mistake names its line and column.
+// ParseSettings decodes and checks settings. An error of decoding names its line and
+// column.
 func ParseSettings(text []byte) (*Settings, error) {
 	s := &Settings{
 		Bounds: BoundsSettings{
@@ -127,7 +127,7 @@
 	return s, s.check()
 }
 
-// check names the first key that is missing or can't be.
+// check returns an error that names the first key that is missing or out of range.
 func (s *Settings) check() error {
 	for _, c := range []struct {
 		bad  bool
@@ -162,8 +162,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Recognise reports whether a file holds settings of this kind: they name the
-// platform's object store.
+// Recognise reports whether a file holds settings of this kind: they have the address of
+// the platform's object store.
 func Recognise(text []byte) bool {
 	var s struct {
 		Store *StoreSettings `yaml:"store"`
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// settingsPage is the page that must name every key.
+// settingsPage is the page that must list every key.
 const settingsPage = "../../docs/PLATFORM-SETTINGS.md"
 
 func TestSettingsPageListsEveryKey(t *testing.T) {
@@ -36,7 +36,7 @@
 	assert.Assert(t, keys > 20, "only %d keys", keys)
 }
 
-// A platform that states no bound renders its key without a value: the default holds.
+// A platform that states no bound renders its key without a value: the default applies.
 func TestBoundWithoutAValueHasItsDefault(t *testing.T) {
 	s, err := ParseSettings([]byte("daemon: {instance: i, dataCentre: d}\nlisten: {callers: a:1, peers: a:2}\nstore: {address: a:3}\nbounds:\n  contactMillis: \n  changeMillis: \n"))
 	assert.NilError(t, err)
--- a/internal/node/slowlink_test.go
+++ b/internal/node/slowlink_test.go
@@ -19,11 +19,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objects"
 )
 
-// slowLink is what a machine receives at a bounded rate, on all its connections
-// together.
+// slowLink is a link on which a machine receives at a bounded rate, over all its
+// connections together.
 type slowLink struct {
 	mu     sync.Mutex
-	idleAt time.Time // when what has been received so far has passed
+	idleAt time.Time // when the bytes received so far have passed
 	bytes  float64   // a second
 }
 
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// behindLink puts a daemon behindLink a link, on the weakest of machines.
+// behindLink puts a daemon behind a link, on a machine of the lowest strength.
 func behindLink(link *slowLink) func(n *Node) {
 	return func(n *Node) {
 		n.id = newID(LimitSettings{})
@@ -69,7 +69,7 @@
 	}
 }
 
-// cutStore is a store that turns one daemon away for as long as it is cut.
+// cutStore is a store that refuses one daemon's calls while cut is set.
 type cutStore struct {
 	objects.Store
 	cut atomic.Bool
@@ -87,14 +87,14 @@
 		return nil, 0, errDown
 	}
 	changes, next, err := s.Store.Watch(ctx, kind, after, wait)
-	if s.cut.Load() { // the answer of a watch that began before is lost
+	if s.cut.Load() { // the answer to a watch that began before is lost as well
 		return nil, 0, errDown
 	}
 	return changes, next, err
 }
 
-// largeText is a configuration about as large as the store takes, which can't
-// be told in much fewer bytes.
+// largeText returns a configuration about as large as the store accepts, which hardly
+// compresses.
 func largeText(version string) json.RawMessage {
 	const size = 900 << 10
 	random := rand.New(rand.NewPCG(1, 2))
@@ -105,17 +105,15 @@
 	return json.RawMessage(version + " " + hex.EncodeToString(text))
 }
 
-// A caller is routed by an old configuration at a daemon behind a link of 10
-// Mbit/s, for minutes after the change was acknowledged. The configuration has
-// grown to 0.9 MB, which takes the link 0.7 s; each answer of a hub that carried
-// it was cut after 0.4 s, each list of the store after 1.5 s while the hubs'
-// answers came beside it, and all began again from nothing. Evidence: 27 daemons
-// received 1.15 MB/s for eight seconds, "after 229376 bytes of the answer:
-// context deadline exceeded" and "after 737205 bytes of 874901".
+// A configuration of 0.9 MB takes a link of 10 Mbit/s 0.7 s. Guards against timeouts that
+// are shorter than the transfer: if a hub's answer is cut after 0.4 s, or a list of the
+// store after 1.5 s while the hubs' answers use the same link, each attempt starts again
+// from the beginning, and the daemon routes by the old version for minutes while it
+// receives at the link's full rate.
 func TestLargeConfigurationReachesADaemonBehindASlowLink(t *testing.T) {
 	f := newFleet(t, 2)
 	f.awaitReady()
-	f.awaitHolder() // so that the others work for the weak one, and not the other way round
+	f.awaitHolder() // the hubs must be chosen before the weak daemon starts
 	store := &cutStore{Store: f.store}
 	link := &slowLink{bytes: 10e6 / 8}
 	weak := f.addWith(store, behindLink(link))
@@ -131,11 +129,11 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// A daemon refuses all callers for as long as the store turns it away, though its
-// peers have the list of endpoints. It has just started, behind a link of 10
-// Mbit/s, and a hub tells it 3,000 endpoints, some 0.9 MB. Each answer was cut
-// after 0.4 s and the next report asked for all of it again. Evidence: with the
-// bound on the answer's length the daemon has no endpoint after 20 s.
+// A daemon that has just started is refused by the store and gets its list of 3,000
+// endpoints, some 0.9 MB, from a hub over a link of 10 Mbit/s. Guards against a timeout of
+// an answer that is shorter than the transfer: if each answer is cut after 0.4 s and the
+// next report requests the whole list again, the daemon never has an endpoint and refuses
+// all callers.
 func TestLongListReachesADaemonBehindASlowLink(t *testing.T) {
 	f := newFleet(t, 2)
 	const many = 3000
--- a/internal/node/startgate.go
+++ b/internal/node/startgate.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// startHold is how long after a daemon's start requests wait for what it has to
-	// know before it can serve: a list of the configuration and one of the endpoints
-	// are there within two to four tenths of a second, in a fleet of hundreds that
-	// starts at once and is told by each other. Later it refuses at once.
+	// startHold is how long after a daemon's start requests wait for the configuration and
+	// the list of endpoints: both arrive within 0.2 to 0.4 s, in a fleet of hundreds that
+	// starts at once and gets them from each other. Later requests are refused at once.
 	startHold = 800 * time.Millisecond
 	// maxWaiting bounds the requests that wait: some megabytes of bodies.
 	maxWaiting = 256
 )
 
-// startGate lets the requests wait that come before a daemon knows a configuration
-// and endpoints. Failure: all daemons are killed and start again, and callers come
-// as soon as the listeners are open. Symptom: every request of these moments is
-// refused, and the callers' repeats, of which they have one or two, as well.
+// startGate holds requests that arrive before a daemon has a configuration and
+// endpoints. When all daemons are killed and start again, callers connect as soon as the
+// listeners are open; if their requests were refused at once, so would be their one or
+// two retries.
 type startGate struct {
 	until time.Time
-	ready chan struct{} // closed when both are known
+	ready chan struct{} // closed when there are both
 
 	mu         sync.Mutex
 	configured bool
@@ -40,17 +39,17 @@
 // hasEndpoints notes that endpoints are listed.
 func (s *startGate) hasEndpoints() { s.note(&s.listed) }
 
-func (s *startGate) note(what *bool) {
+func (s *startGate) note(flag *bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	complete := s.configured && s.listed
-	*what = true
+	*flag = true
 	if !complete && s.configured && s.listed {
 		close(s.ready)
 	}
 }
 
-// wait returns when a request can be served, or when it is to be refused.
+// wait returns when a request can be served, or is to be refused.
 func (s *startGate) wait(ctx context.Context, now time.Time) {
 	select {
 	case <-s.ready:
@@ -70,7 +69,7 @@
 	}
 }
 
-// enter reports whether there is room for one more request that waits.
+// enter reports whether one more request may wait, and counts it.
 func (s *startGate) enter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/startgate_test.go
+++ b/internal/node/startgate_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A daemon starts again, and its callers come before it has a configuration. They
-// must be served once it has one, a few tenths of a second later. Evidence: 845
-// requests refused without a configuration in the 0.4 s after all 195 daemons
-// started again; each caller has one repeat, which met the same.
+// A daemon starts again, and callers connect before it has a configuration. They must be
+// served once it has one, a few tenths of a second later: when 195 daemons started again
+// at once, 845 requests would have been refused in those 0.4 s, and the one retry that
+// each caller has as well.
 func TestRequestBeforeTheConfigurationIsServed(t *testing.T) {
 	f := newFleet(t, 0)
 	f.addWith(&slowConfigStore{memoryStore: f.store}, func(*Node) {})
@@ -21,8 +21,8 @@
 	assert.Equal(t, out.body, "done")
 }
 
-// No configuration is to be had. Requests must be refused soon, and those that
-// come later at once: their callers can go elsewhere.
+// No configuration is available. Requests must be refused after startHold, and later ones
+// at once: their callers can try another daemon.
 func TestRequestsWaitForAStartForABoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -35,7 +35,7 @@
 	})
 }
 
-// A caller leaves while its request waits.
+// A caller disconnects while its request waits.
 func TestWaitEndsWhenTheCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -48,7 +48,7 @@
 	})
 }
 
-// More requests come than may wait. Those beyond it are refused at once.
+// More requests arrive than may wait. Those beyond the bound are refused at once.
 func TestRequestsThatWaitAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
--- a/internal/node/storecalls.go
+++ b/internal/node/storecalls.go
@@ -11,8 +11,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// countedStore counts the calls to the store: each one is billed, and their
-// results show an outage first.
+// countedStore counts the calls to the store: each one is billed, and their results are
+// the first sign of an outage.
 type countedStore struct {
 	store   objects.Store
 	metrics *metricSet
--- a/internal/node/storecalls_test.go
+++ b/internal/node/storecalls_test.go
@@ -13,7 +13,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/verdict"
 )
 
-// failingStore is a store whose reads all fail in one way.
+// failingStore is a store whose reads all fail with one error.
 type failingStore struct {
 	objects.Store
 	err error
@@ -23,8 +23,8 @@
 	return objects.Object{}, f.err
 }
 
-// On call, one looks at the results of store calls first: an outage, a store
-// that turns this machine away and a lost condition must not look alike.
+// Operators look at the results of store calls first: an outage, a store that refuses
+// this machine and a conflict must be told apart.
 func TestStoreCallsAreCountedByResult(t *testing.T) {
 	n := newFleet(t, 1).nodes[0]
 	for result, err := range map[string]error{
--- a/internal/node/strength.go
+++ b/internal/node/strength.go
@@ -14,11 +14,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// linkPerCore is the link, in megabits a second, that goes with a core: a hub
-// of 300 daemons sends some 100.
+// linkPerCore is the link, in megabits a second, that is needed per core: a hub of 300
+// daemons sends about 100.
 const linkPerCore = 250
 
-// strength grades a machine from 0 to 9 by its weaker side.
+// strength grades a machine from 0 to 9 by the scarcer of its cores and its link.
 func strength(l LimitSettings) int {
 	if l.Cores == 0 || l.LinkMbps == 0 {
 		return 0
@@ -26,17 +26,17 @@
 	return int(min(10*min(l.Cores, l.LinkMbps/linkPerCore), 9))
 }
 
-// hubStrength is the least grade of a machine that tells hundreds of others all there
-// is: a fifth of a core and 50 Mbit/s.
+// hubStrength is the lowest strength of a machine that can be the hub of hundreds: a fifth
+// of a core and 50 Mbit/s.
 const hubStrength = 2
 
-// newID names a run of a daemon. The name begins with the machine's strength,
-// so that all who know the daemon know that as well.
+// newID returns a daemon's ID for one run. It begins with the machine's strength, so that
+// all other daemons have that as well.
 func newID(l LimitSettings) fleet.DaemonID {
 	return fleet.DaemonID(fmt.Sprintf("%d-%s", strength(l), uuid.NewString()))
 }
 
-// strengthOf reads a daemon's strength off its name; 0 where there is none.
+// strengthOf returns the strength in a daemon's ID; 0 where there is none.
 func strengthOf(id fleet.DaemonID) int {
 	grade, _, _ := strings.Cut(string(id), "-")
 	n, err := strconv.Atoi(grade)
@@ -46,16 +46,16 @@
 	return n
 }
 
-// graded is a member with what it is ranked by.
+// graded is a member with its ranking keys.
 type graded struct {
 	member   *membership.Member
 	strength int
-	score    uint64 // among equals
+	score    uint64 // orders members of equal strength
 }
 
-// strongest returns the n members that should work for all others: those on
-// the strongest machines, and among equals the same for everybody. Each member
-// is graded once: a sort that grades at each comparison takes seven times as long.
+// strongest returns the n members on the strongest machines; among equals the choice is
+// the same at every daemon. Each member is graded once: grading at each comparison of the
+// sort takes seven times as long.
 func strongest(all []membership.Member, n int) []membership.Member {
 	ranked := make([]graded, len(all))
 	for i := range all {
@@ -65,7 +65,7 @@
 	return topRanked(ranked, n)
 }
 
-// topRanked returns the n members of the highest grades, by score among equals.
+// topRanked returns the n members of the highest strength, by score among equals.
 func topRanked(ranked []graded, n int) []membership.Member {
 	slices.SortFunc(ranked, func(a, b graded) int {
 		return cmp.Or(cmp.Compare(b.strength, a.strength), cmp.Compare(b.score, a.score))
--- a/internal/node/strength_test.go
+++ b/internal/node/strength_test.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// A fleet has weak and strong machines. Were a weak one the hub of all others,
-// its link would be full of their reports, and they would hold it for dead.
+// A fleet has weak and strong machines. If a weak one were the hub of all others, their
+// reports would fill its link and it would be suspected to have failed.
 func TestHubsAreOnStrongMachines(t *testing.T) {
 	weak := LimitSettings{Cores: 0.192, LinkMbps: 10}
 	strong := LimitSettings{Cores: 0.8, LinkMbps: 200}
@@ -29,8 +29,8 @@
 	assert.Equal(t, strengthOf("no-grade"), 0)
 }
 
-// BenchmarkStrongest is one choice of the hubs, which each daemon of a large
-// fleet makes some thirty times a second.
+// BenchmarkStrongest measures one choice of the hubs, which each daemon of a large fleet
+// makes about thirty times a second.
 func BenchmarkStrongest(b *testing.B) {
 	var all []membership.Member
 	for i := range 340 {
--- a/internal/node/usageduty.go
+++ b/internal/node/usageduty.go
@@ -13,13 +13,13 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/usage"
 )
 
-// The frozen window's place in the store.
+// The object that holds the last frozen window.
 const (
 	usageKind = "usage-windows"
 	usageName = "frozen"
 )
 
-// stepUsage makes the call that the usage duty asks for.
+// stepUsage makes the call that the usage reporter requests.
 func (d *duties) stepUsage(ctx context.Context, now time.Time) {
 	r := d.usage
 	switch a := r.Next(now, d.node.clock.Now(), d.begun); a.Kind {
@@ -46,7 +46,7 @@
 	}
 }
 
-// begun returns a window's counts from all daemons.
+// begun returns a window's counts from all daemons, by workspace.
 func (d *duties) begun(window uint64) map[fleet.WorkspaceID]uint64 {
 	var out exchange.RequestCounts
 	d.node.peers.withHub(func(h *exchange.Hub) { out = h.RequestCounts(window) })
