--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -38,59 +38,59 @@
 // readStored reads the stored crashes whenever this daemon, as a watcher, has new ones
 // in its table: daemons that are partitioned from the others but can reach the store
 // would otherwise dispatch requests that the others hold.
-func (c *crashGuard) readStored(ctx context.Context) {
+func (g *crashGuard) readStored(ctx context.Context) {
 	var read quarantine.Position
 	pause.Every(ctx, storeReadInterval, func() {
-		at := c.table.Position()
-		if at.Seq == read.Seq || c.node.gathering() || !c.node.watch.watcher() {
+		at := g.table.Position()
+		if at.Seq == read.Seq || g.node.gathering() || !g.node.watch.watcher() {
 			return
 		}
 		read = at
-		kept, err := stored[limitsCheckpoint](c.node.platform.Store.Get(ctx, limitsKind, limitsName))
+		kept, err := stored[limitsCheckpoint](g.node.platform.Store.Get(ctx, limitsKind, limitsName))
 		if err == nil {
-			c.add(kept.Crashes)
+			g.add(kept.Crashes)
 		}
 	})
 }
 
 // add takes crashes from other daemons or from the store.
-func (c *crashGuard) add(all []quarantine.Crash) {
+func (g *crashGuard) add(all []quarantine.Crash) {
 	if len(all) > 0 {
-		c.changed(c.table.Add(c.node.clock.Now(), all...))
+		g.changed(g.table.Add(g.node.clock.Now(), all...))
 	}
 }
 
-func (c *crashGuard) ended(id fleet.EndpointID, crash *quarantine.Crash) {
-	c.node.metrics.crashed(crash.Void)
-	ends.LogEnd(c.node.logFor("quarantine"), id, crash)
+func (g *crashGuard) ended(id fleet.EndpointID, crash *quarantine.Crash) {
+	g.node.metrics.crashed(crash.Void)
+	ends.LogEnd(g.node.logFor("quarantine"), id, crash)
 }
 
-func (c *crashGuard) changed(change quarantine.Change) {
+func (g *crashGuard) changed(change quarantine.Change) {
 	if len(change.Held)+len(change.Released) > 0 { // rare, and this runs for each answer
-		ends.LogChange(c.node.logFor("quarantine"), c.table, change)
+		ends.LogChange(g.node.logFor("quarantine"), g.table, change)
 	}
 }
 
 // HeldFor implements relay.Guard.
-func (c *crashGuard) HeldFor(key func() quarantine.Key) time.Duration {
-	if c.table.HeldCount() == 0 { // the usual case; reading the clock is a system call
+func (g *crashGuard) HeldFor(key func() quarantine.Key) time.Duration {
+	if g.table.HeldCount() == 0 { // the usual case; reading the clock is a system call
 		return 0
 	}
-	return c.table.Held(c.node.clock.Now(), key)
+	return g.table.Held(g.node.clock.Now(), key)
 }
 
 // Ran implements relay.Guard.
-func (c *crashGuard) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
-	if c.table.CrashCount() == 0 {
+func (g *crashGuard) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
+	if g.table.CrashCount() == 0 {
 		return
 	}
-	now := c.node.clock.Now()
-	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.StartedAt), key))
+	now := g.node.clock.Now()
+	g.changed(g.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.StartedAt), key))
 }
 
 // state reports whether an endpoint is listed, and whether it is leaving.
-func (d *endpointList) state(id fleet.EndpointID) (listed, leaving bool) {
-	all, _ := d.list()
+func (l *endpointList) state(id fleet.EndpointID) (listed, leaving bool) {
+	all, _ := l.list()
 	for i := range all {
 		if all[i].ID == id {
 			return true, all[i].Draining
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -24,7 +24,7 @@
 	// dutyTick is how often the duties check what is due.
 	dutyTick = 100 * time.Millisecond
 	// gatherTimeout is how long a new holder waits for the reports of all daemons: they
-	// learn of the new holder from the hubs within two rounds, and report in the next.
+	// receive the new holder from the hubs within two rounds, and report in the next.
 	gatherTimeout = 1500 * time.Millisecond
 	// dutyDelay is how long after its start a daemon doesn't compete for the duties: it
 	// has found few others yet, and would take itself for a candidate. A longer delay
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -55,95 +55,95 @@
 	return d
 }
 
-func (d *endpointList) run(ctx context.Context) {
-	d.node.watch.run(ctx, d.store, d.upTo, d.due)
+func (l *endpointList) run(ctx context.Context) {
+	l.node.watch.run(ctx, l.store, l.upTo, l.due)
 }
 
 // due reports whether this daemon should watch the endpoints now.
-func (d *endpointList) due() bool { return d.node.watch.due(d.hasList()) }
+func (l *endpointList) due() bool { return l.node.watch.due(l.hasList()) }
 
 // graceCheckInterval is how often endpoints whose grace has ended are looked for.
 const graceCheckInterval = 100 * time.Millisecond
 
-func (d *endpointList) tick(ctx context.Context) {
+func (l *endpointList) tick(ctx context.Context) {
 	pause.Every(ctx, graceCheckInterval, func() {
-		d.update(func(now time.Time) { d.roster.Tick(now) })
+		l.update(func(now time.Time) { l.roster.Tick(now) })
 	})
 }
 
 // Listed implements follow.Handler.
-func (d *endpointList) Listed(all []objects.Object, revision uint64) {
-	d.update(func(now time.Time) {
+func (l *endpointList) Listed(all []objects.Object, revision uint64) {
+	l.update(func(now time.Time) {
 		list := make([]roster.Endpoint, 0, len(all))
 		for _, o := range all {
-			if e, ok := d.decode(now, o); ok {
+			if e, ok := l.decode(now, o); ok {
 				list = append(list, e)
 			}
 		}
-		d.noteEra(objects.EraOf(revision), len(list))
-		d.roster.Replace(now, list)
-		d.roster.Applied(revision)
-		d.roster.CaughtUp()
-		d.listed = true
+		l.noteEra(objects.EraOf(revision), len(list))
+		l.roster.Replace(now, list)
+		l.roster.Applied(revision)
+		l.roster.CaughtUp()
+		l.listed = true
 	})
 }
 
 // noteEra notes the store's era. The lock is held.
-func (d *endpointList) noteEra(era uint64, listed int) {
-	if d.listed && era > d.era {
-		d.node.logFor("store").WithFields(map[string]any{
-			"era": era, "before": d.era, "endpoints_known": len(d.all), "endpoints_listed": listed,
-			"reached": d.roster.Revision(), "config": d.node.config.current().Version,
+func (l *endpointList) noteEra(era uint64, listed int) {
+	if l.listed && era > l.era {
+		l.node.logFor("store").WithFields(map[string]any{
+			"era": era, "before": l.era, "endpoints_known": len(l.all), "endpoints_listed": listed,
+			"reached": l.roster.Revision(), "config": l.node.config.current().Version,
 		}).Warn("store came back from an older copy")
 	}
-	d.era = max(d.era, era)
+	l.era = max(l.era, era)
 }
 
 // Era returns the store's era, 0 where it reports none.
-func (d *endpointList) Era() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.era
+func (l *endpointList) Era() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.era
 }
 
 // Changed implements follow.Handler.
-func (d *endpointList) Changed(changes []objects.Change, revision uint64) {
-	d.update(func(now time.Time) {
+func (l *endpointList) Changed(changes []objects.Change, revision uint64) {
+	l.update(func(now time.Time) {
 		for _, c := range changes {
-			if d.outdated(c.Object) {
+			if l.outdated(c.Object) {
 				continue
 			}
 			if c.Deleted {
-				d.remove(now, c.Object)
+				l.remove(now, c.Object)
 				continue
 			}
-			if e, ok := d.decode(now, c.Object); ok {
-				d.roster.Upsert(e)
+			if e, ok := l.decode(now, c.Object); ok {
+				l.roster.Upsert(e)
 			}
 		}
-		d.roster.Applied(revision)
-		d.roster.CaughtUp()
+		l.roster.Applied(revision)
+		l.roster.CaughtUp()
 	})
 }
 
 // outdated reports whether a change is older than the one applied, or of an entry that
 // was deleted: a watch that starts at a hub's revision returns changes again that the
 // hub has already sent. The lock is held.
-func (d *endpointList) outdated(o objects.Object) bool {
+func (l *endpointList) outdated(o objects.Object) bool {
 	id := fleet.EndpointID(o.Name)
-	return o.Revision != 0 && (o.Revision < max(d.specs[id].revision, d.unreadable[id].revision) || o.Revision <= d.deleted[id])
+	return o.Revision != 0 && (o.Revision < max(l.specs[id].revision, l.unreadable[id].revision) || o.Revision <= l.deleted[id])
 }
 
 // remove applies an entry's deletion in the store. Its revision is kept: an entry that is
 // created again has a later one. The lock is held.
-func (d *endpointList) remove(now time.Time, o objects.Object) {
+func (l *endpointList) remove(now time.Time, o objects.Object) {
 	id := fleet.EndpointID(o.Name)
-	if len(d.deleted) >= maxDeleted {
-		clear(d.deleted)
+	if len(l.deleted) >= maxDeleted {
+		clear(l.deleted)
 	}
-	d.deleted[id] = max(d.deleted[id], o.Revision, d.specs[id].revision)
-	delete(d.unreadable, id)
-	d.roster.Remove(now, id)
+	l.deleted[id] = max(l.deleted[id], o.Revision, l.specs[id].revision)
+	delete(l.unreadable, id)
+	l.roster.Remove(now, id)
 }
 
 // maxDeleted bounds the deletions that are kept, those of some hours of an ordinary day.
@@ -151,36 +151,36 @@
 const maxDeleted = 4096
 
 // Lost implements follow.Handler.
-func (d *endpointList) Lost(err error) { d.node.logFor("endpoints").WithError(err).Warn("store lost") }
+func (l *endpointList) Lost(err error) { l.node.logFor("endpoints").WithError(err).Warn("store lost") }
 
 // Recovered implements follow.Handler.
-func (d *endpointList) Recovered(failed time.Time) {
-	d.node.logFor("endpoints").Info("store is back")
-	d.update(func(time.Time) { d.roster.OutageEnded(failed) })
+func (l *endpointList) Recovered(failed time.Time) {
+	l.node.logFor("endpoints").Info("store is back")
+	l.update(func(time.Time) { l.roster.OutageEnded(failed) })
 }
 
 // decode decodes an entry. One that can't be decoded is logged once for each reason,
 // and the endpoint that it described before is removed.
-func (d *endpointList) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
-	e, err := d.node.platform.DecodeEndpoint(now, o)
+func (l *endpointList) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
+	e, err := l.node.platform.DecodeEndpoint(now, o)
 	if err != nil {
-		d.markUnreadable(fleet.EndpointID(o.Name), unreadableEntry{err.Error(), o.Revision})
+		l.markUnreadable(fleet.EndpointID(o.Name), unreadableEntry{err.Error(), o.Revision})
 		return e, false
 	}
-	delete(d.unreadable, e.ID)
-	d.specs[e.ID] = spec{text: o.Spec, revision: o.Revision}
+	delete(l.unreadable, e.ID)
+	l.specs[e.ID] = spec{text: o.Spec, revision: o.Revision}
 	return e, true
 }
 
-func (d *endpointList) markUnreadable(id fleet.EndpointID, u unreadableEntry) {
-	if d.unreadable[id].reason != u.reason {
-		d.node.logFor("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("endpoint entry not decoded")
+func (l *endpointList) markUnreadable(id fleet.EndpointID, u unreadableEntry) {
+	if l.unreadable[id].reason != u.reason {
+		l.node.logFor("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("endpoint entry not decoded")
 	}
-	if len(d.unreadable) >= maxUnreadable {
-		clear(d.unreadable)
+	if len(l.unreadable) >= maxUnreadable {
+		clear(l.unreadable)
 	}
-	d.unreadable[id] = u
-	d.roster.Withdraw(id)
+	l.unreadable[id] = u
+	l.roster.Withdraw(id)
 }
 
 // maxUnreadable bounds the unreadable entries that are kept; beyond it they are
@@ -190,66 +190,66 @@
 // applyHubList applies a hub's list, where this daemon doesn't watch the store. The
 // hub has delayed removals that may be due to the store's outage. Where the hub is
 // behind this daemon, only its entries that are newer count.
-func (d *endpointList) applyHubList(u *feed.Update) {
+func (l *endpointList) applyHubList(u *feed.Update) {
 	if u.Empty() {
 		return
 	}
-	d.update(func(now time.Time) {
+	l.update(func(now time.Time) {
 		var list []roster.Endpoint
 		for _, it := range u.Items {
 			o := objects.Object{Name: it.Name, Spec: it.Spec, Revision: it.Revision}
-			if d.outdated(o) {
+			if l.outdated(o) {
 				continue
 			}
-			if e, ok := d.decode(now, o); ok {
+			if e, ok := l.decode(now, o); ok {
 				list = append(list, e)
 			}
 		}
-		older := u.To.Revision < d.roster.Revision()
+		older := u.To.Revision < l.roster.Revision()
 		if u.Full && !older {
-			d.node.logFor("endpoints").WithField("listed", len(list)).Info("full list received from a hub")
-			d.roster.Replace(now, list)
+			l.node.logFor("endpoints").WithField("listed", len(list)).Info("full list received from a hub")
+			l.roster.Replace(now, list)
 		}
 		for _, e := range list {
-			d.roster.Upsert(e)
+			l.roster.Upsert(e)
 		}
 		for _, name := range u.Removed {
-			d.roster.Remove(now, fleet.EndpointID(name))
+			l.roster.Remove(now, fleet.EndpointID(name))
 		}
 		if len(u.Keys) > 0 && !older {
-			d.removeOthers(now, u.Keys)
+			l.removeOthers(now, u.Keys)
 		}
 		if !older {
-			d.roster.Applied(u.To.Revision)
+			l.roster.Applied(u.To.Revision)
 		}
-		d.listed = true
+		l.listed = true
 	})
 }
 
 // removeOthers removes the endpoints whose key is not among the given ones. The lock
 // is held.
-func (d *endpointList) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
+func (l *endpointList) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
 	present := make(map[rendezvous.ShortKey]bool, len(keys))
 	for _, k := range keys {
 		present[k] = true
 	}
-	for _, e := range d.all {
+	for _, e := range l.all {
 		if !present[rendezvous.ShortKeyOf(string(e.ID))] {
-			d.roster.Remove(now, e.ID)
+			l.roster.Remove(now, e.ID)
 		}
 	}
 }
 
 // hasList reports whether this daemon has a list of endpoints.
-func (d *endpointList) hasList() bool {
-	_, listed := d.list()
+func (l *endpointList) hasList() bool {
+	_, listed := l.list()
 	return listed
 }
 
 // lateList reports whether this daemon has not been able to list the store for longer
 // than firstListTimeout: then it requests the list from a hub.
-func (d *endpointList) lateList() bool {
-	return !d.hasList() && time.Since(d.node.started) > firstListTimeout && !d.node.watch.awaitsList()
+func (l *endpointList) lateList() bool {
+	return !l.hasList() && time.Since(l.node.started) > firstListTimeout && !l.node.watch.awaitsList()
 }
 
 // firstListTimeout is how long the first list of the store may take: a list of a
@@ -258,52 +258,52 @@
 
 // upTo returns the store's revision up to which this daemon's list is complete,
 // 0 where it has none.
-func (d *endpointList) upTo() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.roster.CompleteRevision()
+func (l *endpointList) upTo() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.roster.CompleteRevision()
 }
 
 // since returns the changes that lead from another daemon's position to this
 // daemon's list.
-func (d *endpointList) since(p feed.Position) feed.Update {
+func (l *endpointList) since(p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.publish()
-	return d.log.Since(p)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.publish()
+	return l.log.Since(p)
 }
 
 // update changes the roster and publishes the new list.
-func (d *endpointList) update(change func(now time.Time)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *endpointList) update(change func(now time.Time)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	change(time.Now())
-	if !d.roster.Changed() {
+	if !l.roster.Changed() {
 		return
 	}
-	all, _ := d.roster.Snapshot()
-	d.forgetGone(all, d.logChanges(all))
-	d.all = all
-	d.unlogged = true
-	d.pruneSpecs()
-	d.node.state.SetEndpoints(time.Now(), all)
-	d.node.startGate.hasEndpoints()
-	d.node.logFor("endpoints").WithField("listed", len(all)).Debug("list changed")
+	all, _ := l.roster.Snapshot()
+	l.forgetGone(all, l.logChanges(all))
+	l.all = all
+	l.unlogged = true
+	l.pruneSpecs()
+	l.node.state.SetEndpoints(time.Now(), all)
+	l.node.startGate.hasEndpoints()
+	l.node.logFor("endpoints").WithField("listed", len(all)).Debug("list changed")
 }
 
 // logChanges logs which endpoints leave and which are gone, and returns the new list by
 // ID. The lock is held.
-func (d *endpointList) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
+func (l *endpointList) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
 	current := make(map[fleet.EndpointID]*roster.Endpoint, len(now))
 	for i := range now {
 		current[now[i].ID] = &now[i]
 	}
 	var gone, leaving []*roster.Endpoint
-	for i := range d.all {
-		old := &d.all[i]
+	for i := range l.all {
+		old := &l.all[i]
 		e := current[old.ID]
 		switch {
 		case e == nil:
@@ -312,8 +312,8 @@
 			leaving = append(leaving, e)
 		}
 	}
-	d.logEach("endpoint gone", gone)
-	d.logEach("endpoint leaves", leaving)
+	l.logEach("endpoint gone", gone)
+	l.logEach("endpoint leaves", leaving)
 	return current
 }
 
@@ -323,10 +323,10 @@
 const loggedChanges = 16
 
 // logEach logs a message for each of some endpoints.
-func (d *endpointList) logEach(message string, all []*roster.Endpoint) {
-	log := d.node.logFor("endpoints")
+func (l *endpointList) logEach(message string, all []*roster.Endpoint) {
+	log := l.node.logFor("endpoints")
 	logged := all
-	if len(all) > loggedChanges && !d.node.watch.watcher() {
+	if len(all) > loggedChanges && !l.node.watch.watcher() {
 		logged = all[:loggedChanges]
 	}
 	for _, e := range logged {
@@ -338,30 +338,30 @@
 }
 
 // publish puts the newest list into the log for other daemons. The lock is held.
-func (d *endpointList) publish() {
-	if !d.unlogged {
+func (l *endpointList) publish() {
+	if !l.unlogged {
 		return
 	}
-	d.unlogged = false
-	items := make([]feed.Item, len(d.all))
-	for i := range d.all {
-		s := d.specs[d.all[i].ID]
-		items[i] = feed.Item{Name: string(d.all[i].ID), Spec: s.text, Revision: s.revision}
+	l.unlogged = false
+	items := make([]feed.Item, len(l.all))
+	for i := range l.all {
+		s := l.specs[l.all[i].ID]
+		items[i] = feed.Item{Name: string(l.all[i].ID), Spec: s.text, Revision: s.revision}
 	}
-	d.log.Set(d.roster.CompleteRevision(), items)
+	l.log.Set(l.roster.CompleteRevision(), items)
 }
 
 // pruneSpecs drops the entries of endpoints that are gone, once there are more than
 // maxGoneSpecs. The lock is held.
-func (d *endpointList) pruneSpecs() {
-	if len(d.specs) <= len(d.all)+maxGoneSpecs {
+func (l *endpointList) pruneSpecs() {
+	if len(l.specs) <= len(l.all)+maxGoneSpecs {
 		return
 	}
-	specs := make(map[fleet.EndpointID]spec, len(d.all))
-	for i := range d.all {
-		specs[d.all[i].ID] = d.specs[d.all[i].ID]
+	specs := make(map[fleet.EndpointID]spec, len(l.all))
+	for i := range l.all {
+		specs[l.all[i].ID] = l.specs[l.all[i].ID]
 	}
-	d.specs = specs
+	l.specs = specs
 }
 
 // maxGoneSpecs bounds the kept entries of endpoints that are gone: finding them takes a
@@ -370,23 +370,23 @@
 
 // forgetGone closes idle connections to addresses that no endpoint has any more, and
 // to endpoints that have restarted.
-func (d *endpointList) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
+func (l *endpointList) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
 	kept := make(map[string]bool, len(now))
 	for i := range now {
 		kept[now[i].Address] = true
 	}
-	for i := range d.all {
-		e := &d.all[i]
+	for i := range l.all {
+		e := &l.all[i]
 		again := current[e.ID] != nil && e.RestartedAs(current[e.ID])
 		if again || !kept[e.Address] {
-			d.node.pool.CloseIdle(e.Address)
+			l.node.pool.CloseIdle(e.Address)
 		}
 	}
 }
 
 // list returns the endpoints, and whether a list has been received.
-func (d *endpointList) list() ([]roster.Endpoint, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.all, d.listed
+func (l *endpointList) list() ([]roster.Endpoint, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.all, l.listed
 }
--- a/internal/node/hubreports.go
+++ b/internal/node/hubstate.go
@@ -11,11 +11,11 @@
 // a report's size, and due seconds after their end.
 const windowsInterval = 800 * time.Millisecond
 
-// hubReports is the state of this daemon's reports to one hub.
-type hubReports struct {
+// hubState is the state of this daemon's reports to one hub.
+type hubState struct {
 	pending    bool      // a report is in flight
 	unanswered bool      // the last report failed
-	answeredAt time.Time // when the last answer arrived
+	answeredAt time.Time // when the last reply arrived
 	windowsAt  time.Time // when the last report with the windows of usage was answered
 	// crashesSent is the position up to which the hub has this daemon's crashes of endpoints,
 	// crashesReceived that up to which this daemon has the hub's.
@@ -25,34 +25,34 @@
 	relaying, relayedTo, windowsTo exchange.Cursor
 }
 
-// takeCrashes takes the crashes in the answer to a report that included this daemon's up
+// takeCrashes takes the crashes in the reply to a report that included this daemon's up
 // to a position. A hub that has restarted has lost what it received before.
-func (t *peerExchange) takeCrashes(address string, upTo quarantine.Position, sum *exchange.Reply) {
-	t.mu.Lock()
-	r := t.reportsTo(address)
-	if r.crashesReceived.Epoch != sum.CrashesPosition.Epoch && r.crashesReceived.Epoch != 0 {
+func (x *peerExchange) takeCrashes(address string, upTo quarantine.Position, reply *exchange.Reply) {
+	x.mu.Lock()
+	r := x.hubState(address)
+	if r.crashesReceived.Epoch != reply.CrashesPosition.Epoch && r.crashesReceived.Epoch != 0 {
 		upTo = quarantine.Position{}
 	}
-	r.crashesSent, r.crashesReceived = upTo, sum.CrashesPosition
-	t.mu.Unlock()
-	t.node.crashes.add(sum.Crashes)
+	r.crashesSent, r.crashesReceived = upTo, reply.CrashesPosition
+	x.mu.Unlock()
+	x.node.crashes.add(reply.Crashes)
 }
 
-// reportsTo returns the state of the reports to a hub. The lock is held.
-func (t *peerExchange) reportsTo(address string) *hubReports {
-	r := t.hubs[address]
+// hubState returns the state of the reports to a hub. The lock is held.
+func (x *peerExchange) hubState(address string) *hubState {
+	r := x.hubs[address]
 	if r == nil {
-		r = &hubReports{}
-		t.hubs[address] = r
+		r = &hubState{}
+		x.hubs[address] = r
 	}
 	return r
 }
 
 // beginCall reports whether no call to a hub is in flight, and begins one.
-func (t *peerExchange) beginCall(address string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.reportsTo(address)
+func (x *peerExchange) beginCall(address string) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	r := x.hubState(address)
 	if r.pending {
 		return false
 	}
@@ -60,30 +60,30 @@
 	return true
 }
 
-func (t *peerExchange) endCall(address string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.reportsTo(address).pending = false
+func (x *peerExchange) endCall(address string) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.hubState(address).pending = false
 }
 
-// reportEnded notes how a report ended. The first failure after an answer is logged,
+// reportEnded notes how a report ended. The first failure after a reply is logged,
 // further ones are only counted: in an outage there are several a second.
-func (t *peerExchange) reportEnded(address string, p *exchange.Report, err error) {
-	t.node.metrics.reported(err)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.reportsTo(address)
-	r.relayed(p, err)
+func (x *peerExchange) reportEnded(address string, report *exchange.Report, err error) {
+	x.node.metrics.reported(err)
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	r := x.hubState(address)
+	r.relayed(report, err)
 	if err != nil {
 		if !r.unanswered {
-			t.node.logFor("peers").WithError(err).WithField("address", address).Warn("report not answered")
+			x.node.logFor("peers").WithError(err).WithField("address", address).Warn("report not answered")
 		}
 		r.unanswered = true
-		r.windowsAt = time.Time{} // the next answer there may be another process's
+		r.windowsAt = time.Time{} // the next reply there may be another process's
 		return
 	}
 	r.answeredAt, r.unanswered = time.Now(), false
-	if p.Windows != nil {
+	if report.Windows != nil {
 		r.windowsAt = r.answeredAt
 	}
 }
--- a/internal/node/large_test.go
+++ b/internal/node/large_test.go
@@ -87,25 +87,25 @@
 	return s
 }
 
-func (s *peerDialer) dialPeer(ctx context.Context, address string) (net.Conn, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if slices.Contains(s.cutOff, address) {
+func (d *peerDialer) dialPeer(ctx context.Context, address string) (net.Conn, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if slices.Contains(d.cutOff, address) {
 		return nil, net.ErrClosed
 	}
-	c, err := s.dial(ctx, address)
+	c, err := d.dial(ctx, address)
 	if err == nil {
-		s.conns[address] = append(s.conns[address], c)
+		d.conns[address] = append(d.conns[address], c)
 	}
 	return c, err
 }
 
-func (s *peerDialer) cut(addresses []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.cutOff = addresses
+func (d *peerDialer) cut(addresses []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.cutOff = addresses
 	for _, address := range addresses {
-		for _, c := range s.conns[address] {
+		for _, c := range d.conns[address] {
 			_ = c.Close()
 		}
 	}
--- a/internal/node/limitscheckpoint.go
+++ b/internal/node/limitscheckpoint.go
@@ -39,30 +39,30 @@
 
 // due reports whether a checkpoint is to be written: each second, and at once where so
 // much was spent since the last one that restored limits would be too high.
-func (k *limitsWriter) due(now time.Time) bool {
-	ago := now.Sub(k.last)
-	return !k.busy && (ago >= checkpointInterval || k.duties.node.state.CheckpointsOutdated(now, ago, k.limits))
+func (w *limitsWriter) due(now time.Time) bool {
+	ago := now.Sub(w.last)
+	return !w.busy && (ago >= checkpointInterval || w.duties.node.state.CheckpointsOutdated(now, ago, w.limits))
 }
 
 // step writes a checkpoint when it is due.
-func (k *limitsWriter) step(ctx context.Context, now time.Time) {
-	if !k.due(now) {
+func (w *limitsWriter) step(ctx context.Context, now time.Time) {
+	if !w.due(now) {
 		return
 	}
-	n := k.duties.node
-	k.last, k.limits = now, n.state.LimitCheckpoints(now)
-	text, err := json.Marshal(limitsCheckpoint{n.clock.Now(), n.members.cachedCount(), k.limits, n.crashes.table.Snapshot()})
+	n := w.duties.node
+	w.last, w.limits = now, n.state.LimitCheckpoints(now)
+	text, err := json.Marshal(limitsCheckpoint{n.clock.Now(), n.members.cachedCount(), w.limits, n.crashes.table.Snapshot()})
 	if err != nil {
-		k.duties.log.WithError(err).Error("limits not encoded")
+		w.duties.log.WithError(err).Error("limits not encoded")
 		return
 	}
-	k.busy = true
-	k.duties.call(ctx, func() func(time.Time) {
+	w.busy = true
+	w.duties.call(ctx, func() func(time.Time) {
 		err := n.put(ctx, limitsKind, limitsName, text)
 		return func(time.Time) {
-			k.busy = false
+			w.busy = false
 			if err != nil {
-				k.duties.log.WithError(err).Info("limits not written")
+				w.duties.log.WithError(err).Info("limits not written")
 			}
 		}
 	})
--- a/internal/node/memberlists.go
+++ b/internal/node/memberlists.go
@@ -32,15 +32,15 @@
 
 // since returns the changes that lead from another daemon's position to this hub's list
 // of members.
-func (i *memberLists) since(now time.Time, p feed.Position) feed.Update {
+func (l *memberLists) since(now time.Time, p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
-	if view := i.node.members.gossip.View(); view != i.view && now.Sub(i.at) >= membersInterval {
-		i.view, i.at = view, now
-		i.log.Set(0, itemsOf(aliveOf(view)))
+	if view := l.node.members.gossip.View(); view != l.view && now.Sub(l.at) >= membersInterval {
+		l.view, l.at = view, now
+		l.log.Set(0, itemsOf(aliveOf(view)))
 	}
-	return i.log.Since(p)
+	return l.log.Since(p)
 }
 
 func itemsOf(all []membership.Member) []feed.Item {
@@ -55,11 +55,11 @@
 
 // receive takes a hub's list and returns its members. Members that are no longer in it
 // are left to the membership protocol.
-func (i *memberLists) receive(address string, u *feed.Update) []membership.Member {
+func (l *memberLists) receive(address string, u *feed.Update) []membership.Member {
 	if u.To.Seq == 0 {
 		return nil
 	}
-	i.positions[address], i.receivedAt[address] = u.To, time.Now()
+	l.positions[address], l.receivedAt[address] = u.To, time.Now()
 	out := make([]membership.Member, 0, len(u.Items))
 	for _, it := range u.Items {
 		if m, err := exchange.DecodeMember(it.Spec); err == nil {
@@ -69,13 +69,13 @@
 	return out
 }
 
-// position returns this daemon's position in a hub's list, Unwanted where another hub
+// position returns this daemon's position in a hub's list, NoUpdate where another hub
 // sends it or it was received less than listInterval ago.
-func (i *memberLists) position(address string, wanted bool) feed.Position {
-	if !wanted || time.Since(i.receivedAt[address]) < listInterval {
+func (l *memberLists) position(address string, wanted bool) feed.Position {
+	if !wanted || time.Since(l.receivedAt[address]) < listInterval {
 		return feed.NoUpdate
 	}
-	return i.positions[address]
+	return l.positions[address]
 }
 
 // addMembers passes members on to the membership protocol.
--- a/internal/node/peerexchange.go
+++ b/internal/node/peerexchange.go
@@ -53,12 +53,12 @@
 	listHub      string          // address of the hub whose list of endpoints is followed, empty: none
 	// listedAt is when that hub last sent its list.
 	listedAt    time.Time
-	hubs        map[string]*hubReports // by address
-	loadHub     string                 // the hub that sends the endpoints' loads, empty: all
-	loadedAt    time.Time              // when loads were last received
-	seq         uint64                 // of the last round
-	relaying    bool                   // in this round this daemon relays what it receives
-	relayers    map[string]time.Time   // when other hubs last relayed something, by address
+	hubs        map[string]*hubState // by address
+	loadHub     string               // the hub that sends the endpoints' loads, empty: all
+	loadedAt    time.Time            // when loads were last received
+	seq         uint64               // of the last round
+	relaying    bool                 // in this round this daemon relays what it receives
+	relayers    map[string]time.Time // when other hubs last relayed something, by address
 	memberLists *memberLists
 	// hubStoreContact is when the followed hub last had contact with the store.
 	hubStoreContact time.Time
@@ -69,7 +69,7 @@
 		node:   n,
 		client: exchange.NewClient(),
 		hub:    exchange.NewHub(exchange.NormalInterval(1)),
-		hubs:   map[string]*hubReports{},
+		hubs:   map[string]*hubState{},
 
 		relayers:    map[string]time.Time{},
 		memberLists: newMemberLists(n),
@@ -77,76 +77,76 @@
 }
 
 // listen answers other daemons.
-func (t *peerExchange) listen(ctx context.Context) error {
+func (x *peerExchange) listen(ctx context.Context) error {
 	lc := net.ListenConfig{Control: upstream.UserTimeout}
-	l, err := lc.Listen(ctx, "tcp", t.node.settings.Listen.Peers)
+	l, err := lc.Listen(ctx, "tcp", x.node.settings.Listen.Peers)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	t.node.wg.Add(1)
+	x.node.wg.Add(1)
 	go func() {
-		defer t.node.wg.Done()
-		if err := exchange.Serve(ctx, l, t); err != nil && ctx.Err() == nil {
-			t.node.logFor("peers").WithError(err).Error("listener ended")
+		defer x.node.wg.Done()
+		if err := exchange.Serve(ctx, l, x); err != nil && ctx.Err() == nil {
+			x.node.logFor("peers").WithError(err).Error("listener ended")
 		}
 	}()
 	return nil
 }
 
 // Fetch implements exchange.Handler.
-func (t *peerExchange) Fetch(w spread.Want) (spread.Piece, error) { return t.node.config.piece(w) }
+func (x *peerExchange) Fetch(w spread.Want) (spread.Piece, error) { return x.node.config.piece(w) }
 
 // Report implements exchange.Handler.
-func (t *peerExchange) Report(p exchange.Report) exchange.Reply {
-	t.node.fetcher.offeredBy(p.Daemon, p.ConfigVersion)
-	t.node.crashes.add(p.Crashes)
-	if p.Self != nil {
-		t.node.addMembers([]membership.Member{*p.Self})
+func (x *peerExchange) Report(report exchange.Report) exchange.Reply {
+	x.node.fetcher.offeredBy(report.Daemon, report.ConfigVersion)
+	x.node.crashes.add(report.Crashes)
+	if report.Self != nil {
+		x.node.addMembers([]membership.Member{*report.Self})
 	}
-	t.node.rollouts.orders.addReports(p.Daemon, p.Rollouts)
+	x.node.rollouts.orders.addReports(report.Daemon, report.Rollouts)
 	now := time.Now()
-	t.node.state.ApplyRollouts(now, p.RolloutUpdate)
-	steady := t.node.clock.Steady()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.hub.Add(now, steady, p)
-	t.takeRelayed(now, steady, &p)
-	t.holder = t.holder.Newer(p.Holder)
-	sum := exchange.Reply{Soft: relay.SoftState{JustStarted: t.node.gathering()}, Holder: t.holder, Compress: p.AcceptsCompressed}
-	relayer := p.IsHub && p.Daemon != t.node.id
+	x.node.state.ApplyRollouts(now, report.RolloutUpdate)
+	steady := x.node.clock.Steady()
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.hub.Add(now, steady, report)
+	x.takeRelayed(now, steady, &report)
+	x.holder = x.holder.Newer(report.Holder)
+	reply := exchange.Reply{Soft: relay.SoftState{JustStarted: x.node.gathering()}, Holder: x.holder, Compress: report.AcceptsCompressed}
+	relayer := report.IsHub && report.Daemon != x.node.id
 	if !relayer {
-		sum.Soft.Spent = t.hub.Spent(now, p.Daemon)
+		reply.Soft.Spent = x.hub.Spent(now, report.Daemon)
 	}
-	if !p.OmitLoads && !relayer {
-		sum.Loads = t.hub.Loads(now, p.Daemon)
+	if !report.OmitLoads && !relayer {
+		reply.Loads = x.hub.Loads(now, report.Daemon)
 	}
-	sum.RolloutUpdate = t.node.state.RolloutUpdate(now)
-	sum.Crashes, sum.CrashesPosition = t.node.crashes.table.Since(p.CrashesPosition)
-	if p.WantLevels && now.Sub(t.node.started) > levelsAfter {
-		sum.Soft.Levels = t.node.state.Levels(now)
+	reply.RolloutUpdate = x.node.state.RolloutUpdate(now)
+	reply.Crashes, reply.CrashesPosition = x.node.crashes.table.Since(report.CrashesPosition)
+	if report.WantLevels && now.Sub(x.node.started) > levelsAfter {
+		reply.Soft.Levels = x.node.state.Levels(now)
 	}
-	if skew, ok := t.hub.Skew(now); ok {
-		sum.FleetTime = time.Unix(0, int64(steady+skew))
+	if skew, ok := x.hub.Skew(now); ok {
+		reply.FleetTime = time.Unix(0, int64(steady+skew))
 	}
-	sum.Endpoints = t.node.endpoints.since(p.EndpointsPosition)
-	if t.relaying {
-		sum.Members = t.memberLists.since(now, p.MembersPosition)
+	reply.Endpoints = x.node.endpoints.since(report.EndpointsPosition)
+	if x.relaying {
+		reply.Members = x.memberLists.since(now, report.MembersPosition)
 	}
-	sum.StoreAge = t.storeAge(now)
-	sum.ConfigRevision = t.node.config.upTo() // before the version, which may only be newer
-	newest := t.node.config.current()
-	sum.ConfigVersion = newest.Version
-	if !p.Fetches && p.ConfigVersion < newest.Version {
-		sum.Config = newest.Bytes
+	reply.StoreAge = x.storeAge(now)
+	reply.ConfigRevision = x.node.config.upTo() // before the version, which may only be newer
+	newest := x.node.config.current()
+	reply.ConfigVersion = newest.Version
+	if !report.Fetches && report.ConfigVersion < newest.Version {
+		reply.Config = newest.Bytes
 	}
-	return sum
+	return reply
 }
 
 // run reports to the hubs until the context ends.
-func (t *peerExchange) run(ctx context.Context) {
+func (x *peerExchange) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		t.wait(ctx)
-		t.round(ctx)
+		x.wait(ctx)
+		x.round(ctx)
 	}
 }
 
@@ -155,72 +155,72 @@
 const urgentCheck = 250 * time.Millisecond
 
 // wait waits until the next report is due, which may become urgent meanwhile.
-func (t *peerExchange) wait(ctx context.Context) {
+func (x *peerExchange) wait(ctx context.Context) {
 	began := time.Now()
 	for ctx.Err() == nil {
-		left := t.nextInterval() - time.Since(began)
+		left := x.nextInterval() - time.Since(began)
 		if left <= 0 {
 			return
 		}
-		if t.node.members.layout().meshed {
+		if x.node.members.layout().meshed {
 			left = min(left, urgentCheck)
 		}
 		pause.For(ctx, left)
-		if !t.node.members.layout().meshed {
+		if !x.node.members.layout().meshed {
 			return
 		}
 	}
 }
 
 // nextInterval returns the time from the last report to the next.
-func (t *peerExchange) nextInterval() time.Duration {
-	l := t.node.members.layout()
+func (x *peerExchange) nextInterval() time.Duration {
+	l := x.node.members.layout()
 	now := time.Now()
-	interval := t.node.interval()
+	interval := x.node.interval()
 	switch {
-	case t.node.gathering() && l.meshed:
+	case x.node.gathering() && l.meshed:
 		interval = exchange.MeshStartInterval(l.reporters)
-	case t.node.gathering():
+	case x.node.gathering():
 		interval = exchange.StartInterval(l.reporters)
-	case t.node.state.AnyMoving(now):
-		interval = t.node.movingInterval()
+	case x.node.state.AnyMoving(now):
+		interval = x.node.movingInterval()
 	case l.meshed:
-		if t.node.state.UnreportedNearLimit(now) || t.lostHub() {
+		if x.node.state.UnreportedNearLimit(now) || x.lostHub() {
 			interval = exchange.UrgentInterval(l.reporters)
 		}
-	case t.node.state.NearLimit(now):
+	case x.node.state.NearLimit(now):
 		interval = exchange.UrgentInterval(l.reporters)
 	}
-	if t.relays(l) {
+	if x.relays(l) {
 		interval = min(interval, exchange.RelayInterval)
 	}
-	t.node.state.SetReportInterval(now, interval)
+	x.node.state.SetReportInterval(now, interval)
 	return interval
 }
 
 // setInterval sets the interval of the fleet's reports.
-func (t *peerExchange) setInterval(d time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.hub.SetInterval(d)
+func (x *peerExchange) setInterval(d time.Duration) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.hub.SetInterval(d)
 }
 
-// round reports to all hubs and applies each answer as it arrives. It doesn't wait for
+// round reports to all hubs and applies each reply as it arrives. It doesn't wait for
 // an unresponsive hub, which would delay the reports to the others.
-func (t *peerExchange) round(ctx context.Context) {
-	targets := t.targets()
-	t.beginRound()
-	t.chooseLoadHub(targets)
-	kept := appendNew(slices.Clone(targets), peersOf(t.node.members.layout().own)...)
-	t.client.KeepOnly(kept)
-	t.node.state.KeepHubs(kept)
-	t.checkListHub()
+func (x *peerExchange) round(ctx context.Context) {
+	targets := x.targets()
+	x.beginRound()
+	x.chooseLoadHub(targets)
+	kept := appendNew(slices.Clone(targets), peersOf(x.node.members.layout().own)...)
+	x.client.KeepOnly(kept)
+	x.node.state.KeepHubs(kept)
+	x.checkListHub()
 	answered := make(chan struct{}, len(targets))
-	soft := t.node.state.OwnState()
+	soft := x.node.state.OwnState()
 	for _, address := range targets {
 		go func() {
 			defer func() { answered <- struct{}{} }()
-			t.report(ctx, address, soft)
+			x.sendReport(ctx, address, soft)
 		}()
 	}
 	late := time.After(roundTimeout)
@@ -235,27 +235,27 @@
 	}
 }
 
-// roundTimeout is how long a round waits for answers: many round-trip times, and short
+// roundTimeout is how long a round waits for replies: many round-trip times, and short
 // enough that rounds of a healthy fleet don't overlap.
 const roundTimeout = 150 * time.Millisecond
 
 // targets returns the addresses to report to: the hubs, the holder of the duties, and
 // the seeds until another daemon has been found.
-func (t *peerExchange) targets() []string {
-	l := t.node.members.layout()
-	out := t.ownHubs(l)
-	relays := t.relays(l)
-	t.setRelaying(relays)
+func (x *peerExchange) targets() []string {
+	l := x.node.members.layout()
+	out := x.ownHubs(l)
+	relays := x.relays(l)
+	x.setRelaying(relays)
 	if relays {
-		out = appendNew([]string{t.node.settings.Listen.Peers}, out...)
-		out = appendNew(out, t.otherHubs(l)...)
+		out = appendNew([]string{x.node.settings.Listen.Peers}, out...)
+		out = appendNew(out, x.otherHubs(l)...)
 	}
 	if relays || !l.meshed {
-		out = appendNew(out, t.holderAddress(l)...)
+		out = appendNew(out, x.holderAddress(l)...)
 	}
-	out = appendNew(out, t.listSources(l)...)
-	if t.node.config.current().Version == 0 && (len(l.serving) <= 1 || t.node.config.store.Lost()) {
-		for _, s := range *t.node.members.seeds.Load() {
+	out = appendNew(out, x.listSources(l)...)
+	if x.node.config.current().Version == 0 && (len(l.serving) <= 1 || x.node.config.store.Lost()) {
+		for _, s := range *x.node.members.seeds.Load() {
 			out = appendNew(out, s.Peer)
 		}
 	}
@@ -264,10 +264,10 @@
 
 // holderAddress returns the address of the holder of the duties, none where no serving
 // daemon is reported as the holder.
-func (t *peerExchange) holderAddress(l *layout) []string {
-	t.mu.Lock()
-	holder := t.holder
-	t.mu.Unlock()
+func (x *peerExchange) holderAddress(l *layout) []string {
+	x.mu.Lock()
+	holder := x.holder
+	x.mu.Unlock()
 	for _, m := range l.serving {
 		if m.Daemon == holder.Daemon {
 			return []string{m.Peer}
@@ -286,147 +286,147 @@
 	return all
 }
 
-// report sends a report to one hub, or takes it locally if the hub is this daemon, and
-// applies the answer. A hub that has not answered yet gets no further report meanwhile.
-func (t *peerExchange) report(ctx context.Context, address string, soft relay.SoftState) {
-	if !t.beginCall(address) {
+// sendReport sends a report to one hub, or handles it here if the hub is this daemon, and
+// applies the reply. A hub that has not answered yet gets no further report meanwhile.
+func (x *peerExchange) sendReport(ctx context.Context, address string, soft relay.SoftState) {
+	if !x.beginCall(address) {
 		return
 	}
-	defer t.endCall(address)
-	p, upTo := t.part(address, soft)
-	if address == t.node.settings.Listen.Peers {
-		sum := t.Report(p)
-		if t.node.gathering() && len(t.node.members.serving()) == 1 {
-			return // the others aren't found yet: the answer would be for this daemon alone
+	defer x.endCall(address)
+	report, upTo := x.newReport(address, soft)
+	if address == x.node.settings.Listen.Peers {
+		reply := x.Report(report)
+		if x.node.gathering() && len(x.node.members.serving()) == 1 {
+			return // the others aren't found yet: the reply would cover this daemon alone
 		}
-		t.apply(address, &sum, 0)
+		x.apply(address, &reply, 0)
 		return
 	}
 	sentAt := time.Now()
-	sum, err := t.client.Report(ctx, address, &p)
+	reply, err := x.client.Report(ctx, address, &report)
 	took := time.Since(sentAt)
-	t.reportEnded(address, &p, err)
+	x.reportEnded(address, &report, err)
 	if err != nil {
 		return
 	}
-	t.node.fetcher.offered(address, sum.ConfigVersion)
-	t.node.config.noteHubRevision(sum.ConfigVersion, sum.ConfigRevision)
-	t.takeCrashes(address, upTo, &sum)
-	if p.IsHub {
-		t.applyHubAnswer(address, &sum, took)
+	x.node.fetcher.offered(address, reply.ConfigVersion)
+	x.node.config.noteHubRevision(reply.ConfigVersion, reply.ConfigRevision)
+	x.takeCrashes(address, upTo, &reply)
+	if report.IsHub {
+		x.applyHubReply(address, &reply, took)
 		return
 	}
-	t.apply(address, &sum, took)
+	x.apply(address, &reply, took)
 }
 
-// part returns this daemon's report to a hub, with soft as of this round, and the
+// newReport returns this daemon's report to a hub, with soft as of this round, and the
 // position up to which it includes crashes.
-func (t *peerExchange) part(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
-	p := exchange.Report{
-		Daemon:            t.node.id,
-		ConfigVersion:     t.node.config.current().Version,
+func (x *peerExchange) newReport(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
+	report := exchange.Report{
+		Daemon:            x.node.id,
+		ConfigVersion:     x.node.config.current().Version,
 		Fetches:           true,
 		AcceptsCompressed: true,
 		Soft:              soft,
 		WallTime:          time.Now(),
 	}
-	p.Soft.JustStarted = t.node.gathering()
-	p.Rollouts, p.RolloutUpdate = t.node.state.RolloutReports(p.WallTime), t.node.state.RolloutUpdate(p.WallTime)
-	l := t.node.members.layout()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p.Seq, p.Backup = t.seq, t.loadHub != "" && t.loadHub != address
-	if time.Since(t.reportsTo(address).windowsAt) >= windowsInterval {
-		p.Windows = t.node.begun.windows()
-	}
-	p.Holder = t.holder
-	p.IsHub = t.relaying
-	p.EndpointsPosition = t.endpointsPosition(l, address)
-	p.MembersPosition = t.memberLists.position(address, p.IsHub || t.loadHub == "" || t.loadHub == address)
-	if r := t.reportsTo(address); r.unanswered || r.answeredAt.IsZero() {
-		p.Self = &t.node.members.self
-	}
-	p.OmitLoads = t.brief(address)
-	p.WantLevels = !t.node.state.LevelsKnown()
-	if address == t.node.settings.Listen.Peers {
-		return p, quarantine.Position{}
-	}
-	if p.IsHub {
-		t.addRelayed(l, address, &p)
+	report.Soft.JustStarted = x.node.gathering()
+	report.Rollouts, report.RolloutUpdate = x.node.state.RolloutReports(report.WallTime), x.node.state.RolloutUpdate(report.WallTime)
+	l := x.node.members.layout()
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	report.Seq, report.Backup = x.seq, x.loadHub != "" && x.loadHub != address
+	if time.Since(x.hubState(address).windowsAt) >= windowsInterval {
+		report.Windows = x.node.begun.windows()
+	}
+	report.Holder = x.holder
+	report.IsHub = x.relaying
+	report.EndpointsPosition = x.endpointsPosition(l, address)
+	report.MembersPosition = x.memberLists.position(address, report.IsHub || x.loadHub == "" || x.loadHub == address)
+	if r := x.hubState(address); r.unanswered || r.answeredAt.IsZero() {
+		report.Self = &x.node.members.self
+	}
+	report.OmitLoads = x.omitLoads(address)
+	report.WantLevels = !x.node.state.LevelsKnown()
+	if address == x.node.settings.Listen.Peers {
+		return report, quarantine.Position{}
+	}
+	if report.IsHub {
+		x.addRelayed(l, address, &report)
 	}
 	var upTo quarantine.Position
-	p.Crashes, upTo = t.node.crashes.table.Since(t.reportsTo(address).crashesSent)
-	p.CrashesPosition = t.reportsTo(address).crashesReceived
-	return p, upTo
+	report.Crashes, upTo = x.node.crashes.table.Since(x.hubState(address).crashesSent)
+	report.CrashesPosition = x.hubState(address).crashesReceived
+	return report, upTo
 }
 
-// apply applies a hub's answer, which took a while. Of an answer that took longer than
-// exchange.Prompt, the clock and the loads are out of date and not applied.
-func (t *peerExchange) apply(address string, sum *exchange.Reply, took time.Duration) {
-	t.applyUpdates(address, sum, took)
+// apply applies a hub's reply, which took a while. Of a reply that took longer than
+// exchange.ReplyTimeout, the clock and the loads are out of date and not applied.
+func (x *peerExchange) apply(address string, reply *exchange.Reply, took time.Duration) {
+	x.applyUpdates(address, reply, took)
 	if took > exchange.ReplyTimeout {
-		t.applyLate(sum)
+		x.applyLate(reply)
 		return
 	}
-	if !sum.FleetTime.IsZero() {
-		t.node.clock.Correct(sum.FleetTime, t.node.clock.Steady())
+	if !reply.FleetTime.IsZero() {
+		x.node.clock.Correct(reply.FleetTime, x.node.clock.Steady())
 	}
 	now := time.Now()
-	t.mu.Lock()
-	t.holder = t.holder.Newer(sum.Holder)
-	if sum.Loads != nil {
-		t.loadedAt = now
+	x.mu.Lock()
+	x.holder = x.holder.Newer(reply.Holder)
+	if reply.Loads != nil {
+		x.loadedAt = now
 	}
-	t.mu.Unlock()
-	if sum.Loads != nil {
-		sum.Soft.Load = sum.Loads.Others()
+	x.mu.Unlock()
+	if reply.Loads != nil {
+		reply.Soft.Load = reply.Loads.Others()
 	}
-	t.node.state.SetOthers(now, address, sum.Soft)
+	x.node.state.SetOthers(now, address, reply.Soft)
 }
 
 // applyUpdates applies what a hub sends of the store and the roll-outs.
-func (t *peerExchange) applyUpdates(address string, sum *exchange.Reply, took time.Duration) {
-	sum.StoreAge += took
-	sum.RolloutUpdate.Age += took
-	sum.RolloutUpdate.OrdersAge += took
-	t.node.state.ApplyRollouts(time.Now(), sum.RolloutUpdate)
-	t.node.watch.noteHubContact(sum.StoreAge)
-	t.takeList(address, sum)
-	t.mu.Lock()
-	members := t.memberLists.receive(address, &sum.Members)
-	t.mu.Unlock()
-	t.node.addMembers(members)
+func (x *peerExchange) applyUpdates(address string, reply *exchange.Reply, took time.Duration) {
+	reply.StoreAge += took
+	reply.RolloutUpdate.Age += took
+	reply.RolloutUpdate.OrdersAge += took
+	x.node.state.ApplyRollouts(time.Now(), reply.RolloutUpdate)
+	x.node.watch.noteHubContact(reply.StoreAge)
+	x.takeList(address, reply)
+	x.mu.Lock()
+	members := x.memberLists.receive(address, &reply.Members)
+	x.mu.Unlock()
+	x.node.addMembers(members)
 }
 
-// applyLate applies what remains valid in an answer that came late.
-func (t *peerExchange) applyLate(sum *exchange.Reply) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.holder = t.holder.Newer(sum.Holder)
+// applyLate applies what remains valid in a reply that came late.
+func (x *peerExchange) applyLate(reply *exchange.Reply) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.holder = x.holder.Newer(reply.Holder)
 }
 
 // setHolder notes that this daemon has acquired the duties. The others receive this
 // from the hubs, also where they can't reach the store.
-func (t *peerExchange) setHolder(token uint64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.holder = t.holder.Newer(exchange.Holder{Daemon: t.node.id, Token: token})
+func (x *peerExchange) setHolder(token uint64) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.holder = x.holder.Newer(exchange.Holder{Daemon: x.node.id, Token: token})
 }
 
 // otherHolderToken returns the fencing token under which another daemon than the given
 // one is reported to hold the duties, 0 where none is.
-func (t *peerExchange) otherHolderToken(but fleet.DaemonID) uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.holder.Daemon == but {
+func (x *peerExchange) otherHolderToken(but fleet.DaemonID) uint64 {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if x.holder.Daemon == but {
 		return 0
 	}
-	return t.holder.Token
+	return x.holder.Token
 }
 
 // withHub calls f with the hub's state, under the lock.
-func (t *peerExchange) withHub(f func(h *exchange.Hub)) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f(t.hub)
+func (x *peerExchange) withHub(f func(h *exchange.Hub)) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	f(x.hub)
 }
--- a/internal/node/startgate.go
+++ b/internal/node/startgate.go
@@ -34,54 +34,54 @@
 }
 
 // hasConfiguration notes that a configuration is in force.
-func (s *startGate) hasConfiguration() { s.note(&s.configured) }
+func (g *startGate) hasConfiguration() { g.note(&g.configured) }
 
 // hasEndpoints notes that endpoints are listed.
-func (s *startGate) hasEndpoints() { s.note(&s.listed) }
+func (g *startGate) hasEndpoints() { g.note(&g.listed) }
 
-func (s *startGate) note(flag *bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	complete := s.configured && s.listed
+func (g *startGate) note(flag *bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	complete := g.configured && g.listed
 	*flag = true
-	if !complete && s.configured && s.listed {
-		close(s.ready)
+	if !complete && g.configured && g.listed {
+		close(g.ready)
 	}
 }
 
 // wait returns when a request can be served, or is to be refused.
-func (s *startGate) wait(ctx context.Context, now time.Time) {
+func (g *startGate) wait(ctx context.Context, now time.Time) {
 	select {
-	case <-s.ready:
+	case <-g.ready:
 		return
 	default:
 	}
-	if !now.Before(s.until) || !s.enter() {
+	if !now.Before(g.until) || !g.enter() {
 		return
 	}
-	defer s.leave()
-	late := time.NewTimer(s.until.Sub(now))
+	defer g.leave()
+	late := time.NewTimer(g.until.Sub(now))
 	defer late.Stop()
 	select {
-	case <-s.ready:
+	case <-g.ready:
 	case <-late.C:
 	case <-ctx.Done():
 	}
 }
 
 // enter reports whether one more request may wait, and counts it.
-func (s *startGate) enter() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.waiting >= maxWaiting {
+func (g *startGate) enter() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.waiting >= maxWaiting {
 		return false
 	}
-	s.waiting++
+	g.waiting++
 	return true
 }
 
-func (s *startGate) leave() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.waiting--
+func (g *startGate) leave() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.waiting--
 }
