--- a/internal/node/checkpoint.go
+++ b/internal/node/checkpoint.go
@@ -18,9 +18,9 @@
 	checkpointInterval = time.Second
 )
 
-// checkpoints writes and restores the counts of the usage windows that aren't
+// checkpointer writes and restores the counts of the usage windows that aren't
 // frozen yet. Only the duties' goroutine uses it.
-type checkpoints struct {
+type checkpointer struct {
 	duties   *duties
 	restored bool
 	busy     bool
@@ -29,7 +29,7 @@
 
 // step reports whether the counts of the previous holder were restored, and starts
 // the call that is due.
-func (c *checkpoints) step(ctx context.Context, now time.Time) bool {
+func (c *checkpointer) step(ctx context.Context, now time.Time) bool {
 	switch {
 	case c.busy:
 	case !c.restored:
@@ -41,7 +41,7 @@
 	return c.restored
 }
 
-func (c *checkpoints) read(ctx context.Context) {
+func (c *checkpointer) read(ctx context.Context) {
 	c.busy = true
 	c.duties.call(ctx, func() func(time.Time) {
 		o, err := c.duties.node.platform.Store.Get(ctx, usageKind, checkpointName)
@@ -49,7 +49,7 @@
 	})
 }
 
-func (c *checkpoints) restore(now time.Time, o objects.Object, err error) {
+func (c *checkpointer) restore(now time.Time, o objects.Object, err error) {
 	c.busy = false
 	if errors.Is(err, objects.ErrNotFound) {
 		c.restored = true
@@ -65,7 +65,7 @@
 }
 
 // write saves the windows from the one before the current on.
-func (c *checkpoints) write(ctx context.Context) {
+func (c *checkpointer) write(ctx context.Context) {
 	n := c.duties.node
 	from := n.begun.number(n.clock.Now()) - 1
 	var saved exchange.Checkpoint
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -39,15 +39,15 @@
 // daemon holds their lease. One goroutine owns it; calls run on goroutines of their
 // own and return through results.
 type duties struct {
-	node        *Node
-	lease       *lease.Set
-	usage       *usage.Reporter
-	scaling     *scalingDuty
-	checkpoints *checkpoints
-	limits      *limitsWriter
-	results     *ring.Ring[func(now time.Time)]
-	token       uint64 // of the acquisition that the fields above belong to
-	acquiredAt  time.Time
+	node         *Node
+	lease        *lease.Set
+	usage        *usage.Reporter
+	scaling      *scalingDuty
+	checkpointer *checkpointer
+	limits       *limitsWriter
+	results      *ring.Ring[func(now time.Time)]
+	token        uint64 // of the acquisition that the fields above belong to
+	acquiredAt   time.Time
 	// complete means that all daemons have reported since acquiredAt.
 	complete bool
 	log      *logrus.Entry
@@ -127,7 +127,7 @@
 	if !d.gathered(now) {
 		return
 	}
-	if d.checkpoints.step(ctx, now) {
+	if d.checkpointer.step(ctx, now) {
 		d.stepUsage(ctx, now)
 	}
 	d.limits.step(ctx, now)
@@ -155,7 +155,7 @@
 	d.node.peers.setHolder(token)
 	d.usage = usage.NewReporter(seconds(d.node.settings.Bounds.UsageWindowSeconds))
 	d.scaling = newScalingDuty(d)
-	d.checkpoints = &checkpoints{duties: d}
+	d.checkpointer = &checkpointer{duties: d}
 	d.limits = &limitsWriter{duties: d}
 	d.log.WithField("token", token).Info("holds the duties")
 }
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -246,9 +246,9 @@
 	return listed
 }
 
-// lateList reports whether this daemon has not been able to list the store for longer
+// firstListLate reports whether this daemon has not been able to list the store for longer
 // than firstListTimeout: then it requests the list from a hub.
-func (l *endpointList) lateList() bool {
+func (l *endpointList) firstListLate() bool {
 	return !l.hasList() && time.Since(l.node.started) > firstListTimeout && !l.node.watch.awaitsList()
 }
 
--- a/internal/node/hubchoice.go
+++ b/internal/node/hubchoice.go
@@ -28,9 +28,9 @@
 	return x.node.members.layout().meshed && x.hubState(address).unanswered
 }
 
-// perDaemonLoads bounds the loads that a hub sends at 125 messages a second: they are
-// most of the bytes between daemons, and grow with the endpoints.
-const perDaemonLoads = 8 * time.Millisecond
+// perDaemonLoadsInterval bounds the loads that a hub sends at 125 messages a second: they
+// are most of the bytes between daemons, and grow with the endpoints.
+const perDaemonLoadsInterval = 8 * time.Millisecond
 
 // omitLoads reports whether a hub need not send loads now. The lock is held.
 func (x *peerExchange) omitLoads(address string) bool {
@@ -38,14 +38,14 @@
 		return false
 	}
 	daemons := time.Duration(len(x.node.members.serving()))
-	return x.loadHub != address || daemons > exchange.SmallFleet && time.Since(x.loadedAt) < daemons*perDaemonLoads
+	return x.loadHub != address || daemons > exchange.SmallFleet && time.Since(x.loadedAt) < daemons*perDaemonLoadsInterval
 }
 
 // endpointsPosition returns this daemon's position in a hub's list of endpoints. It
 // follows one hub's list at a time, and none while it watches the store itself. The
 // lock is held.
 func (x *peerExchange) endpointsPosition(l *layout, address string) feed.Position {
-	late := x.node.endpoints.lateList()
+	late := x.node.endpoints.firstListLate()
 	switch {
 	case x.node.endpoints.due() && !late:
 		return feed.NoUpdate
@@ -55,7 +55,7 @@
 		return feed.NoUpdate // the whole list is requested from one hub alone
 	case x.listHub == "":
 		return feed.Position{Revision: x.node.endpoints.upTo()}
-	case x.listHub == address && x.listsOften(l):
+	case x.listHub == address && x.listDue(l):
 		return x.listPosition
 	default:
 		return feed.NoUpdate
@@ -66,9 +66,9 @@
 // hundreds: applying the changes takes a daemon time in proportion to the list.
 const listInterval = 600 * time.Millisecond
 
-// listsOften reports whether the list may be requested again. Hubs always may, because
+// listDue reports whether the list may be requested again. Hubs always may, because
 // a delay of theirs adds to that of their daemons. The lock is held.
-func (x *peerExchange) listsOften(l *layout) bool {
+func (x *peerExchange) listDue(l *layout) bool {
 	return !l.meshed || x.relaying || time.Since(x.listedAt) >= listInterval
 }
 
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -53,7 +53,7 @@
 		if time.Since(started) > minDrain && n.relay.Active() == 0 {
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -64,5 +64,5 @@
 	n.peers.round(ctx)
 }
 
-// drainPoll is how often running requests are checked for during a drain.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often running requests are checked for during a drain.
+const drainPollInterval = 20 * time.Millisecond
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/relay"
 )
 
-// metricSet is the daemon's metrics.
+// metricSet is the daemon's metrics. Their names and meanings are in docs/OPERATIONS.md.
 type metricSet struct {
 	set          *metrics.Set
 	node         *Node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 		log:      log,
 		started:  time.Now(),
 		clock:    clock.New(),
-		pool:     upstream.NewPool(startShare, upstream.DialTCP),
+		pool:     upstream.NewPool(initialShare, upstream.DialTCP),
 	}
 	budget := retry.Config{
 		Window: seconds(s.Bounds.RetryWindowSeconds), Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack,
@@ -93,9 +93,9 @@
 // changeBound is the longest time from a change's acknowledgement until it is in force.
 func (n *Node) changeBound() time.Duration { return millis(n.settings.Bounds.ChangeMillis) }
 
-// startShare is the bound on connections to an endpoint until its service's bound and
+// initialShare is the bound on connections to an endpoint until its service's bound and
 // the number of daemons are available.
-const startShare = 16
+const initialShare = 16
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
--- a/internal/node/peerexchange.go
+++ b/internal/node/peerexchange.go
@@ -36,9 +36,9 @@
 	return n.interval()
 }
 
-// levelsAfter is how long a daemon must have run until others that have just started
+// minLevelsUptime is how long a daemon must have run until others that have just started
 // adopt what it counts as left of the limits.
-const levelsAfter = 4 * time.Second
+const minLevelsUptime = 4 * time.Second
 
 // peerExchange is this daemon's part in the exchange of reports: it reports to hubs, and
 // answers as a hub.
@@ -122,7 +122,7 @@
 	}
 	reply.RolloutUpdate = x.node.state.RolloutUpdate(now)
 	reply.Crashes, reply.CrashesPosition = x.node.crashes.table.Since(report.CrashesPosition)
-	if report.WantLevels && now.Sub(x.node.started) > levelsAfter {
+	if report.WantLevels && now.Sub(x.node.started) > minLevelsUptime {
 		reply.Soft.Levels = x.node.state.Levels(now)
 	}
 	if skew, ok := x.hub.Skew(now); ok {
@@ -150,9 +150,9 @@
 	}
 }
 
-// urgentCheck is how often a daemon whose hubs relay checks whether it has something
-// urgent to report.
-const urgentCheck = 250 * time.Millisecond
+// urgentCheckInterval is how often a daemon whose hubs relay checks whether it has
+// something urgent to report.
+const urgentCheckInterval = 250 * time.Millisecond
 
 // wait waits until the next report is due, which may become urgent meanwhile.
 func (x *peerExchange) wait(ctx context.Context) {
@@ -163,7 +163,7 @@
 			return
 		}
 		if x.node.members.layout().meshed {
-			left = min(left, urgentCheck)
+			left = min(left, urgentCheckInterval)
 		}
 		pause.For(ctx, left)
 		if !x.node.members.layout().meshed {
@@ -297,7 +297,7 @@
 	if address == x.node.settings.Listen.Peers {
 		reply := x.Report(report)
 		if x.node.gathering() && len(x.node.members.serving()) == 1 {
-			return // the others aren't found yet: the reply would cover this daemon alone
+			return // the others have not been found yet, and the reply lacks them
 		}
 		x.apply(address, &reply, 0)
 		return
@@ -413,12 +413,12 @@
 	x.holder = x.holder.Newer(exchange.Holder{Daemon: x.node.id, Token: token})
 }
 
-// otherHolderToken returns the fencing token under which another daemon than the given
-// one is reported to hold the duties, 0 where none is.
-func (x *peerExchange) otherHolderToken(but fleet.DaemonID) uint64 {
+// otherHolderToken returns the fencing token under which another daemon than self is
+// reported to hold the duties, 0 where none is.
+func (x *peerExchange) otherHolderToken(self fleet.DaemonID) uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.holder.Daemon == but {
+	if x.holder.Daemon == self {
 		return 0
 	}
 	return x.holder.Token
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -166,9 +166,9 @@
 	return min(own, now.Sub(x.hubStoreContact))
 }
 
-// ownCentreOnly is how long a daemon without a list of endpoints requests it from strong
+// ownCentrePeriod is how long a daemon without a list of endpoints requests it from strong
 // machines of its own data centre alone; later from any.
-const ownCentreOnly = 2 * time.Second
+const ownCentrePeriod = 2 * time.Second
 
 // listSources returns the address from which a daemon without a list of endpoints requests
 // one in addition to the hubs, while it doesn't list the store.
@@ -192,5 +192,5 @@
 		return false
 	}
 	near := m.DataCentre == x.node.settings.Daemon.DataCentre
-	return near || time.Since(x.node.started) > ownCentreOnly
+	return near || time.Since(x.node.started) > ownCentrePeriod
 }
--- a/internal/node/rollout_test.go
+++ b/internal/node/rollout_test.go
@@ -279,12 +279,12 @@
 	f.stopLoad()
 }
 
-// idlePace makes a test's follower wait for long.
-type idlePace struct{}
+// idleTiming makes a follower's watch wait for an hour.
+type idleTiming struct{}
 
-func (idlePace) WatchTimeout() time.Duration { return time.Hour }
-func (idlePace) BatchDelay() time.Duration   { return 0 }
-func (idlePace) Backoff() follow.Backoff     { return follow.FastBackoff() }
+func (idleTiming) WatchTimeout() time.Duration { return time.Hour }
+func (idleTiming) BatchDelay() time.Duration   { return 0 }
+func (idleTiming) Backoff() follow.Backoff     { return follow.FastBackoff() }
 
 // Guards against a holder that acquires its lease again after a lapse, with the same
 // token, and whose updates are taken for older ones.
@@ -293,7 +293,7 @@
 	n := New(&Settings{}, Platform{Store: store}, logrus.New())
 	n.state.SetRollouts(rollout.Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second})
 	d := newRolloutDuty(n)
-	d.store = follow.New(store, "orders", d.orders, idlePace{})
+	d.store = follow.New(store, "orders", d.orders, idleTiming{})
 	now := time.Now()
 	for range 2 {
 		d.begin(t.Context(), 7)
--- a/internal/node/rolloutduty.go
+++ b/internal/node/rolloutduty.go
@@ -39,7 +39,7 @@
 
 func newRolloutDuty(n *Node) *rolloutDuty {
 	d := &rolloutDuty{node: n, log: n.logFor("roll-out"), orders: newRolloutOrders(n)}
-	d.store = follow.New(n.platform.Store, n.platform.RolloutKind, d.orders, orderPace{n.watch})
+	d.store = follow.New(n.platform.Store, n.platform.RolloutKind, d.orders, orderTiming{n.watch})
 	return d
 }
 
--- a/internal/node/rolloutorders.go
+++ b/internal/node/rolloutorders.go
@@ -12,12 +12,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rollout"
 )
 
-// orderPace is how often a decider polls for orders: the age of its last contact with
-// the store is a part of its updates.
-type orderPace struct{ *watchPolicy }
+// orderTiming is the timing of a decider's watch of the orders: it waits for hubWait at
+// most, since the age of its last contact with the store is a part of its updates.
+type orderTiming struct{ *watchPolicy }
 
 // WatchTimeout implements follow.Timing.
-func (p orderPace) WatchTimeout() time.Duration { return min(hubWait, p.watchPolicy.WatchTimeout()) }
+func (p orderTiming) WatchTimeout() time.Duration { return min(hubWait, p.watchPolicy.WatchTimeout()) }
 
 // rolloutOrders holds the decider's inputs: orders from the store's follower, reports
 // from the peers' goroutines.
--- a/internal/node/rolloutrunning.go
+++ b/internal/node/rolloutrunning.go
@@ -59,13 +59,13 @@
 }
 
 // logState logs the state of a roll-out.
-func (d *rolloutDuty) logState(r *runningRollout, what string) {
+func (d *rolloutDuty) logState(r *runningRollout, message string) {
 	record := r.decider.Record()
 	d.log.WithFields(logrus.Fields{
 		"service": r.order.Service, "target": r.order.Target, "phase": record.Phase.String(), "reason": record.Reason,
 		"asked": record.Asked, "exposed": record.Exposed, "answers": record.Answers, "bad": record.Bad,
 		"chance": record.Chance, "route": record.Route, "share": record.Share,
-	}).Info(what)
+	}).Info(message)
 }
 
 // writeRecord writes the record from which a successor resumes.
--- a/internal/node/slowlink_test.go
+++ b/internal/node/slowlink_test.go
@@ -132,7 +132,7 @@
 // A daemon that has just started is refused by the store and gets its list of 3,000
 // endpoints, some 0.9 MB, from a hub over a link of 10 Mbit/s. Guards against a timeout of
 // an answer that is shorter than the transfer: if each answer is cut after 0.4 s and the
-// next report requests the whole list again, the daemon never has an endpoint and refuses
+// next report requests the whole list again, the daemon has no endpoint after 20 s and refuses
 // all callers.
 func TestLongListReachesADaemonBehindASlowLink(t *testing.T) {
 	f := newFleet(t, 2)
--- a/internal/node/startgate_test.go
+++ b/internal/node/startgate_test.go
@@ -10,9 +10,9 @@
 )
 
 // A daemon starts again, and callers connect before it has a configuration. They must be
-// served once it has one, a few tenths of a second later: when 195 daemons started again
-// at once, 845 requests would have been refused in those 0.4 s, and the one retry that
-// each caller has as well.
+// served once it has one, a few tenths of a second later. Without a wait, 845 requests were
+// refused in the 0.4 s after 195 daemons started again, and so was the single retry of each
+// caller.
 func TestRequestBeforeTheConfigurationIsServed(t *testing.T) {
 	f := newFleet(t, 0)
 	f.addWith(&slowConfigStore{memoryStore: f.store}, func(*Node) {})
--- a/internal/node/watchpolicy.go
+++ b/internal/node/watchpolicy.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// hubAge returns the time since any hub's last contact with the store.
-func (w *watchPolicy) hubAge() time.Duration {
+// hubContactAge returns the time since any hub's last contact with the store.
+func (w *watchPolicy) hubContactAge() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Since(w.contact)
@@ -144,7 +144,7 @@
 	if !known {
 		return !w.awaitsList()
 	}
-	if w.hubAge() > w.staleAfter() {
+	if w.hubContactAge() > w.staleAfter() {
 		return true
 	}
 	return !w.reliesOnHubs() && !w.mayLackDaemons() && time.Since(w.node.started) > watchDelay
@@ -202,7 +202,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.node.logFor("watching").WithFields(map[string]any{
-		"kind": f.Kind(), "from": from, "daemons": len(w.node.members.serving()), "watcher": w.watcher(), "word_age_ms": w.hubAge().Milliseconds(),
+		"kind": f.Kind(), "from": from, "daemons": len(w.node.members.serving()), "watcher": w.watcher(), "word_age_ms": w.hubContactAge().Milliseconds(),
 	}).Info("watching the store")
 	go pause.Every(ctx, roleInterval, func() {
 		if !due() {
