--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -39,7 +39,7 @@
 }
 
 // discover restores the limits from before this daemon's start, and finds the hubs of
-// a large fleet. Where the store doesn't answer, the seeds must do.
+// a large fleet. Where the store doesn't answer, the daemon relies on the seeds.
 func (n *Node) discover(ctx context.Context) {
 	n.restoreLimits(ctx)
 	first := n.settings.Daemon.FirstStart
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -46,7 +46,7 @@
 	checkpointer *checkpointer
 	limits       *limitsWriter
 	results      *ring.Ring[func(now time.Time)]
-	token        uint64 // of the acquisition that the fields above belong to
+	token        uint64 // of the acquisition by which this daemon holds the duties
 	acquiredAt   time.Time
 	// complete means that all daemons have reported since acquiredAt.
 	complete bool
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -66,7 +66,7 @@
 	return m, nil
 }
 
-// addSeeds replaces the seeds by those of settings.
+// addSeeds takes the seeds of settings, which may have changed.
 func (m *members) addSeeds(s *Settings) {
 	seeds := seedMembers(s)
 	for _, address := range m.node.extraSeeds {
--- a/internal/node/peerexchange.go
+++ b/internal/node/peerexchange.go
@@ -319,8 +319,8 @@
 	x.apply(address, &reply, took)
 }
 
-// newReport returns this daemon's report to a hub, with soft as of this round, and the
-// position up to which it includes crashes.
+// newReport returns this daemon's report to a hub, with the soft state of this round, and
+// the position up to which it includes crashes.
 func (x *peerExchange) newReport(address string, soft relay.SoftState) (exchange.Report, quarantine.Position) {
 	report := exchange.Report{
 		Daemon:            x.node.id,
