--- a/internal/node/peerexchange.go
+++ b/internal/node/peerexchange.go
@@ -133,7 +133,7 @@
 		reply.Members = x.memberLists.since(now, report.MembersPosition)
 	}
 	reply.StoreAge = x.storeAge(now)
-	reply.ConfigRevision = x.node.config.upTo() // before the version, which may only be newer
+	reply.ConfigRevision = x.node.config.upTo() // read before the version, which is then at least as new
 	newest := x.node.config.current()
 	reply.ConfigVersion = newest.Version
 	if !report.Fetches && report.ConfigVersion < newest.Version {
