--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -10,41 +10,40 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/spread"
 )
 
-// configuration keeps the newest configuration in force, from the store or
-// from other daemons, whichever has it first. Versions only ever rise.
+// configuration keeps the newest configuration in force, from the store or from
+// other daemons, whichever has it first. Versions only increase.
 type configuration struct {
-	node   *Node
-	store  *follow.Follower
-	mu     sync.Mutex
-	newest spread.Text
-	told   uint64    // the store's revision up to which hubs know no newer version
-	known  uint64    // the newest version that any daemon has told of
-	since  time.Time // when one that isn't in force was told of first
-	behind bool      // said in the log for since
+	node         *Node
+	store        *follow.Follower
+	mu           sync.Mutex
+	newest       spread.Text
+	hubRevision  uint64    // the store's revision up to which hubs report no newer version
+	announced    uint64    // the newest version that any daemon has reported
+	behindSince  time.Time // when a version that isn't in force was first reported
+	behindLogged bool      // the lag since behindSince is logged
 
 	sourceMu sync.Mutex
-	source   spread.Source // for other daemons
+	source   spread.Source // serves the text to other daemons
 }
 
 func newConfiguration(n *Node) *configuration {
 	c := &configuration{node: n}
-	c.store = follow.New(n.platform.Store, n.platform.ConfigKind, c, n.watching)
+	c.store = follow.New(n.platform.Store, n.platform.ConfigKind, c, n.watch)
 	return c
 }
 
 func (c *configuration) run(ctx context.Context) {
-	c.node.watching.run(ctx, c.store, c.upTo, c.due)
+	c.node.watch.run(ctx, c.store, c.upTo, c.due)
 }
 
-// due reports whether this daemon should watch the configuration now. Where the
-// store doesn't answer, one that isn't a hub asks it for the endpoints alone until
-// it does.
+// due reports whether this daemon should watch the configuration now. While the
+// store doesn't answer, a daemon that isn't a hub watches the endpoints alone.
 func (c *configuration) due() bool {
-	w := c.node.watching
-	if w.follows() && c.node.endpoints.store.Lost() {
+	w := c.node.watch
+	if w.reliesOnHubs() && c.node.endpoints.store.Lost() {
 		return c.lags(time.Now())
 	}
-	listed := c.store.Revision() > 0 || c.current().Version > 0 // there may be none yet
+	listed := c.store.Revision() > 0 || c.current().Version > 0 // the store may have no configuration yet
 	return w.due(listed) || c.lags(time.Now())
 }
 
@@ -66,24 +65,24 @@
 
 // Lost implements follow.Handler.
 func (c *configuration) Lost(err error) {
-	c.node.say("configuration").WithError(err).Warn("store lost")
+	c.node.logFor("configuration").WithError(err).Warn("store lost")
 }
 
 // Recovered implements follow.Handler.
-func (c *configuration) Recovered(time.Time) { c.node.say("configuration").Info("store is back") }
+func (c *configuration) Recovered(time.Time) { c.node.logFor("configuration").Info("store is back") }
 
 func (c *configuration) take(o objects.Object) {
 	if o.Name == c.node.platform.ConfigName {
-		_ = c.apply(o.Spec, "store") // said in the log; the next version may be better
+		_ = c.apply(o.Spec, "store") // apply logs the error; a later version may be valid
 	}
 }
 
-// apply puts a text in force if it is newer than what is.
+// apply puts a text in force if its version is newer than the one in force.
 func (c *configuration) apply(text []byte, source string) error {
-	log := c.node.say("configuration").WithField("source", source)
+	log := c.node.logFor("configuration").WithField("source", source)
 	t, err := c.node.platform.DecodeTable(text)
 	if err != nil {
-		log.WithError(err).Error("not understood")
+		log.WithError(err).Error("not decoded")
 		return err
 	}
 	c.mu.Lock()
@@ -92,118 +91,118 @@
 	if !c.node.state.Configure(now, t) {
 		return nil
 	}
-	if c.known > c.newest.Version {
-		log = log.WithField("known_ms", now.Sub(c.since).Milliseconds())
+	if c.announced > c.newest.Version {
+		log = log.WithField("known_ms", now.Sub(c.behindSince).Milliseconds())
 	}
 	c.newest = spread.Text{Version: t.Version, Bytes: text}
 	c.offer(c.newest)
-	c.node.starting.hasConfiguration()
+	c.node.startGate.hasConfiguration()
 	c.node.shareConnections()
-	c.behind = false
+	c.behindLogged = false
 	log.WithFields(map[string]any{"version": t.Version, "routes": len(t.Routes), "bytes": len(text)}).Info("in force")
 	return nil
 }
 
-// current returns the newest configuration; Version 0 is none.
+// current returns the newest configuration; Version 0 means none.
 func (c *configuration) current() spread.Text {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.newest
 }
 
-// offer makes a version ready for other daemons.
+// offer makes a version available to other daemons.
 func (c *configuration) offer(t spread.Text) {
 	c.sourceMu.Lock()
 	defer c.sourceMu.Unlock()
 	c.source.Add(t)
 }
 
-// piece answers another daemon that fetches.
+// piece answers another daemon's fetch.
 func (c *configuration) piece(w spread.Want) (spread.Piece, error) {
 	c.sourceMu.Lock()
 	defer c.sourceMu.Unlock()
 	return c.source.Answer(w)
 }
 
-// maxLag is how long a version may be known of and not be in force before this
-// daemon looks into the store itself. Two sources that don't answer have been
-// given up by then.
+// maxLag is how long a reported version may not be in force before this daemon
+// reads the store itself. It covers two sources that don't answer.
 const maxLag = time.Second
 
-// knows notes that the daemon at an address has a version.
-func (c *configuration) knows(now time.Time, version uint64, address string) {
+// noteVersion notes that the daemon at an address has a version.
+func (c *configuration) noteVersion(now time.Time, version uint64, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version <= c.known {
+	if version <= c.announced {
 		return
 	}
-	if c.known <= c.newest.Version {
-		c.since = now
+	if c.announced <= c.newest.Version {
+		c.behindSince = now
 	}
-	c.known = version
-	c.node.say("configuration").WithFields(map[string]any{
+	c.announced = version
+	c.node.logFor("configuration").WithFields(map[string]any{
 		"version": version, "from": address, "in_force": c.newest.Version,
 	}).Info("newer version known")
 }
 
-// lags reports whether a newer version has been known of for long: those that have it
-// may be of an earlier release, which can't be fetched from.
+// lags reports whether a newer version has been reported for longer than maxLag: the
+// daemons that have it may be of an earlier release, from which it can't be fetched.
 func (c *configuration) lags(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lag(now) <= maxLag {
 		return false
 	}
-	c.sayBehind(now)
+	c.logBehind(now)
 	return true
 }
 
-// lag returns how long a version has been known of that is newer than what is in
-// force. The lock is held.
+// lag returns how long ago a version newer than the one in force was first reported.
+// The lock is held.
 func (c *configuration) lag(now time.Time) time.Duration {
-	if c.known <= c.newest.Version {
+	if c.announced <= c.newest.Version {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.behindSince)
 }
 
-// sayBehind tells, once for each time it falls behind, what keeps this daemon from
-// the newest version. The lock is held.
-func (c *configuration) sayBehind(now time.Time) {
-	if c.behind {
+// logBehind logs, once for each time that this daemon falls behind, the state of its
+// sources. The lock is held.
+func (c *configuration) logBehind(now time.Time) {
+	if c.behindLogged {
 		return
 	}
-	c.behind = true
-	c.node.say("configuration").WithFields(map[string]any{
-		"version": c.known, "in_force": c.newest.Version, "known_ms": c.lag(now).Milliseconds(),
+	c.behindLogged = true
+	c.node.logFor("configuration").WithFields(map[string]any{
+		"version": c.announced, "in_force": c.newest.Version, "known_ms": c.lag(now).Milliseconds(),
 		"store_lost": c.store.Lost(), "store_age_ms": c.store.Age().Milliseconds(),
 	}).Warn("newer version not in force")
 }
 
-// Lag returns for how long a newer version has been known of and isn't in force.
+// Lag returns how long ago a newer version was first reported that isn't in force yet,
+// 0 where there is none.
 func (c *configuration) Lag() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lag(time.Now())
 }
 
-// heard takes a hub's word that there is nothing newer than a version up to a
-// revision of the store.
-func (c *configuration) heard(version, revision uint64) {
+// noteHubRevision notes a hub's report that up to a revision of the store there is no
+// version newer than the given one.
+func (c *configuration) noteHubRevision(version, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.newest.Version >= version {
-		c.told = max(c.told, revision)
+		c.hubRevision = max(c.hubRevision, revision)
 	}
 }
 
-// upTo returns the store's revision up to which this daemon knows all versions,
-// 0 where it has none. A watch from here has only changes, a list is a megabyte.
+// upTo returns the store's revision up to which this daemon has all versions, 0 where
+// it has none. A watch from here returns changes alone; a list is up to a megabyte.
 func (c *configuration) upTo() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.newest.Version == 0 {
 		return 0
 	}
-	return max(c.told, c.store.Revision())
+	return max(c.hubRevision, c.store.Revision())
 }
--- a/internal/node/crashes.go
+++ b/internal/node/crashes.go
@@ -11,16 +11,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// crashes is what this daemon knows of endpoints' crashes, and which requests are
-// held for them. It implements relay.Guard.
-type crashes struct {
+// crashGuard keeps the crashes of endpoints that this daemon has seen or received, and
+// which requests are held for them. It implements relay.Guard.
+type crashGuard struct {
 	node  *Node
 	table *quarantine.Table
 	watch *ends.Watch
 }
 
-func newCrashes(n *Node) *crashes {
-	c := &crashes{node: n, table: quarantine.NewTable(random().Uint64() | 1)}
+func newCrashGuard(n *Node) *crashGuard {
+	c := &crashGuard{node: n, table: quarantine.NewTable(random().Uint64() | 1)}
 	c.watch = ends.New(ends.Options{
 		Table:   c.table,
 		Now:     n.clock.Now,
@@ -32,66 +32,65 @@
 	return c
 }
 
-// storeReads is the time between two looks whether what is kept should be read.
-const storeReads = time.Second
+// storeReadInterval is how often the need to read the stored crashes is checked.
+const storeReadInterval = time.Second
 
-// learn reads what another part of the fleet has kept, when a hub has learned of
-// crashes: daemons that are cut off from the others but not from the store would
-// send on what the others hold.
-func (c *crashes) learn(ctx context.Context) {
+// readStored reads the stored crashes whenever this daemon, as a watcher, has new ones
+// in its table: daemons that are partitioned from the others but can reach the store
+// would otherwise dispatch requests that the others hold.
+func (g *crashGuard) readStored(ctx context.Context) {
 	var read quarantine.Position
-	pause.Every(ctx, storeReads, func() {
-		at := c.table.Position()
-		if at.Seq == read.Seq || c.node.gathering() || !c.node.watching.watcher() {
+	pause.Every(ctx, storeReadInterval, func() {
+		at := g.table.Position()
+		if at.Seq == read.Seq || g.node.gathering() || !g.node.watch.watcher() {
 			return
 		}
 		read = at
-		kept, err := stored[keptLimits](c.node.platform.Store.Get(ctx, limitsKind, limitsName))
+		kept, err := stored[limitsCheckpoint](g.node.platform.Store.Get(ctx, limitsKind, limitsName))
 		if err == nil {
-			c.add(kept.Crashes)
+			g.add(kept.Crashes)
 		}
 	})
 }
 
-// add takes crashes that were told or kept.
-func (c *crashes) add(all []quarantine.Crash) {
+// add takes crashes from other daemons or from the store.
+func (g *crashGuard) add(all []quarantine.Crash) {
 	if len(all) > 0 {
-		c.changed(c.table.Add(c.node.clock.Now(), all...))
+		g.changed(g.table.Add(g.node.clock.Now(), all...))
 	}
 }
 
-func (c *crashes) ended(id fleet.EndpointID, crash *quarantine.Crash) {
-	c.node.metrics.crashed(crash.Void)
-	ends.LogEnd(c.node.say("quarantine"), id, crash)
+func (g *crashGuard) ended(id fleet.EndpointID, crash *quarantine.Crash) {
+	g.node.metrics.crashed(crash.Void)
+	ends.LogEnd(g.node.logFor("quarantine"), id, crash)
 }
 
-func (c *crashes) changed(what quarantine.Change) {
-	if len(what.Held)+len(what.Released) > 0 { // seldom, and it is asked with each answer
-		ends.LogChange(c.node.say("quarantine"), c.table, what)
+func (g *crashGuard) changed(change quarantine.Change) {
+	if len(change.Held)+len(change.Released) > 0 { // rare, and this runs for each answer
+		ends.LogChange(g.node.logFor("quarantine"), g.table, change)
 	}
 }
 
 // HeldFor implements relay.Guard.
-func (c *crashes) HeldFor(key func() quarantine.Key) time.Duration {
-	if c.table.HeldCount() == 0 { // nearly always: the clock is a system call
+func (g *crashGuard) HeldFor(key func() quarantine.Key) time.Duration {
+	if g.table.HeldCount() == 0 { // the usual case; reading the clock is a system call
 		return 0
 	}
-	return c.table.Held(c.node.clock.Now(), key)
+	return g.table.Held(g.node.clock.Now(), key)
 }
 
 // Ran implements relay.Guard.
-func (c *crashes) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
-	if c.table.CrashCount() == 0 {
+func (g *crashGuard) Ran(e *roster.Endpoint, sent time.Time, key func() quarantine.Key) {
+	if g.table.CrashCount() == 0 {
 		return
 	}
-	now := c.node.clock.Now()
-	c.changed(c.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.StartedAt), key))
+	now := g.node.clock.Now()
+	g.changed(g.table.Ran(now, now.Add(-time.Since(sent)), quarantine.IncarnationOf(e.ID, e.StartedAt), key))
 }
 
-// state reports whether an endpoint is listed, and whether it has said that it
-// leaves.
-func (d *endpointDuty) state(id fleet.EndpointID) (listed, leaving bool) {
-	all, _ := d.list()
+// state reports whether an endpoint is listed, and whether it is leaving.
+func (l *endpointList) state(id fleet.EndpointID) (listed, leaving bool) {
+	all, _ := l.list()
 	for i := range all {
 		if all[i].ID == id {
 			return true, all[i].Draining
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -21,40 +21,40 @@
 )
 
 const (
-	// dutyTick is how often the duties look for what is due.
+	// dutyTick is how often the duties check what is due.
 	dutyTick = 100 * time.Millisecond
-	// gatherTime is how long a new holder waits for the others' parts: they
-	// learn of it from the hubs within two rounds and tell it in the next.
-	gatherTime = 1500 * time.Millisecond
-	// firstDuty is how long after its start a daemon leaves the duties to others: it
-	// knows few yet, and would take itself for a candidate. A longer wait would leave
-	// a fleet that was killed at once without orders for endpoints.
-	firstDuty = 700 * time.Millisecond
-	// resultRing bounds the answers that wait for the duties' goroutine: a
-	// lease, a report and an order for each place are under way at most.
+	// gatherTimeout is how long a new holder waits for the reports of all daemons: they
+	// receive the new holder from the hubs within two rounds, and report in the next.
+	gatherTimeout = 1500 * time.Millisecond
+	// dutyDelay is how long after its start a daemon doesn't compete for the duties: it
+	// has found few others yet, and would take itself for a candidate. A longer delay
+	// would leave a fleet that was killed at once without orders for endpoints.
+	dutyDelay = 700 * time.Millisecond
+	// resultRing bounds the results that wait for the duties' goroutine: at most a
+	// lease, a report and an order for each place are in flight.
 	resultRing = 64
 )
 
-// duties does the control duties while this daemon holds their lease. One
-// goroutine owns it; calls run on goroutines of their own and come back
-// through results.
+// duties runs the control duties, usage reports, scaling and roll-outs, while this
+// daemon holds their lease. One goroutine owns it; calls run on goroutines of their
+// own and return through results.
 type duties struct {
-	node    *Node
-	lease   *lease.Set
-	usage   *usage.Reporter
-	scaling *scalingDuty
-	saved   *checkpoints
-	limits  *limitsKeeper
-	results *ring.Ring[func(now time.Time)]
-	token   uint64 // of the acquisition that usage and scaling belong to
-	since   time.Time
-	// complete says that all daemons have told their part since then.
+	node         *Node
+	lease        *lease.Set
+	usage        *usage.Reporter
+	scaling      *scalingDuty
+	checkpointer *checkpointer
+	limits       *limitsWriter
+	results      *ring.Ring[func(now time.Time)]
+	token        uint64 // of the acquisition by which this daemon holds the duties
+	acquiredAt   time.Time
+	// complete means that all daemons have reported since acquiredAt.
 	complete bool
 	log      *logrus.Entry
 }
 
-// leaseConfig is a lease as long as the platform's bound for a change of
-// holders, so that two of them can't act in turns within it.
+// leaseConfig returns a lease as long as the platform's bound for a change of
+// holders, so that two holders can't alternate within it.
 func leaseConfig(length time.Duration) lease.Config {
 	return lease.Config{
 		Duration:        length,
@@ -79,7 +79,7 @@
 		node:    n,
 		lease:   lease.NewSet(leaseConfig(length), n.id, lease.Shards("duties", 1), random(), time.Now()),
 		results: ring.New[func(time.Time)]("duties", resultRing),
-		log:     n.say("duties"),
+		log:     n.logFor("duties"),
 	}
 }
 
@@ -103,7 +103,7 @@
 	if !d.node.Ready() && !d.node.Stopping() {
 		return
 	}
-	if time.Since(d.node.started) < firstDuty {
+	if time.Since(d.node.started) < dutyDelay {
 		return
 	}
 	if d.node.Stopping() {
@@ -118,16 +118,16 @@
 		d.callLease(ctx, a)
 	}
 	l := d.lease.Lease(0)
-	l.Superseded(d.node.telling.heldBy(d.node.id))
-	if !l.Held(now) { // asking whether an order may leave would put off the lease's release
+	l.Superseded(d.node.peers.otherHolderToken(d.node.id))
+	if !l.Held(now) { // not MayOrderUnfenced, which would delay the lease's release
 		d.node.rollouts.end()
 		return
 	}
-	d.hold(now, l.Fencing())
+	d.acquire(now, l.Fencing())
 	if !d.gathered(now) {
 		return
 	}
-	if d.saved.step(ctx, now) {
+	if d.checkpointer.step(ctx, now) {
 		d.stepUsage(ctx, now)
 	}
 	d.limits.step(ctx, now)
@@ -135,38 +135,39 @@
 	d.scaling.step(ctx, now)
 }
 
-// gathered reports whether the others' parts are here, without which windows would be
-// frozen with a part of their counts. A daemon that can't tell is not waited for longer
-// than gatherTime.
+// gathered reports whether all daemons have reported to the new holder, without which
+// windows would be frozen with a part of their counts. A daemon that can't report is
+// waited for no longer than gatherTimeout.
 func (d *duties) gathered(now time.Time) bool {
 	if !d.complete {
-		d.node.telling.ask(func(h *exchange.Hub) { d.complete = h.ReceivedFromAll(d.since, d.node.members.ids()) })
+		d.node.peers.withHub(func(h *exchange.Hub) { d.complete = h.ReceivedFromAll(d.acquiredAt, d.node.members.ids()) })
 	}
-	return d.complete || now.Sub(d.since) >= gatherTime
+	return d.complete || now.Sub(d.acquiredAt) >= gatherTimeout
 }
 
-// hold starts the duties afresh with each acquisition: what was known before
-// may have been changed by another holder.
-func (d *duties) hold(now time.Time, token uint64) {
+// acquire resets the duties' state with each acquisition of the lease: another holder
+// may have changed what was kept before.
+func (d *duties) acquire(now time.Time, token uint64) {
 	if token == d.token && d.usage != nil {
 		return
 	}
-	d.token, d.since, d.complete = token, now, false
-	d.node.telling.setHolder(token)
+	d.token, d.acquiredAt, d.complete = token, now, false
+	d.node.peers.setHolder(token)
 	d.usage = usage.NewReporter(seconds(d.node.settings.Bounds.UsageWindowSeconds))
 	d.scaling = newScalingDuty(d)
-	d.saved = &checkpoints{duties: d}
-	d.limits = &limitsKeeper{duties: d}
+	d.checkpointer = &checkpointer{duties: d}
+	d.limits = &limitsWriter{duties: d}
 	d.log.WithField("token", token).Info("holds the duties")
 }
 
-// fence returns the right to a call that leaves now.
+// fence returns the fence of a call that is sent now, and whether it may be sent.
 func (d *duties) fence() (duty.Fence, bool) {
 	l := d.lease.Lease(0)
 	return duty.Fence{Holder: d.node.settings.Daemon.Instance, Token: l.Fencing()}, l.MayOrderUnfenced(time.Now())
 }
 
-// call runs f on a goroutine of its own and what it returns on the owner's.
+// call runs f on a goroutine of its own, and the function that it returns on the
+// duties' goroutine.
 func (d *duties) call(ctx context.Context, f func() func(now time.Time)) {
 	d.node.wg.Add(1)
 	go func() {
@@ -176,7 +177,7 @@
 	}()
 }
 
-// callLease makes a call that the lease asks for.
+// callLease makes a call that the lease requests.
 func (d *duties) callLease(ctx context.Context, a lease.Action) {
 	name := d.lease.Shards()[0].Object()
 	d.call(ctx, func() func(time.Time) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -15,293 +15,295 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/roster"
 )
 
-// endpointDuty keeps the list of endpoints.
-type endpointDuty struct {
+// endpointList keeps the list of endpoints, from the store or from a hub.
+type endpointList struct {
 	node   *Node
 	mu     sync.Mutex
 	roster *roster.Roster
 	all    []roster.Endpoint
 	listed bool
-	era    uint64 // the store's
+	era    uint64 // the store's, see objects.EraOf
 
 	store *follow.Follower
-	specs map[fleet.EndpointID]spec // as the store or a hub told them
+	specs map[fleet.EndpointID]spec // as received from the store or a hub
 	log   *feed.Log                 // for daemons that don't watch the store
-	// unlogged says that the log lacks the newest list: most daemons are never asked.
-	unlogged bool
-	bad      map[fleet.EndpointID]unread
-	ended    map[fleet.EndpointID]uint64 // the last revision of entries that the store has ended
+	// unlogged means that the log lacks the newest list. It is added when another daemon
+	// requests it, which happens at few daemons.
+	unlogged   bool
+	unreadable map[fleet.EndpointID]unreadableEntry
+	deleted    map[fleet.EndpointID]uint64 // the last revision of entries that were deleted in the store
 }
 
-// unread is an entry that names no endpoint, and why.
-type unread struct {
+// unreadableEntry is an entry that can't be decoded as an endpoint.
+type unreadableEntry struct {
 	reason   string
 	revision uint64
 }
 
-// spec is an endpoint's entry as it was told, with the store's revision.
+// spec is an endpoint's entry as it was received, with the store's revision.
 type spec struct {
 	text     []byte
 	revision uint64
 }
 
-func newEndpointDuty(n *Node) *endpointDuty {
-	d := &endpointDuty{
+func newEndpointList(n *Node) *endpointList {
+	d := &endpointList{
 		node: n, roster: roster.New(), specs: map[fleet.EndpointID]spec{}, log: feed.NewLog(rand.Uint64() | 1),
-		bad: map[fleet.EndpointID]unread{}, ended: map[fleet.EndpointID]uint64{},
+		unreadable: map[fleet.EndpointID]unreadableEntry{}, deleted: map[fleet.EndpointID]uint64{},
 	}
-	d.store = follow.New(n.platform.Store, n.platform.EndpointKind, d, n.watching)
+	d.store = follow.New(n.platform.Store, n.platform.EndpointKind, d, n.watch)
 	return d
 }
 
-func (d *endpointDuty) run(ctx context.Context) {
-	d.node.watching.run(ctx, d.store, d.upTo, d.due)
+func (l *endpointList) run(ctx context.Context) {
+	l.node.watch.run(ctx, l.store, l.upTo, l.due)
 }
 
 // due reports whether this daemon should watch the endpoints now.
-func (d *endpointDuty) due() bool { return d.node.watching.due(d.known()) }
+func (l *endpointList) due() bool { return l.node.watch.due(l.hasList()) }
 
-// tickInterval is how often endpoints whose grace is over are looked for.
-const tickInterval = 100 * time.Millisecond
+// graceCheckInterval is how often endpoints whose grace has ended are looked for.
+const graceCheckInterval = 100 * time.Millisecond
 
-func (d *endpointDuty) tick(ctx context.Context) {
-	pause.Every(ctx, tickInterval, func() {
-		d.update(func(now time.Time) { d.roster.Tick(now) })
+func (l *endpointList) tick(ctx context.Context) {
+	pause.Every(ctx, graceCheckInterval, func() {
+		l.update(func(now time.Time) { l.roster.Tick(now) })
 	})
 }
 
 // Listed implements follow.Handler.
-func (d *endpointDuty) Listed(all []objects.Object, revision uint64) {
-	d.update(func(now time.Time) {
+func (l *endpointList) Listed(all []objects.Object, revision uint64) {
+	l.update(func(now time.Time) {
 		list := make([]roster.Endpoint, 0, len(all))
 		for _, o := range all {
-			if e, ok := d.decode(now, o); ok {
+			if e, ok := l.decode(now, o); ok {
 				list = append(list, e)
 			}
 		}
-		d.inEra(objects.EraOf(revision), len(list))
-		d.roster.Replace(now, list)
-		d.roster.Applied(revision)
-		d.roster.CaughtUp()
-		d.listed = true
+		l.noteEra(objects.EraOf(revision), len(list))
+		l.roster.Replace(now, list)
+		l.roster.Applied(revision)
+		l.roster.CaughtUp()
+		l.listed = true
 	})
 }
 
-// inEra notes the store's era. The lock is held.
-func (d *endpointDuty) inEra(era uint64, listed int) {
-	if d.listed && era > d.era {
-		d.node.say("store").WithFields(map[string]any{
-			"era": era, "before": d.era, "endpoints_known": len(d.all), "endpoints_listed": listed,
-			"reached": d.roster.Revision(), "config": d.node.config.current().Version,
+// noteEra notes the store's era. The lock is held.
+func (l *endpointList) noteEra(era uint64, listed int) {
+	if l.listed && era > l.era {
+		l.node.logFor("store").WithFields(map[string]any{
+			"era": era, "before": l.era, "endpoints_known": len(l.all), "endpoints_listed": listed,
+			"reached": l.roster.Revision(), "config": l.node.config.current().Version,
 		}).Warn("store came back from an older copy")
 	}
-	d.era = max(d.era, era)
+	l.era = max(l.era, era)
 }
 
-// Era returns the store's era, 0 where it tells none.
-func (d *endpointDuty) Era() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.era
+// Era returns the store's era, 0 where it reports none.
+func (l *endpointList) Era() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.era
 }
 
 // Changed implements follow.Handler.
-func (d *endpointDuty) Changed(changes []objects.Change, revision uint64) {
-	d.update(func(now time.Time) {
+func (l *endpointList) Changed(changes []objects.Change, revision uint64) {
+	l.update(func(now time.Time) {
 		for _, c := range changes {
-			if d.outdated(c.Object) {
+			if l.outdated(c.Object) {
 				continue
 			}
 			if c.Deleted {
-				d.end(now, c.Object)
+				l.remove(now, c.Object)
 				continue
 			}
-			if e, ok := d.decode(now, c.Object); ok {
-				d.roster.Upsert(e)
+			if e, ok := l.decode(now, c.Object); ok {
+				l.roster.Upsert(e)
 			}
 		}
-		d.roster.Applied(revision)
-		d.roster.CaughtUp()
+		l.roster.Applied(revision)
+		l.roster.CaughtUp()
 	})
 }
 
-// outdated reports whether a change is older than what is known, or of an entry
-// that has ended: a watch that goes on from a hub's revision tells again what the
-// hub has told since. The lock is held.
-func (d *endpointDuty) outdated(o objects.Object) bool {
+// outdated reports whether a change is older than the one applied, or of an entry that
+// was deleted: a watch that starts at a hub's revision returns changes again that the
+// hub has already sent. The lock is held.
+func (l *endpointList) outdated(o objects.Object) bool {
 	id := fleet.EndpointID(o.Name)
-	return o.Revision != 0 && (o.Revision < max(d.specs[id].revision, d.bad[id].revision) || o.Revision <= d.ended[id])
+	return o.Revision != 0 && (o.Revision < max(l.specs[id].revision, l.unreadable[id].revision) || o.Revision <= l.deleted[id])
 }
 
-// end takes an entry's end from the store. It is remembered: an entry that comes
-// back has a later revision. The lock is held.
-func (d *endpointDuty) end(now time.Time, o objects.Object) {
+// remove applies an entry's deletion in the store. Its revision is kept: an entry that is
+// created again has a later one. The lock is held.
+func (l *endpointList) remove(now time.Time, o objects.Object) {
 	id := fleet.EndpointID(o.Name)
-	if len(d.ended) >= maxEnded {
-		clear(d.ended)
+	if len(l.deleted) >= maxDeleted {
+		clear(l.deleted)
 	}
-	d.ended[id] = max(d.ended[id], o.Revision, d.specs[id].revision)
-	delete(d.bad, id)
-	d.roster.Remove(now, id)
+	l.deleted[id] = max(l.deleted[id], o.Revision, l.specs[id].revision)
+	delete(l.unreadable, id)
+	l.roster.Remove(now, id)
 }
 
-// maxEnded bounds the ends that are remembered: those of some hours of an
-// ordinary day. They are forgotten all at once; what is told again is seconds old.
-const maxEnded = 4096
+// maxDeleted bounds the deletions that are kept, those of some hours of an ordinary day.
+// All are dropped at once: changes that are received again are seconds old.
+const maxDeleted = 4096
 
 // Lost implements follow.Handler.
-func (d *endpointDuty) Lost(err error) { d.node.say("endpoints").WithError(err).Warn("store lost") }
+func (l *endpointList) Lost(err error) { l.node.logFor("endpoints").WithError(err).Warn("store lost") }
 
 // Recovered implements follow.Handler.
-func (d *endpointDuty) Recovered(failed time.Time) {
-	d.node.say("endpoints").Info("store is back")
-	d.update(func(time.Time) { d.roster.OutageEnded(failed) })
+func (l *endpointList) Recovered(failed time.Time) {
+	l.node.logFor("endpoints").Info("store is back")
+	l.update(func(time.Time) { l.roster.OutageEnded(failed) })
 }
 
-// decode reads an entry. One that names no endpoint is said once, and ends the
-// endpoint that it named before.
-func (d *endpointDuty) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
-	e, err := d.node.platform.DecodeEndpoint(now, o)
+// decode decodes an entry. One that can't be decoded is logged once for each reason,
+// and the endpoint that it described before is removed.
+func (l *endpointList) decode(now time.Time, o objects.Object) (roster.Endpoint, bool) {
+	e, err := l.node.platform.DecodeEndpoint(now, o)
 	if err != nil {
-		d.withdraw(fleet.EndpointID(o.Name), unread{err.Error(), o.Revision})
+		l.markUnreadable(fleet.EndpointID(o.Name), unreadableEntry{err.Error(), o.Revision})
 		return e, false
 	}
-	delete(d.bad, e.ID)
-	d.specs[e.ID] = spec{text: o.Spec, revision: o.Revision}
+	delete(l.unreadable, e.ID)
+	l.specs[e.ID] = spec{text: o.Spec, revision: o.Revision}
 	return e, true
 }
 
-func (d *endpointDuty) withdraw(id fleet.EndpointID, u unread) {
-	if d.bad[id].reason != u.reason {
-		d.node.say("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("entry names no endpoint")
+func (l *endpointList) markUnreadable(id fleet.EndpointID, u unreadableEntry) {
+	if l.unreadable[id].reason != u.reason {
+		l.node.logFor("endpoints").WithFields(map[string]any{"entry": id, "reason": u.reason}).Error("endpoint entry not decoded")
 	}
-	if len(d.bad) >= maxUnread {
-		clear(d.bad)
+	if len(l.unreadable) >= maxUnreadable {
+		clear(l.unreadable)
 	}
-	d.bad[id] = u
-	d.roster.Withdraw(id)
+	l.unreadable[id] = u
+	l.roster.Withdraw(id)
 }
 
-// maxUnread bounds the entries that are remembered as unreadable; beyond it they
-// are said again.
-const maxUnread = 1024
+// maxUnreadable bounds the unreadable entries that are kept; beyond it they are
+// logged again.
+const maxUnreadable = 1024
 
-// heard takes the list of a hub, where this daemon doesn't watch the store. A
-// hub has held back what may have lapsed with the store. Where the hub is behind
-// this daemon, only what it has that is newer counts.
-func (d *endpointDuty) heard(u *feed.Update) {
+// applyHubList applies a hub's list, where this daemon doesn't watch the store. The
+// hub has delayed removals that may be due to the store's outage. Where the hub is
+// behind this daemon, only its entries that are newer count.
+func (l *endpointList) applyHubList(u *feed.Update) {
 	if u.Empty() {
 		return
 	}
-	d.update(func(now time.Time) {
+	l.update(func(now time.Time) {
 		var list []roster.Endpoint
 		for _, it := range u.Items {
 			o := objects.Object{Name: it.Name, Spec: it.Spec, Revision: it.Revision}
-			if d.outdated(o) {
+			if l.outdated(o) {
 				continue
 			}
-			if e, ok := d.decode(now, o); ok {
+			if e, ok := l.decode(now, o); ok {
 				list = append(list, e)
 			}
 		}
-		older := u.To.Revision < d.roster.Revision()
+		older := u.To.Revision < l.roster.Revision()
 		if u.Full && !older {
-			d.node.say("endpoints").WithField("listed", len(list)).Info("whole list taken from a hub")
-			d.roster.Replace(now, list)
+			l.node.logFor("endpoints").WithField("listed", len(list)).Info("full list received from a hub")
+			l.roster.Replace(now, list)
 		}
 		for _, e := range list {
-			d.roster.Upsert(e)
+			l.roster.Upsert(e)
 		}
 		for _, name := range u.Removed {
-			d.roster.Remove(now, fleet.EndpointID(name))
+			l.roster.Remove(now, fleet.EndpointID(name))
 		}
 		if len(u.Keys) > 0 && !older {
-			d.removeOthers(now, u.Keys)
+			l.removeOthers(now, u.Keys)
 		}
 		if !older {
-			d.roster.Applied(u.To.Revision)
+			l.roster.Applied(u.To.Revision)
 		}
-		d.listed = true
+		l.listed = true
 	})
 }
 
-// removeOthers removes the endpoints that have none of some keys. The lock is
-// held.
-func (d *endpointDuty) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
-	there := make(map[rendezvous.ShortKey]bool, len(keys))
+// removeOthers removes the endpoints whose key is not among the given ones. The lock
+// is held.
+func (l *endpointList) removeOthers(now time.Time, keys []rendezvous.ShortKey) {
+	present := make(map[rendezvous.ShortKey]bool, len(keys))
 	for _, k := range keys {
-		there[k] = true
+		present[k] = true
 	}
-	for _, e := range d.all {
-		if !there[rendezvous.ShortKeyOf(string(e.ID))] {
-			d.roster.Remove(now, e.ID)
+	for _, e := range l.all {
+		if !present[rendezvous.ShortKeyOf(string(e.ID))] {
+			l.roster.Remove(now, e.ID)
 		}
 	}
 }
 
-// known reports whether this daemon has a list of endpoints.
-func (d *endpointDuty) known() bool {
-	_, listed := d.list()
+// hasList reports whether this daemon has a list of endpoints.
+func (l *endpointList) hasList() bool {
+	_, listed := l.list()
 	return listed
 }
 
-// late reports whether this daemon could not list the store though it has run
-// for a while: then a hub is asked for all.
-func (d *endpointDuty) late() bool {
-	return !d.known() && time.Since(d.node.started) > firstList && !d.node.watching.awaitsList()
+// firstListLate reports whether this daemon has not been able to list the store for longer
+// than firstListTimeout: then it requests the list from a hub.
+func (l *endpointList) firstListLate() bool {
+	return !l.hasList() && time.Since(l.node.started) > firstListTimeout && !l.node.watch.awaitsList()
 }
 
-// firstList is how long the first list of the store may take: a list of a
-// thousand endpoints goes over a weak machine's link in a quarter of a second.
-const firstList = 1500 * time.Millisecond
+// firstListTimeout is how long the first list of the store may take: a list of a
+// thousand endpoints takes a weak machine's link a quarter of a second.
+const firstListTimeout = 1500 * time.Millisecond
 
 // upTo returns the store's revision up to which this daemon's list is complete,
 // 0 where it has none.
-func (d *endpointDuty) upTo() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.roster.CompleteRevision()
+func (l *endpointList) upTo() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.roster.CompleteRevision()
 }
 
-// since returns what leads another daemon to this one's list.
-func (d *endpointDuty) since(p feed.Position) feed.Update {
+// since returns the changes that lead from another daemon's position to this
+// daemon's list.
+func (l *endpointList) since(p feed.Position) feed.Update {
 	if p == feed.NoUpdate {
 		return feed.Update{}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.publish()
-	return d.log.Since(p)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.publish()
+	return l.log.Since(p)
 }
 
-// update changes the roster and passes the new list on.
-func (d *endpointDuty) update(change func(now time.Time)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// update changes the roster and publishes the new list.
+func (l *endpointList) update(change func(now time.Time)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	change(time.Now())
-	if !d.roster.Changed() {
+	if !l.roster.Changed() {
 		return
 	}
-	all, _ := d.roster.Snapshot()
-	d.forgetGone(all, d.logChanges(all))
-	d.all = all
-	d.unlogged = true
-	d.pruneSpecs()
-	d.node.state.SetEndpoints(time.Now(), all)
-	d.node.starting.hasEndpoints()
-	d.node.say("endpoints").WithField("listed", len(all)).Debug("list changed")
+	all, _ := l.roster.Snapshot()
+	l.forgetGone(all, l.logChanges(all))
+	l.all = all
+	l.unlogged = true
+	l.pruneSpecs()
+	l.node.state.SetEndpoints(time.Now(), all)
+	l.node.startGate.hasEndpoints()
+	l.node.logFor("endpoints").WithField("listed", len(all)).Debug("list changed")
 }
 
-// logChanges says which endpoints leave and which are gone, and returns the new list by
+// logChanges logs which endpoints leave and which are gone, and returns the new list by
 // ID. The lock is held.
-func (d *endpointDuty) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
+func (l *endpointList) logChanges(now []roster.Endpoint) map[fleet.EndpointID]*roster.Endpoint {
 	current := make(map[fleet.EndpointID]*roster.Endpoint, len(now))
 	for i := range now {
 		current[now[i].ID] = &now[i]
 	}
 	var gone, leaving []*roster.Endpoint
-	for i := range d.all {
-		old := &d.all[i]
+	for i := range l.all {
+		old := &l.all[i]
 		e := current[old.ID]
 		switch {
 		case e == nil:
@@ -310,81 +312,81 @@
 			leaving = append(leaving, e)
 		}
 	}
-	d.logEach("endpoint gone", gone)
-	d.logEach("endpoint leaves", leaving)
+	l.logEach("endpoint gone", gone)
+	l.logEach("endpoint leaves", leaving)
 	return current
 }
 
-// loggedChanges bounds the lines for one change of the list at a daemon that doesn't
-// watch the store: a thousand endpoints that leave would be a line of each at each
-// daemon of the fleet.
+// loggedChanges bounds the log lines for one change of the list at a daemon that doesn't
+// watch the store: otherwise a thousand endpoints that leave are a thousand lines at
+// each daemon of the fleet.
 const loggedChanges = 16
 
-// logEach says the same of some endpoints.
-func (d *endpointDuty) logEach(what string, all []*roster.Endpoint) {
-	log := d.node.say("endpoints")
-	said := all
-	if len(all) > loggedChanges && !d.node.watching.watcher() {
-		said = all[:loggedChanges]
+// logEach logs a message for each of some endpoints.
+func (l *endpointList) logEach(message string, all []*roster.Endpoint) {
+	log := l.node.logFor("endpoints")
+	logged := all
+	if len(all) > loggedChanges && !l.node.watch.watcher() {
+		logged = all[:loggedChanges]
 	}
-	for _, e := range said {
-		log.WithFields(map[string]any{"endpoint": e.ID, "spot": e.Spot}).Info(what)
+	for _, e := range logged {
+		log.WithFields(map[string]any{"endpoint": e.ID, "spot": e.Spot}).Info(message)
 	}
-	if left := len(all) - len(said); left > 0 {
-		log.WithField("left_out", left).Info(what)
+	if omitted := len(all) - len(logged); omitted > 0 {
+		log.WithField("left_out", omitted).Info(message)
 	}
 }
 
-// publish puts the newest list into the log. The lock is held.
-func (d *endpointDuty) publish() {
-	if !d.unlogged {
+// publish puts the newest list into the log for other daemons. The lock is held.
+func (l *endpointList) publish() {
+	if !l.unlogged {
 		return
 	}
-	d.unlogged = false
-	items := make([]feed.Item, len(d.all))
-	for i := range d.all {
-		s := d.specs[d.all[i].ID]
-		items[i] = feed.Item{Name: string(d.all[i].ID), Spec: s.text, Revision: s.revision}
+	l.unlogged = false
+	items := make([]feed.Item, len(l.all))
+	for i := range l.all {
+		s := l.specs[l.all[i].ID]
+		items[i] = feed.Item{Name: string(l.all[i].ID), Spec: s.text, Revision: s.revision}
 	}
-	d.log.Set(d.roster.CompleteRevision(), items)
+	l.log.Set(l.roster.CompleteRevision(), items)
 }
 
-// pruneSpecs forgets the entries of endpoints that are gone, some at a time. The lock is
-// held.
-func (d *endpointDuty) pruneSpecs() {
-	if len(d.specs) <= len(d.all)+keptSpecs {
+// pruneSpecs drops the entries of endpoints that are gone, once there are more than
+// maxGoneSpecs. The lock is held.
+func (l *endpointList) pruneSpecs() {
+	if len(l.specs) <= len(l.all)+maxGoneSpecs {
 		return
 	}
-	specs := make(map[fleet.EndpointID]spec, len(d.all))
-	for i := range d.all {
-		specs[d.all[i].ID] = d.specs[d.all[i].ID]
+	specs := make(map[fleet.EndpointID]spec, len(l.all))
+	for i := range l.all {
+		specs[l.all[i].ID] = l.specs[l.all[i].ID]
 	}
-	d.specs = specs
+	l.specs = specs
 }
 
-// keptSpecs is how many entries of endpoints that are gone may be kept: to look for them
-// takes as long as the list is.
-const keptSpecs = 256
+// maxGoneSpecs bounds the kept entries of endpoints that are gone: finding them takes a
+// pass over the whole list.
+const maxGoneSpecs = 256
 
-// forgetGone closes kept connections to addresses that nobody has any more, and
-// to endpoints that have started again.
-func (d *endpointDuty) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
+// forgetGone closes idle connections to addresses that no endpoint has any more, and
+// to endpoints that have restarted.
+func (l *endpointList) forgetGone(now []roster.Endpoint, current map[fleet.EndpointID]*roster.Endpoint) {
 	kept := make(map[string]bool, len(now))
 	for i := range now {
 		kept[now[i].Address] = true
 	}
-	for i := range d.all {
-		e := &d.all[i]
+	for i := range l.all {
+		e := &l.all[i]
 		again := current[e.ID] != nil && e.RestartedAs(current[e.ID])
 		if again || !kept[e.Address] {
-			d.node.pool.CloseIdle(e.Address)
+			l.node.pool.CloseIdle(e.Address)
 		}
 	}
 }
 
-// list returns the endpoints, and whether the store has told them.
-func (d *endpointDuty) list() ([]roster.Endpoint, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.all, d.listed
+// list returns the endpoints, and whether a list has been received.
+func (l *endpointList) list() ([]roster.Endpoint, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.all, l.listed
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,24 +31,24 @@
 	pool      *upstream.Pool
 	clock     *clock.Clock
 	config    *configuration
-	fetching  *fetching
-	endpoints *endpointDuty
+	fetcher   *configFetcher
+	endpoints *endpointList
 	members   *members
-	joined    atomic.Pointer[members] // members, for who may ask before Run
-	telling   *telling
+	joined    atomic.Pointer[members] // members, for calls before Run
+	peers     *peerExchange
 	rollouts  *rolloutDuty
-	watching  *watching
-	starting  *starting
+	watch     *watchPolicy
+	startGate *startGate
 	begun     *begunCounts
-	crashes   *crashes
+	crashes   *crashGuard
 	requests  *requestLog
 	metrics   *metricSet
 
-	// extraSeeds are peers' addresses with ports of their own.
+	// extraSeeds are seeds in the form of peers' addresses, whose ports may differ.
 	extraSeeds []string
 
 	started  time.Time
-	grace    atomic.Int64 // of a stop, ns
+	grace    atomic.Int64 // of a stop, in nanoseconds
 	stopping atomic.Bool
 	wg       sync.WaitGroup
 }
@@ -62,45 +62,45 @@
 		log:      log,
 		started:  time.Now(),
 		clock:    clock.New(),
-		pool:     upstream.NewPool(startShare, upstream.DialTCP),
+		pool:     upstream.NewPool(initialShare, upstream.DialTCP),
 	}
 	budget := retry.Config{
 		Window: seconds(s.Bounds.RetryWindowSeconds), Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack,
 	}
 	limits := quota.New(s.Daemon.FirstStart, s.Bounds.tolerance())
 	n.state = relay.NewState(s.Daemon.DataCentre, limits, budget, random())
-	n.crashes = newCrashes(n)
+	n.crashes = newCrashGuard(n)
 	n.begun = newBegunCounts(seconds(s.Bounds.UsageWindowSeconds))
 	n.metrics = newMetricSet(n)
 	n.platform.Store = &countedStore{store: p.Store, metrics: n.metrics}
 	n.requests = newRequestLog(log, n.metrics)
 	n.relay = relay.New(n.state, n.pool, p.Protocol, &observer{n}, n.crashes)
-	n.watching = newWatching(n)
-	n.starting = newStarting(n.started)
+	n.watch = newWatchPolicy(n)
+	n.startGate = newStartGate(n.started)
 	n.config = newConfiguration(n)
-	n.fetching = newFetching(n)
-	n.endpoints = newEndpointDuty(n)
-	n.telling = newTelling(n)
+	n.fetcher = newConfigFetcher(n)
+	n.endpoints = newEndpointList(n)
+	n.peers = newPeerExchange(n)
 	n.state.SetRollouts(s.Bounds.rollouts())
 	n.rollouts = newRolloutDuty(n)
 	n.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	return n
 }
 
-// contact is how long after a disturbance the platform's bounds hold again.
-func (n *Node) contact() time.Duration { return millis(n.settings.Bounds.ContactMillis) }
+// contactBound is how long after a disturbance the platform's bounds apply again.
+func (n *Node) contactBound() time.Duration { return millis(n.settings.Bounds.ContactMillis) }
 
-// change is how long after its acknowledgement a change may not yet be in force.
-func (n *Node) change() time.Duration { return millis(n.settings.Bounds.ChangeMillis) }
+// changeBound is the longest time from a change's acknowledgement until it is in force.
+func (n *Node) changeBound() time.Duration { return millis(n.settings.Bounds.ChangeMillis) }
 
-// startShare is the connections to an endpoint until its service's bound and
-// the number of daemons are known.
-const startShare = 16
+// initialShare is the bound on connections to an endpoint until its service's bound and
+// the number of daemons are available.
+const initialShare = 16
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Run serves until the context ends, then leaves in order. The settings' file
-// is followed while it runs; signals ask for a look at once.
+// Run serves until the context ends, then drains and stops. The settings' file at path
+// is reloaded when it changes; a signal makes the daemon check it at once.
 func (n *Node) Run(ctx context.Context, path string, signals <-chan os.Signal) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -110,7 +110,7 @@
 	}
 	n.members = members
 	n.joined.Store(members)
-	if err := n.telling.listen(work); err != nil {
+	if err := n.peers.listen(work); err != nil {
 		return err
 	}
 	if err := n.serveMetrics(work); err != nil {
@@ -120,22 +120,22 @@
 	if err != nil {
 		return err
 	}
-	n.say("daemon").WithField("instance", n.settings.Daemon.Instance).Info("started")
+	n.logFor("daemon").WithField("instance", n.settings.Daemon.Instance).Info("started")
 	n.start(work)
 	n.wg.Go(func() { n.watchSettings(work, path, signals) })
 	<-ctx.Done()
 	n.leave(stop)
 	cancel()
 	n.wg.Wait()
-	n.say("daemon").Info("stopped")
+	n.logFor("daemon").Info("stopped")
 	return nil
 }
 
-// start starts the duties.
+// start starts the goroutines of all parts.
 func (n *Node) start(ctx context.Context) {
 	duties := []func(context.Context){
-		n.config.run, n.fetching.run, n.endpoints.run, n.endpoints.tick, n.telling.run, n.members.run, n.sweep, n.requests.run,
-		n.meet, n.crashes.watch.Run, n.crashes.learn,
+		n.config.run, n.fetcher.run, n.endpoints.run, n.endpoints.tick, n.peers.run, n.members.run, n.sweep, n.requests.run,
+		n.discover, n.crashes.watch.Run, n.crashes.readStored,
 	}
 	if n.platform.Cloud != nil {
 		duties = append(duties, newDuties(n).run)
@@ -145,10 +145,10 @@
 	}
 }
 
-// sweep closes connections to endpoints that were idle for too long.
+// sweep closes connections to endpoints that have been idle for too long.
 func (n *Node) sweep(ctx context.Context) {
 	pause.Every(ctx, time.Second, func() { n.pool.Sweep(time.Now()) })
 }
 
-// say returns the log of a part.
-func (n *Node) say(part string) *logrus.Entry { return n.log.WithField("part", part) }
+// logFor returns the log of a part.
+func (n *Node) logFor(part string) *logrus.Entry { return n.log.WithField("part", part) }
--- a/internal/node/relaying.go
+++ b/internal/node/relaying.go
@@ -8,76 +8,77 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/membership"
 )
 
-// relayerKept is how long another hub is told after it last relayed something: it may
-// stand in for one, which not all views of the fleet show.
-const relayerKept = time.Second
+// relayerTTL is how long another hub gets relayed reports after it last relayed
+// something: it may replace an unresponsive hub, which not all views of the fleet show.
+const relayerTTL = time.Second
 
-// relays reports whether this daemon relays what it is told: it is one of the hubs, or
-// stands in for one, which others know before its view shows it.
-func (t *telling) relays(l *layout) bool {
+// relays reports whether this daemon relays the reports that it receives: it is one of
+// the hubs, or replaces an unresponsive one, which others detect before its view does.
+func (x *peerExchange) relays(l *layout) bool {
 	if !l.meshed {
 		return false
 	}
-	if l.isHub(t.node.id) {
+	if l.isHub(x.node.id) {
 		return true
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.hub.IsRelaying(time.Now())
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return x.hub.IsRelaying(time.Now())
 }
 
-// begin begins a round.
-func (t *telling) begin() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.seq++
+// beginRound begins a round.
+func (x *peerExchange) beginRound() {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.seq++
 }
 
-func (t *telling) setRelaying(relays bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.relaying = relays
+func (x *peerExchange) setRelaying(relays bool) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.relaying = relays
 }
 
 // ownHubs returns the addresses of the hubs that this daemon reports to, and of as many
-// stand-ins as of these are silent.
-func (t *telling) ownHubs(l *layout) []string {
+// stand-ins as of these are unresponsive.
+func (x *peerExchange) ownHubs(l *layout) []string {
 	out := peersOf(l.own)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	silent := 0
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	unresponsive := 0
 	for _, address := range out {
-		if t.silent(address) {
-			silent++
+		if x.unresponsive(address) {
+			unresponsive++
 		}
 	}
-	out = append(out, peersOf(l.standIns[:min(silent, len(l.standIns))])...)
-	if l.meshed && silent == 0 && len(out) > 1 && t.loader == out[0] && t.seq%exchange.BackupEvery != 0 {
+	out = append(out, peersOf(l.standIns[:min(unresponsive, len(l.standIns))])...)
+	if l.meshed && unresponsive == 0 && len(out) > 1 && x.loadHub == out[0] && x.seq%exchange.BackupEvery != 0 {
 		return out[:1]
 	}
 	return out
 }
 
-// silent reports whether a hub has left the last report unanswered. The lock is held.
-func (t *telling) silent(address string) bool { return t.to(address).unanswered }
+// unresponsive reports whether a hub has left the last report unanswered. The lock is
+// held.
+func (x *peerExchange) unresponsive(address string) bool { return x.hubState(address).unanswered }
 
 // lostHub reports whether the hub that relays this daemon's reports has left the last one
-// unanswered, so that nobody may know of it.
-func (t *telling) lostHub() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.loader == "" || t.silent(t.loader)
+// unanswered, so that it may not have reached any daemon.
+func (x *peerExchange) lostHub() bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return x.loadHub == "" || x.unresponsive(x.loadHub)
 }
 
-// otherHubs returns the addresses of all hubs, of those that stand in for one, and of
-// those that may hold the duties next and have to know all parts then.
-func (t *telling) otherHubs(l *layout) []string {
+// otherHubs returns the addresses of all hubs, of those that replace one, and of those
+// that may hold the duties next and need all reports then.
+func (x *peerExchange) otherHubs(l *layout) []string {
 	out := append(peersOf(l.hubs), peersOf(l.candidates)...)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for address, at := range t.relayers {
-		if time.Since(at) > relayerKept {
-			delete(t.relayers, address)
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for address, at := range x.relayers {
+		if time.Since(at) > relayerTTL {
+			delete(x.relayers, address)
 			continue
 		}
 		out = append(out, address)
@@ -93,100 +94,103 @@
 	return out
 }
 
-// relay adds what this hub was told since it last told another one. The lock is held.
-func (t *telling) relay(l *layout, address string, p *exchange.Report) {
-	r := t.to(address)
-	r.relaying = t.hub.Cursor()
-	counted := r.relaying // no windows
-	if t.countsWindows(l, address) {
+// addRelayed adds to a report what this hub has received since it last relayed to another
+// hub. The lock is held.
+func (x *peerExchange) addRelayed(l *layout, address string, report *exchange.Report) {
+	r := x.hubState(address)
+	r.relaying = x.hub.Cursor()
+	counted := r.relaying // excludes the windows of usage
+	if x.countsWindows(l, address) {
 		counted = r.windowsTo
 	}
-	p.Relayed = t.hub.ReportsToRelay(time.Now(), r.relayedTo, counted)
+	report.Relayed = x.hub.ReportsToRelay(time.Now(), r.relayedTo, counted)
 }
 
-// countsWindows reports whether a daemon may hold the duties, for which usage is counted.
-func (t *telling) countsWindows(l *layout, address string) bool {
+// countsWindows reports whether a daemon may hold the duties, and so needs the windows of
+// usage.
+func (x *peerExchange) countsWindows(l *layout, address string) bool {
 	return slices.ContainsFunc(l.candidates, func(m membership.Member) bool { return m.Peer == address }) ||
-		slices.ContainsFunc(l.serving, func(m membership.Member) bool { return m.Peer == address && m.Daemon == t.holder.Daemon })
+		slices.ContainsFunc(l.serving, func(m membership.Member) bool { return m.Peer == address && m.Daemon == x.holder.Daemon })
 }
 
-// takeRelayed takes what another hub has relayed. The lock is held.
-func (t *telling) takeRelayed(now time.Time, steady time.Duration, p *exchange.Report) {
-	if !p.IsHub || p.Daemon == t.node.id {
+// takeRelayed applies what another hub has relayed. The lock is held.
+func (x *peerExchange) takeRelayed(now time.Time, steady time.Duration, report *exchange.Report) {
+	if !report.IsHub || report.Daemon == x.node.id {
 		return
 	}
-	for _, m := range t.node.members.serving() {
-		if m.Daemon == p.Daemon {
-			t.relayers[m.Peer] = now
+	for _, m := range x.node.members.serving() {
+		if m.Daemon == report.Daemon {
+			x.relayers[m.Peer] = now
 		}
 	}
-	for i := range p.Relayed {
-		r := &p.Relayed[i]
-		t.hub.AddRelayed(now, steady, r)
-		t.node.rollouts.told.hear(r.Daemon, r.Rollouts)
+	for i := range report.Relayed {
+		r := &report.Relayed[i]
+		x.hub.AddRelayed(now, steady, r)
+		x.node.rollouts.orders.addReports(r.Daemon, r.Rollouts)
 	}
 }
 
-// relayed notes that a hub has what was relayed to it, or that it is to be told all
-// again.
-func (r *reports) relayed(p *exchange.Report, err error) {
+// relayed notes that a hub has what was relayed to it, or, after an error, that all of it
+// must be relayed again.
+func (s *hubState) relayed(report *exchange.Report, err error) {
 	switch {
-	case !p.IsHub:
+	case !report.IsHub:
 	case err != nil:
-		r.relayedTo, r.windowsTo = 0, 0
+		s.relayedTo, s.windowsTo = 0, 0
 	default:
-		r.relayedTo, r.windowsTo = r.relaying, r.relaying
+		s.relayedTo, s.windowsTo = s.relaying, s.relaying
 	}
 }
 
-// useHub takes another hub's answer to a relay, which has no sums: this hub makes its own.
-func (t *telling) useHub(address string, sum *exchange.Reply, took time.Duration) {
-	t.useNews(address, sum, took)
+// applyHubReply applies another hub's reply to a relay, which has no totals: this hub
+// computes its own.
+func (x *peerExchange) applyHubReply(address string, reply *exchange.Reply, took time.Duration) {
+	x.applyUpdates(address, reply, took)
 	if took > exchange.ReplyTimeout {
-		t.late(sum)
+		x.applyLate(reply)
 		return
 	}
-	t.mu.Lock()
-	t.holder = t.holder.Newer(sum.Holder)
-	t.mu.Unlock()
-	t.node.state.AdoptLevels(time.Now(), sum.Soft.Levels)
+	x.mu.Lock()
+	x.holder = x.holder.Newer(reply.Holder)
+	x.mu.Unlock()
+	x.node.state.AdoptLevels(time.Now(), reply.Soft.Levels)
 }
 
-// fresh returns how old this daemon's word from the store is: its own, or that of the
-// hub whose list it follows. The lock is held.
-func (t *telling) fresh(now time.Time) time.Duration {
-	own := max(t.node.config.store.Age(), t.node.endpoints.store.Age())
-	if t.passedOn.IsZero() {
+// storeAge returns the time since the last contact with the store: this daemon's own, or
+// that of the hub whose list it follows. The lock is held.
+func (x *peerExchange) storeAge(now time.Time) time.Duration {
+	own := max(x.node.config.store.Age(), x.node.endpoints.store.Age())
+	if x.hubStoreContact.IsZero() {
 		return own
 	}
-	return min(own, now.Sub(t.passedOn))
+	return min(own, now.Sub(x.hubStoreContact))
 }
 
-// startAsking is how long a daemon that has no list of endpoints looks for a strong
-// machine in its own data centre that tells it; later any will do.
-const startAsking = 2 * time.Second
+// ownCentrePeriod is how long a daemon without a list of endpoints requests it from strong
+// machines of its own data centre alone; later from any.
+const ownCentrePeriod = 2 * time.Second
 
-// listers returns the address that a daemon without a list of endpoints asks for one
-// besides the hubs, while it doesn't ask the store.
-func (t *telling) listers(l *layout) []string {
-	if t.node.endpoints.known() || t.node.endpoints.due() {
+// listSources returns the address from which a daemon without a list of endpoints requests
+// one in addition to the hubs, while it doesn't list the store.
+func (x *peerExchange) listSources(l *layout) []string {
+	if x.node.endpoints.hasList() || x.node.endpoints.due() {
 		return nil
 	}
 	for _, m := range strongest(l.serving, len(l.serving)) {
-		if t.mayList(m.Peer) {
+		if x.mayAskList(m.Peer) {
 			return []string{m.Peer}
 		}
 	}
 	return nil
 }
 
-// mayList reports whether a daemon may be asked for a whole list: a weak machine's link
-// isn't wide enough for those of hundreds.
-func (t *telling) mayList(address string) bool {
-	m, ok := t.node.members.at(address)
+// mayAskList reports whether a whole list may be requested from a daemon: a weak machine's
+// link is too narrow for the lists of hundreds of daemons.
+func (x *peerExchange) mayAskList(address string) bool {
+	m, ok := x.node.members.at(address)
 	if !ok || strengthOf(m.Daemon) < hubStrength {
 		return false
 	}
-	near := m.DataCentre == t.node.settings.Daemon.DataCentre
-	return near || time.Since(t.node.started) > startAsking
+	near := m.DataCentre == x.node.settings.Daemon.DataCentre
+	return near || time.Since(x.node.started) > ownCentrePeriod
 }
--- a/internal/node/rolloutrunning.go
+++ b/internal/node/rolloutrunning.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// recordInterval is how often a running roll-out is written.
+	// recordInterval is how often the record of a running roll-out is written.
 	recordInterval = time.Second
 	// statusRetry is the pause after a status that could not be written.
 	statusRetry = 200 * time.Millisecond
@@ -21,18 +21,18 @@
 
 // runningRollout is a roll-out of which this daemon is the decider.
 type runningRollout struct {
-	decider  *rollout.Decider
-	order    rollout.Order
-	revision uint64 // of the order's object
-	kept     time.Time
-	keeping  bool
-	writing  bool
-	stated   bool // the status names this target and isn't final
-	final    bool // the status is final
-	retry    time.Time
+	decider       *rollout.Decider
+	order         rollout.Order
+	revision      uint64 // of the order's object
+	recordedAt    time.Time
+	writingRecord bool
+	writingStatus bool
+	hasStatus     bool // the status names this target and isn't final
+	final         bool // the status is final
+	retry         time.Time
 }
 
-// reorder takes an order with the same target and another duration.
+// reorder applies an order with the same target and another duration.
 func (r *runningRollout) reorder(order rollout.Order) {
 	if r.order != order {
 		r.order = order
@@ -40,17 +40,17 @@
 	}
 }
 
-// take takes what the store says of a roll-out. A final status is never left; one that
-// the store has lost is written again.
+// take applies the status of a roll-out from the store. A final phase is never left; a
+// final status that the store has lost is written again.
 func (r *runningRollout) take(n *Node, o objects.Object) {
 	if o.Revision < r.revision {
 		return
 	}
 	r.revision = o.Revision
 	target, phase, final := n.platform.DecodeRollout(o)
-	r.stated = target == r.order.Target
+	r.hasStatus = target == r.order.Target
 	switch {
-	case !r.stated || !final:
+	case !r.hasStatus || !final:
 		r.final = false
 	case !r.final:
 		r.final = true
@@ -58,37 +58,38 @@
 	}
 }
 
-// say logs where a roll-out stands.
-func (d *rolloutDuty) say(r *runningRollout, what string) {
+// logState logs the state of a roll-out.
+func (d *rolloutDuty) logState(r *runningRollout, message string) {
 	record := r.decider.Record()
 	d.log.WithFields(logrus.Fields{
 		"service": r.order.Service, "target": r.order.Target, "phase": record.Phase.String(), "reason": record.Reason,
 		"asked": record.Asked, "exposed": record.Exposed, "answers": record.Answers, "bad": record.Bad,
 		"chance": record.Chance, "route": record.Route, "share": record.Share,
-	}).Info(what)
+	}).Info(message)
 }
 
-// keep writes the record for a successor.
-func (d *rolloutDuty) keep(ctx context.Context, duties *duties, now time.Time, r *runningRollout, record rollout.Record) {
+// writeRecord writes the record from which a successor resumes.
+func (d *rolloutDuty) writeRecord(ctx context.Context, duties *duties, now time.Time, r *runningRollout, record rollout.Record) {
 	text, err := json.Marshal(record)
 	if err != nil {
 		d.log.WithError(err).Error("record not encoded")
 		return
 	}
-	r.keeping, r.kept = true, now
+	r.writingRecord, r.recordedAt = true, now
 	duties.call(ctx, func() func(time.Time) {
 		err := d.node.put(ctx, RolloutRecordKind, r.order.Service, text)
 		return func(time.Time) {
-			r.keeping = false
+			r.writingRecord = false
 			if err != nil {
-				d.log.WithError(err).WithField("service", r.order.Service).Info("record not kept")
+				d.log.WithError(err).WithField("service", r.order.Service).Info("record not written")
 			}
 		}
 	})
 }
 
-// state writes the status. Two deciders may try: the store takes one of them.
-func (d *rolloutDuty) state(ctx context.Context, duties *duties, r *runningRollout, phase rollout.Phase) {
+// writeStatus writes the status. Two deciders may write at once: the condition on the
+// revision lets one succeed.
+func (d *rolloutDuty) writeStatus(ctx context.Context, duties *duties, r *runningRollout, phase rollout.Phase) {
 	if _, ok := duties.fence(); !ok {
 		return
 	}
@@ -97,21 +98,21 @@
 		d.log.WithError(err).Error("status not encoded")
 		return
 	}
-	r.writing = true
+	r.writingStatus = true
 	revision := r.revision
 	duties.call(ctx, func() func(time.Time) {
 		o, err := d.node.platform.Store.SetStatus(ctx, d.node.platform.RolloutKind, r.order.Service, revision, status)
-		return func(now time.Time) { d.stated(now, r, phase, o, err) }
+		return func(now time.Time) { d.statusWritten(now, r, phase, o, err) }
 	})
 }
 
-// stated takes the answer to a status.
-func (d *rolloutDuty) stated(now time.Time, r *runningRollout, phase rollout.Phase, o objects.Object, err error) {
-	r.writing = false
+// statusWritten handles the result of writing a status.
+func (d *rolloutDuty) statusWritten(now time.Time, r *runningRollout, phase rollout.Phase, o objects.Object, err error) {
+	r.writingStatus = false
 	log := d.log.WithFields(logrus.Fields{"service": r.order.Service, "target": r.order.Target, "phase": phase.String()})
 	switch {
 	case err == nil:
-		r.revision, r.stated = max(r.revision, o.Revision), true
+		r.revision, r.hasStatus = max(r.revision, o.Revision), true
 		if phase.Final() {
 			r.final = true
 			r.decider.SetFinal(phase)
@@ -120,7 +121,7 @@
 	case errors.Is(err, objects.ErrConflict) && o.Revision != 0:
 		r.retry = now.Add(statusRetry)
 		r.take(d.node, o)
-		log.Info("another revision of the order stands")
+		log.Info("status not written: the order has another revision")
 	default:
 		r.retry = now.Add(statusRetry)
 		log.WithError(err).Warn("status not written")
