--- a/internal/template/backoff.go
+++ b/internal/template/backoff.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// backoff spaces out calls to something that doesn't answer: each failure
-// doubles the time, of which a random share is waited, so that daemons that
-// failed together don't come back together.
+// backoff is an exponential backoff with jitter: each failure doubles the mean
+// wait, and the wait is drawn from 0.5 to 1.5 times the mean, so that daemons
+// whose calls failed at the same time don't retry at the same time.
 type backoff struct {
 	failures int
 	until    time.Time
 }
 
-// maxDoublings keeps the shift from running over.
+// maxDoublings prevents an overflow of the shifted duration.
 const maxDoublings = 20
 
 func (b *backoff) fail(now time.Time, first, most time.Duration, random *rand.Rand) {
@@ -26,7 +26,7 @@
 
 func (b *backoff) allows(now time.Time) bool { return !now.Before(b.until) }
 
-// jitter returns a random duration below span.
+// jitter returns a random duration from 0 to span.
 func jitter(random *rand.Rand, span time.Duration) time.Duration {
 	return time.Duration(random.Float64() * float64(span))
 }
--- a/internal/template/bind.go
+++ b/internal/template/bind.go
@@ -7,11 +7,12 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// binder fills a Go value from a YAML tree. It takes scalars as they stand in
-// the text: a decoder that guesses types first turns version 1.10 into 1.1.
-// It goes on after a fault, so that an operator sees all of them at once, and
-// notes where each field stands. Aliases, anchors, tags and merge keys are
-// faults: a template needs none, and aliases make short texts huge.
+// binder decodes a YAML tree into a Go value. It keeps scalars as written,
+// because a decoder that infers types first turns version 1.10 into 1.1. It
+// continues after a problem, so that an operator sees all problems at once, and
+// records the position of each field. Aliases, anchors, tags and merge keys are
+// rejected: a template needs none, and aliases let a short text expand without
+// bound.
 type binder struct {
 	problems *problems
 }
@@ -35,7 +36,7 @@
 	}
 }
 
-// place notes where a field stands, unless its key is noted already.
+// place records a field's position, unless that of its key is recorded already.
 func (b *binder) place(node ast.Node, at *path) {
 	text := at.String()
 	if _, noted := b.problems.positions[text]; noted {
@@ -50,7 +51,7 @@
 	}
 }
 
-// pairs returns a mapping's pairs and notes where their keys stand.
+// pairs returns a mapping's pairs and records the positions of their keys.
 func (b *binder) pairs(node ast.Node, at *path) []pair {
 	var values []*ast.MappingValueNode
 	switch n := node.(type) {
@@ -82,7 +83,7 @@
 	return out
 }
 
-// pair is one key of a mapping.
+// pair is one key of a mapping and its value.
 type pair struct {
 	key   string
 	value ast.Node
@@ -145,7 +146,7 @@
 	into.SetString(text)
 }
 
-// scalarText returns a scalar as it stands in the text, without quotes.
+// scalarText returns a scalar as written, without quotes.
 func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case *ast.StringNode:
@@ -170,7 +171,7 @@
 	return fields
 }
 
-// keysOf returns a struct's JSON keys in their order.
+// keysOf returns a struct's JSON keys in the order of its fields.
 func keysOf(t reflect.Type) []string {
 	var keys []string
 	for i := range t.NumField() {
@@ -181,7 +182,7 @@
 	return keys
 }
 
-// keyOf returns a field's JSON key, empty for a field that isn't encoded.
+// keyOf returns a field's JSON key, empty for a field without a JSON tag.
 func keyOf(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return key
--- a/internal/template/change.go
+++ b/internal/template/change.go
@@ -9,44 +9,46 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/audit"
 )
 
-// Change is one operator's wish to create, amend or delete a template. Plan
-// says what to write. An answer that proves a version is an acceptance; after
-// any other answer the object is read and given to Resolve.
+// Change is an operator's request to create, amend or delete a template. Plan
+// returns the conditional write to make. If the store answers the write with a
+// version, the change is accepted, see Took; after any other answer the caller
+// reads the object again and calls Resolve.
 type Change struct {
 	Name      string
-	Expected  uint64    // version that the operator saw; 0: there is none
+	Expected  uint64    // version that the operator saw; 0 if there was none
 	Template  *Template // nil deletes
 	Who       string    // from a verified credential
 	Why       string
-	Operation string // unique to this change, a UUIDv7; the same over all its writes
+	Operation string // a UUIDv7, unique to this change and the same in all its writes
 }
 
-// Outcome is what became of a change.
+// Outcome is the state of a change.
 type Outcome string
 
 // The outcomes.
 const (
-	// Proceed: send Result.Write.
+	// Proceed: the caller must send Result.Write.
 	Proceed Outcome = "proceed"
-	// Accepted: the change took effect and is Result.Version.
+	// Accepted: the change took effect as version Result.Version.
 	Accepted Outcome = "accepted"
-	// Unchanged: the template already stands as wished, nothing was written.
+	// Unchanged: the template is already as requested, nothing was written.
 	Unchanged Outcome = "unchanged"
 	// Refused: the change took no effect and none of its writes ever will.
 	Refused Outcome = "refused"
-	// Unknown: the change may have taken effect; the trail no longer tells.
+	// Unknown: the change may have taken effect; the audit trail no longer
+	// reaches back far enough to decide.
 	Unknown Outcome = "unknown"
 )
 
-// Result is what to do with a change, or what became of it.
+// Result is the next step of a change, or its outcome.
 type Result struct {
 	Outcome    Outcome
 	Write      Write     // where Proceed
 	Version    uint64    // where Accepted or Unchanged
-	Superseded bool      // where Accepted: a later change stands after it
+	Superseded bool      // where Accepted: a later change has replaced it
 	Current    uint64    // version now in the store
-	Diff       []Line    // where Refused over a version: from the store's to the wished
-	Problems   []Problem // where Refused over the template itself
+	Diff       []Line    // where Refused for the version: from the stored template to the requested one
+	Problems   []Problem // where Refused for the change itself
 	Reason     string    // where Refused or Unknown
 }
 
@@ -57,7 +59,7 @@
 	Value     json.RawMessage
 }
 
-// Plan decides on a change to the record as just read from the store.
+// Plan decides on the change, given the record as just read from the store.
 func (c Change) Plan(current Record, now time.Time) Result {
 	if i := current.Audit.Find(c.Operation); i >= 0 {
 		return c.accepted(current, i)
@@ -74,10 +76,11 @@
 	return c.write(current, now)
 }
 
-// Resolve decides on a change whose write had an ambiguous answer or lost its
-// condition, from the record read after that. Write is the one that was sent.
-// Proceed asks for the very same write again: the first may still be on its
-// way, and because both have one condition, at most one of them takes effect.
+// Resolve decides on a change whose write had an ambiguous answer or failed its
+// condition, given the write that was sent and the record read afterwards.
+// With the outcome Proceed the same write must be sent again: the first may
+// still be in transit, and as both have the same condition, at most one of them
+// takes effect.
 func (c Change) Resolve(sent Write, readBack Record) Result {
 	if i := readBack.Audit.Find(c.Operation); i >= 0 {
 		return c.accepted(readBack, i)
@@ -94,12 +97,14 @@
 	}
 }
 
-// Took returns the result of a write that the store answered with its version.
+// Took returns the result of a change whose write the store answered with a
+// version.
 func (c Change) Took(version uint64) Result {
 	return Result{Outcome: Accepted, Version: version, Current: version}
 }
 
-// accepted finds the version of the change, the i-th of the trail.
+// accepted returns the result of a change that is the i-th entry of the audit
+// trail.
 func (c Change) accepted(r Record, i int) Result {
 	version := r.Audit.VersionAfter(i, r.Version)
 	return Result{Outcome: Accepted, Version: version, Superseded: version != r.Version, Current: r.Version}
@@ -117,7 +122,7 @@
 	return Result{Outcome: Refused, Current: r.Version, Diff: Diff(r.Template, c.Template), Reason: reason}
 }
 
-// problems returns the faults of the change itself.
+// problems returns the problems of the change itself.
 func (c Change) problems() []Problem {
 	var out []Problem
 	if err := c.entry(Record{}, audit.Amended, nil, time.Time{}).Check(); err != nil {
@@ -132,13 +137,14 @@
 	return append(out, c.Template.Check()...)
 }
 
-// expects reports whether the operator saw the record. Who expects no template
-// goes on from a tombstone: its version stays in the order.
+// expects reports whether the operator saw this version of the record. A change
+// that expects no template may replace a tombstone, so that the versions of the
+// name keep growing.
 func (c Change) expects(r Record) bool {
 	return c.Expected == r.Version || (c.Expected == 0 && r.Deleted)
 }
 
-// matches reports whether the record already stands as wished.
+// matches reports whether the record is already as requested.
 func (c Change) matches(r Record) bool {
 	if c.Template == nil {
 		return !r.Exists()
@@ -154,9 +160,9 @@
 	return err == nil && bytes.Equal(stands, wished)
 }
 
-// write makes the record that the change wants. The entry of the trail is in
-// the same value as the change: a write of its own could be lost, or outlive
-// a change that was refused.
+// write returns the conditional write of the changed record. The audit entry is
+// part of the same value, because a separate write of it could be lost, or
+// remain after the change was refused.
 func (c Change) write(current Record, now time.Time) Result {
 	next := Record{Name: c.Name, Template: c.Template, Deleted: c.Template == nil}
 	action, state, err := c.state(current)
@@ -173,7 +179,7 @@
 	return Result{Outcome: Refused, Current: current.Version, Problems: []Problem{fault}, Reason: "the change can't be stored"}
 }
 
-// state returns what the change does and the encoding of the new state.
+// state returns the change's audit action and the encoding of the new state.
 func (c Change) state(current Record) (audit.Action, []byte, error) {
 	if c.Template == nil {
 		return audit.Deleted, nil, nil
--- a/internal/template/check.go
+++ b/internal/template/check.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Check returns every fault of the template at once; none means that it can
+// Check returns all problems of the template. A template without problems can
 // be put in force.
 func (t *Template) Check() []Problem {
 	found := &problems{positions: t.positions}
@@ -14,8 +14,8 @@
 	return found.sorted()
 }
 
-// check notes every fault and returns the template with parameters replaced,
-// which is only good when there are none.
+// check adds all problems to found and returns the template with parameters
+// replaced, which is valid only if there are no problems.
 func (t *Template) check(found *problems) resolved {
 	checkName(t.Name, "name", found)
 	t.checkCounts(found)
@@ -25,8 +25,8 @@
 	return t.resolve(found)
 }
 
-// checkName notes a name that is no label of lower-case letters, digits, dots
-// and hyphens: names stand in paths of the object API and in metrics.
+// checkName checks that a name consists of lower-case letters, digits, dots and
+// hyphens: names are used in paths of the object API and in metric labels.
 func checkName(name, at string, found *problems) {
 	switch {
 	case name == "":
@@ -79,7 +79,7 @@
 	}
 }
 
-// methods are the methods that a call may name.
+// methods are the valid values of CallSpec.Method.
 var methods = []string{"*", "DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"}
 
 func (c CallSpec) check(at string, found *problems) {
@@ -112,7 +112,8 @@
 	}
 }
 
-// checkModelsOnce notes models that are the same as they stand in the text.
+// checkModelsOnce reports models that are listed twice, comparing their fields
+// before parameters are replaced.
 func (t *Template) checkModelsOnce(found *problems) {
 	seen := map[[3]Scalar]bool{}
 	for i, m := range t.Models {
@@ -124,8 +125,8 @@
 	}
 }
 
-// checkParameters notes parameters that nothing refers to: a slip in a name
-// would else leave a workspace on the default without a word.
+// checkParameters reports parameters that no field refers to: otherwise a
+// misspelt name would silently leave a workspace on the default.
 func (t *Template) checkParameters(used map[string]bool, found *problems) {
 	check := func(at string, parameters map[string]string) {
 		for name, value := range parameters {
--- a/internal/template/credential.go
+++ b/internal/template/credential.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// credential is a bearer token and the workspace it belongs to.
+// credential is a bearer token and its workspace.
 type credential struct {
 	token     Token
 	workspace *Workspace
-	disputed  bool // templates give it to different workspaces
+	disputed  bool // templates assign it to different workspaces
 }
 
-// credentials finds workspaces by the hash of their callers' tokens. The key
-// is the hash's first eight bytes; the whole hash is compared in constant
-// time, so that answers' timing gives no more than that key away. Only hashes
-// are kept: who reads a template or a core dump has no token.
+// credentials maps the hashes of callers' tokens to workspaces. The key is the
+// first eight bytes of the hash. The whole hash is compared in constant time,
+// so that response times reveal no more than the key. Tokens are not kept, only
+// their hashes, so that a template or a core dump reveals no token.
 type credentials map[uint64][]credential
 
 func credentialKey(hash *[32]byte) uint64 { return binary.BigEndian.Uint64(hash[:8]) }
 
-// add gives a token to a workspace. A token that another workspace has as well
-// is disputed and then opens neither: whichever won, one customer's callers
-// would run as another's.
+// add assigns a token to a workspace. It reports whether another workspace has
+// the token as well; such a token is rejected, because one workspace's callers
+// would otherwise be authenticated as the other's.
 func (c credentials) add(token Token, workspace *Workspace) (disputed bool) {
 	key := credentialKey(&token.Hash)
 	for i := range c[key] {
@@ -43,7 +43,7 @@
 	return false
 }
 
-// later returns the later expiry; zero is never.
+// later returns the later expiry; the zero time is no expiry.
 func later(a, b time.Time) time.Time {
 	if a.IsZero() || b.IsZero() {
 		return time.Time{}
--- a/internal/template/diff.go
+++ b/internal/template/diff.go
@@ -7,10 +7,10 @@
 	"strconv"
 )
 
-// Line is one field that differs between two templates. An absent field is
-// the empty string.
+// Line is one field that differs between two templates. The value of an absent
+// field is the empty string.
 type Line struct {
-	Path string `json:"path"` // entries of sequences go by name: workspaces[magnolia].limits.burst
+	Path string `json:"path"` // with names as indexes: workspaces[magnolia].limits.burst
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
@@ -27,8 +27,8 @@
 	}
 }
 
-// Diff returns the fields that differ from a to b, in the order of the form.
-// Either may be nil, for no template.
+// Diff returns the fields that differ between a and b, in the schema's order,
+// removed ones last. A nil template has no fields.
 func Diff(a, b *Template) []Line {
 	old, next := flatten(a), flatten(b)
 	var out []Line
@@ -45,12 +45,13 @@
 	return out
 }
 
-// leaves is a template as the texts of its fields, in order.
+// leaves holds the texts of a template's fields by path, and the paths in order.
 type leaves struct {
 	paths  []string
 	values map[string]string
 }
 
+// add adds a field. A path that is already used gets a numbered suffix.
 func (l *leaves) add(path, value string) {
 	if value == "" {
 		return
@@ -108,7 +109,7 @@
 	l.flag(at+".nonIdempotent", m.NonIdempotent)
 }
 
-// modelName returns a model's name in a path.
+// modelName returns a model's index in a path.
 func modelName(model, adapter Scalar) string {
 	if adapter == "" {
 		return string(model)
@@ -157,7 +158,8 @@
 	}
 }
 
-// token shows the head of a token's hash, enough to tell tokens apart.
+// token adds a token, indexed by the first 12 digits of its hash, enough to
+// distinguish tokens.
 func (l *leaves) token(at string, token TokenSpec) {
 	expires := "never expires"
 	if token.Expires != "" {
--- a/internal/template/history.go
+++ b/internal/template/history.go
@@ -1,19 +1,20 @@
 package template
 
-// pastSteps bounds the remembered steps. At 3,700 changes a day they cover 100
-// minutes, far more than a daemon that follows can be behind.
+// pastSteps bounds the recorded steps. At 3,700 changes a day they cover 100
+// minutes, far more than a daemon in contact with its peers can be behind.
 const pastSteps = 256
 
-// step is one revision that this daemon put in force, and its digest after it.
+// step is one revision that this daemon put in force, and its digest afterwards.
 type step struct {
 	digest  Digest
 	name    string
 	version uint64
 }
 
-// history is the last steps, oldest first from next on. A digest can't be
-// undone into versions, but as daemons apply one order of changes, the digest
-// of one that lags is most often one that this daemon had before.
+// history is a ring buffer of the last steps; once full, the oldest is at next.
+// A digest doesn't reveal the versions it covers, but daemons apply changes
+// mostly in the same order, so the digest of a daemon that lags is usually one
+// that this daemon had before.
 type history struct {
 	steps []step
 	next  int
@@ -32,7 +33,8 @@
 // at returns the i-th oldest step.
 func (h *history) at(i int) *step { return &h.steps[(h.next+i)%len(h.steps)] }
 
-// find returns the number of the step that led to a digest, -1 when unknown.
+// find returns the index of the last step that led to a digest, counted from
+// the oldest; -1 if there is none.
 func (h *history) find(digest Digest) int {
 	for i := len(h.steps) - 1; i >= 0; i-- {
 		if h.at(i).digest == digest {
@@ -42,8 +44,8 @@
 	return -1
 }
 
-// reached returns the number of the step that put a version of a name, or a
-// higher one, in force; -1 when that was before all remembered steps.
+// reached returns the index of the first recorded step that put a version of a
+// name, or a higher one, in force; -1 if that was before all recorded steps.
 func (h *history) reached(name string, version uint64) int {
 	for i := range h.steps {
 		if s := h.at(i); s.name == name && s.version >= version {
--- a/internal/template/inforce.go
+++ b/internal/template/inforce.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Limits bounds a workspace over the whole fleet; 0 is no limit.
+// Limits bounds a workspace's use of the whole fleet; 0 is no limit.
 type Limits struct {
 	RequestsPerSecond float64
 	Burst             float64 // requests above the rate
@@ -16,7 +16,7 @@
 	MaxTokens         int     // of one answer
 }
 
-// Latency is what 95 of 100 completions must meet; 0 is no target.
+// Latency is the target for the 95th percentile of completions; 0 is no target.
 type Latency struct {
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
@@ -25,22 +25,22 @@
 // Model is a model with the parameters resolved.
 type Model struct {
 	Ref           fleet.ModelRef
-	MinReplicas   int // engines that must hold it
+	MinReplicas   int // engines that must have it loaded
 	Latency       Latency
 	NonIdempotent bool // its completions must run at most once
 }
 
-// Closing is a peak of work with the parameters resolved.
+// Closing is a workspace's closing with the parameters resolved.
 type Closing struct {
 	Template  string
 	Workspace fleet.WorkspaceID
-	At        time.Time
-	Window    time.Duration // before At
+	At        time.Time     // the deadline
+	Window    time.Duration // time before At in which the work arrives
 	Priority  int           // 0 to 100, greater goes first
 	Weights   Weights
 }
 
-// Weights weighs recomputed tokens against cost; they sum to 1.
+// Weights weighs recomputed tokens against cost; the two sum to 1.
 type Weights struct {
 	Recompute float64
 	Cost      float64
@@ -52,19 +52,20 @@
 	Expires time.Time // zero: never
 }
 
-// Workspace is what request handlers need of a workspace. It is immutable.
+// Workspace holds what request handlers use of a workspace. It is immutable.
 type Workspace struct {
 	ID       fleet.WorkspaceID
 	Limits   Limits
 	Priority int     // 0 to 100, greater goes first
 	Weight   float64 // share under contention
-	Models   []Model // it may use, in the template's order
+	Models   []Model // those it may use, in the template's order
 	Services []string
-	Closings []Closing // one a template
+	Closings []Closing // one per template
 }
 
-// Model returns the model that serves a request for a model by name. An empty
-// adapter takes an entry without one, else the first of that name.
+// Model returns the model that serves a request for a model and adapter. With
+// an empty adapter it prefers a model without one, else it returns the first of
+// that name.
 func (w *Workspace) Model(model, adapter string) (Model, bool) {
 	first := -1
 	for i := range w.Models {
--- a/internal/template/merge.go
+++ b/internal/template/merge.go
@@ -8,14 +8,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// merger builds a Snapshot from the templates in force. Its result depends on
-// the set of templates alone, not on the order in which they came, so that
-// daemons with equal digests decide alike.
+// merger builds a Snapshot from the templates in force. The result depends only
+// on the set of templates, not on the order in which they arrived, so that
+// daemons with equal digests make equal decisions.
 //
 // A workspace in several templates may use the models and services of all;
 // its limits, priority and weight come from the template whose closing has the
-// highest priority, the first by name among equals. Of a model that several
-// ask for, the most replicas and the shortest latencies count.
+// highest priority, the first by name among equals. A model in several
+// templates gets the highest replica count and the shortest latencies.
 type merger struct {
 	out    *Snapshot
 	models map[fleet.ModelRef]Model
@@ -47,7 +47,8 @@
 	return m.out
 }
 
-// compareResolved puts the template that decides over limits first.
+// compareResolved orders by descending priority, so that the template whose
+// limits apply comes first.
 func compareResolved(a, b *resolved) int {
 	return cmp.Or(cmp.Compare(b.priority(), a.priority()), cmp.Compare(a.name, b.name))
 }
@@ -87,7 +88,7 @@
 	known.Closings = slices.Concat(known.Closings, w.Closings)
 }
 
-// model adds a model that engines must hold.
+// model adds a model that engines must have loaded.
 func (m *merger) model(model Model) {
 	known, ok := m.models[model.Ref]
 	if ok {
@@ -96,7 +97,7 @@
 	m.models[model.Ref] = model
 }
 
-// stricter returns what satisfies both descriptions of one model.
+// stricter returns the requirements that satisfy both a and b.
 func stricter(a, b Model) Model {
 	a.MinReplicas = max(a.MinReplicas, b.MinReplicas)
 	a.NonIdempotent = a.NonIdempotent || b.NonIdempotent
@@ -117,7 +118,7 @@
 	return min(a, b)
 }
 
-// mergeModels returns new slices: those of templates are shared by snapshots.
+// mergeModels returns a new slice, because snapshots share those of templates.
 func mergeModels(a, b []Model) []Model {
 	out := slices.Clone(a)
 	for _, model := range b {
@@ -152,7 +153,7 @@
 	}
 }
 
-// dispute notes a token with two owners.
+// dispute records a token that is assigned to two workspaces.
 func (m *merger) dispute(token Token, second fleet.WorkspaceID) {
 	for _, known := range m.out.tokens[credentialKey(&token.Hash)] {
 		if known.token.Hash == token.Hash && known.workspace.ID != second {
--- a/internal/template/parse.go
+++ b/internal/template/parse.go
@@ -12,18 +12,18 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxTextBytes bounds a template's text. Its stored form must leave room for
-// the audit trail in the store's 1 MB a value.
+// MaxTextBytes bounds a template's text. The stored value, at most 1 MB, must
+// also have room for the audit trail.
 const MaxTextBytes = 512 << 10
 
-// maxNesting bounds how deep brackets and indents go. The form needs six
-// levels; the YAML parser recurses without a bound, and a text of nothing but
-// brackets would take all of the stack.
+// maxNesting bounds the nesting of brackets and indents. The schema needs six
+// levels. The YAML parser recurses without a bound, and a text of nothing but
+// brackets would exhaust the stack.
 const maxNesting = 32
 
-// Parse reads a template in YAML or JSON and checks it. It returns every
-// fault at once, in the order of the text. The template is nil when the text
-// has no readable form; with other faults it holds what could be read.
+// Parse decodes a template in YAML or JSON and checks it. It returns all
+// problems in the order of the text. The template is nil if the text has a
+// syntax error; with other problems it holds what could be decoded.
 func Parse(text []byte) (*Template, []Problem) {
 	found := &problems{positions: map[string]position{}}
 	if len(text) > MaxTextBytes {
@@ -57,7 +57,7 @@
 	return file.Docs[0].Body, nil
 }
 
-// syntaxProblem gives the parser's error its place.
+// syntaxProblem returns the parser's error with its position.
 func syntaxProblem(text []byte, err error) *Problem {
 	fault := &Problem{Message: err.Error()}
 	var syntax *yaml.SyntaxError
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// tooDeep refuses a text that might nest deeper than maxNesting. It counts
-// every bracket, also in strings, and the dashes and question marks that open
-// a level each on one line.
+// tooDeep returns a problem for a text that might nest deeper than maxNesting.
+// It counts every bracket, also in strings, and each dash and question mark that
+// opens a level within a line.
 func tooDeep(text []byte) *Problem {
 	depth := 0
 	for number, line := range bytes.Split(text, []byte("\n")) {
@@ -111,5 +111,5 @@
 	return nil
 }
 
-// list joins words for a message.
+// list joins words into one text for a message.
 func list(words []string) string { return strings.Join(words, ", ") }
--- a/internal/template/path.go
+++ b/internal/template/path.go
@@ -2,12 +2,13 @@
 
 import "strconv"
 
-// path is a field's place in a template, as a chain up to the root. Its text
-// is only made for a fault: a check of a thousand workspaces makes none.
+// path is the path of a field in a template, as a linked list up to the root.
+// Its text is built only for a problem, so that checking a valid template of a
+// thousand workspaces builds none.
 type path struct {
 	up    *path
 	key   string
-	index int // in a sequence, where key is empty
+	index int // in a sequence, if key is empty
 }
 
 func (p *path) field(key string) *path { return &path{up: p, key: key} }
--- a/internal/template/pattern.go
+++ b/internal/template/pattern.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// pattern matches paths of a plain service. A segment * stands for any one
-// segment, and ** at the end for any rest, also none. Letters match in either
-// case; empty and "." segments and what follows a semicolon don't count: a
-// service may take //Orders;a=b/ for /orders, and a call that is taken for a
-// repeatable one by mistake could run twice.
+// pattern matches paths of a plain service. A segment * matches any one
+// segment, and ** at the end matches any number of segments, including none.
+// Case, empty and "." segments and the part of a segment after a semicolon are
+// ignored: a service may treat //Orders;a=b/ as /orders, and a call that is
+// wrongly classified as idempotent could run twice.
 type pattern struct {
 	segments []string // lower case
 	rest     bool     // ends in **
 }
 
-// compilePattern reads a pattern such as /orders, /orders/*/lines or /admin/**. A fault is
-// what is wrong with it, empty for nothing.
+// compilePattern parses a pattern such as /orders, /orders/*/lines or /admin/**.
+// A non-empty fault describes why the pattern is invalid.
 func compilePattern(text string) (p pattern, fault string) {
 	if !strings.HasPrefix(text, "/") || len(text) > maxPathBytes {
 		return p, fmt.Sprintf("must start with / and have at most %d bytes", maxPathBytes)
@@ -43,8 +43,8 @@
 }
 
 // match reports whether a path, decoded and without its query, matches. A path
-// with a ".." segment matches every pattern, because which call it is depends
-// on the service.
+// with a ".." segment matches every pattern, because its meaning depends on the
+// service.
 func (p *pattern) match(path string) bool {
 	at := 0
 	for rest := path; rest != ""; {
@@ -65,7 +65,7 @@
 	return at == len(p.segments) || hasParent(path)
 }
 
-// hasParent reports whether a ".." segment stands in a path.
+// hasParent reports whether a path has a ".." segment.
 func hasParent(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		if segment == ".." {
--- a/internal/template/problem.go
+++ b/internal/template/problem.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Problem is one fault of a template. Line and Column count from 1; they are 0
-// in a template that didn't come from a text.
+// Problem is one reason why a template is invalid. Line and Column count from 1;
+// they are 0 for a template that wasn't parsed from a text.
 type Problem struct {
 	Path    string `json:"path"` // such as workspaces[0].limits.burst
 	Line    int    `json:"line,omitempty"`
@@ -29,23 +29,23 @@
 	return b.String()
 }
 
-// position is a place in a template's text, from 1.
+// position is a place in a template's text, counted from 1.
 type position struct {
 	line, column int
 }
 
-// maxProblems bounds a report: one fault in a template of a thousand
-// workspaces can show a thousand times, and nobody reads that far.
+// maxProblems bounds the reported problems: one mistake in a template of a
+// thousand workspaces can cause a thousand of them.
 const maxProblems = 100
 
-// problems collects faults.
+// problems collects a template's problems.
 type problems struct {
 	found     []Problem
 	positions map[string]position
 	seen      map[Problem]bool
 }
 
-// add notes a fault at a path, once.
+// add adds a problem at a path, unless it was added before.
 func (p *problems) add(path, message string) {
 	if len(p.found) >= maxProblems {
 		return
@@ -62,8 +62,8 @@
 	p.found = append(p.found, fault)
 }
 
-// nearest returns the position of a path, or of what encloses a field that is
-// missing.
+// nearest returns the position of a path; if the field is missing from the text,
+// that of the innermost enclosing field.
 func nearest(positions map[string]position, path string) position {
 	for path != "" {
 		if at, ok := positions[path]; ok {
@@ -74,7 +74,7 @@
 	return positions[""]
 }
 
-// sorted returns the faults in the order of the text.
+// sorted returns the problems in the order of the text.
 func (p *problems) sorted() []Problem {
 	slices.SortStableFunc(p.found, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/internal/template/ready.go
+++ b/internal/template/ready.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// CaughtUp notes that everything in a full list of the store, or in the answer
-// of a peer that had caught up, has been applied.
+// CaughtUp records that everything in a full list of the store, or in the
+// response of a peer that had caught up, has been applied.
 func (s *Store) CaughtUp(now time.Time) {
 	s.caughtUp = true
 	s.contact = now
 }
 
-// Ready reports whether callers may be served: once caught up, always. A
-// daemon that then reaches neither the store nor a peer goes on with what it
-// has; see the decision record on the order of configuration.
+// Ready reports whether callers may be served. It stays true once the store has
+// caught up: a daemon that later reaches neither the store nor a peer continues
+// with what it has in force.
 func (s *Store) Ready() bool { return s.caughtUp }
 
-// Isolated returns for how long nobody has confirmed what is in force.
+// Isolated returns the time since the platform's store or a peer last confirmed
+// what is in force; 0 before the store has caught up.
 func (s *Store) Isolated(now time.Time) time.Duration {
 	if !s.caughtUp {
 		return 0
@@ -22,6 +23,6 @@
 	return now.Sub(s.contact)
 }
 
-// Contact notes an answer of the store, such as a watch that ran out without
-// changes, or a peer with an equal digest.
+// Contact records that what is in force was confirmed, for instance by a watch
+// of the platform's store that ended without changes.
 func (s *Store) Contact(now time.Time) { s.contact = now }
--- a/internal/template/record.go
+++ b/internal/template/record.go
@@ -7,17 +7,18 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objectapi"
 )
 
-// Record is a template's object in the store: what changes are made on. The
-// zero Record stands for an object that was never written.
+// Record is a template's object in the platform's store, with its audit trail.
+// Changes are planned on a Record. The zero Record is an object that was never
+// written.
 type Record struct {
 	Name     string      `json:"-"`
-	Version  uint64      `json:"-"` // of the object; it orders all changes
+	Version  uint64      `json:"-"` // of the object; totally ordered over all templates
 	Deleted  bool        `json:"deleted,omitempty"`
 	Template *Template   `json:"template,omitempty"` // nil where Deleted
 	Audit    audit.Trail `json:"audit"`
 }
 
-// RecordOf reads an object of Kind.
+// RecordOf decodes an object of Kind.
 func RecordOf(object objectapi.Object) (Record, error) {
 	r := Record{Name: object.Name, Version: object.Version}
 	if object.Deleted || len(object.Value) == 0 {
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -9,22 +9,22 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// resolved is a template with all parameters replaced, ready to be merged
-// with the others in force.
+// resolved is a template with all parameters replaced, ready to be merged with
+// the other templates in force.
 type resolved struct {
 	name       string
 	workspaces []resolvedWorkspace
 	services   []ServiceSpec
 }
 
-// resolvedWorkspace is a workspace in one template.
+// resolvedWorkspace is a workspace as one template describes it.
 type resolvedWorkspace struct {
 	Workspace
 	tokens []Token
 }
 
-// resolve replaces all parameters. Faults go to found; the result is only
-// good when there are none.
+// resolve replaces all parameters. It adds problems to found; the result is
+// valid only if there are none.
 func (t *Template) resolve(found *problems) resolved {
 	used := map[string]bool{}
 	out := resolved{name: t.Name, services: t.Services}
@@ -66,8 +66,8 @@
 	return priority, weight
 }
 
-// choose returns the workspace's scalar, or the default's where the workspace
-// states none, and its place.
+// choose returns the workspace's scalar, or the default if the workspace has
+// none, and the path of the one returned.
 func choose(own, def Scalar, at *path, key string) (Scalar, *path) {
 	if own != "" || def == "" {
 		return own, at.field(key)
@@ -118,8 +118,9 @@
 	return out
 }
 
-// allModels returns the template's models. Workspaces share them where no
-// parameter is in them: fifty models in a thousand workspaces take 6 MB.
+// allModels returns the template's models. Workspaces share them if no model
+// refers to a parameter: separate copies of fifty models for a thousand
+// workspaces take 6 MB.
 func (r *resolver) allModels() []Model {
 	if r.shared != nil {
 		return r.shared
@@ -144,7 +145,7 @@
 	return false
 }
 
-// matches reports whether the workspace's i-th use stands for a model.
+// matches reports whether the workspace's i-th ModelUse selects a model.
 func (r *resolver) matches(i int, ref fleet.ModelRef) bool {
 	use := r.workspace.Models[i]
 	model, _ := use.Model.expand(r.parameter)
@@ -152,7 +153,8 @@
 	return model == ref.Model && (adapter == "" || adapter == ref.Adapter)
 }
 
-// checkUse notes a use that stands for no model of the template.
+// checkUse reports the workspace's i-th ModelUse if it selects no model of the
+// template.
 func (r *resolver) checkUse(i int, all []Model, at *path) {
 	use := r.workspace.Models[i]
 	model := r.word(use.Model, at.field("model"), true)
@@ -222,7 +224,7 @@
 	}
 }
 
-// weights returns the two weights with sum 1.
+// weights returns the two weights, scaled to the sum 1.
 func (r *resolver) weights() Weights {
 	var root *path
 	spec, at := r.template.Weights, root.field("weights")
@@ -267,8 +269,8 @@
 	return out, err == nil
 }
 
-// priority returns the priority of the template's closing, the highest that a
-// workspace's parameters give it.
+// priority returns the priority of the template's closing: the highest of all
+// workspaces, because it may depend on a parameter.
 func (t *resolved) priority() int {
 	highest := 0
 	for i := range t.workspaces {
--- a/internal/template/resolver.go
+++ b/internal/template/resolver.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// resolver turns the scalars of a template into values for one workspace and
-// notes each that has none.
+// resolver converts the scalars of a template to values for one workspace and
+// reports those that are invalid.
 type resolver struct {
 	template  *Template
 	workspace *WorkspaceSpec
-	shared    []Model         // the template's models, where no parameter is in them
-	used      map[string]bool // parameters that some scalar refers to
+	shared    []Model         // the template's models, if no model refers to a parameter
+	used      map[string]bool // parameters that a scalar refers to
 	problems  *problems
 }
 
@@ -37,8 +37,8 @@
 	return text, true
 }
 
-// fault notes a fault of a scalar. Where a parameter is in it, the workspace
-// is named, because others may resolve it well.
+// fault reports a problem of a scalar. If the scalar refers to a parameter, the
+// message names the workspace, because the value may be valid for others.
 func (r *resolver) fault(s Scalar, at *path, message string) {
 	if s.parametrised() {
 		message += fmt.Sprintf(" (workspace %s)", r.workspace.Name)
@@ -60,7 +60,7 @@
 	return text
 }
 
-// number returns a scalar from 0 to high, 0 where it is empty.
+// number returns a scalar from 0 to high; 0 if it is empty.
 func (r *resolver) number(s Scalar, at *path, high float64) float64 {
 	text, ok := r.text(s, at)
 	if !ok || text == "" {
@@ -78,7 +78,7 @@
 	return value
 }
 
-// whole is number for whole numbers.
+// whole is like number, for whole numbers.
 func (r *resolver) whole(s Scalar, at *path, high int) int {
 	value := r.number(s, at, float64(high))
 	if value != math.Trunc(value) {
@@ -107,7 +107,7 @@
 	return value
 }
 
-// moment returns a scalar in RFC 3339.
+// moment returns a scalar that is a time in RFC 3339.
 func (r *resolver) moment(s Scalar, at *path) time.Time {
 	text, ok := r.text(s, at)
 	if !ok {
--- a/internal/template/revision.go
+++ b/internal/template/revision.go
@@ -6,11 +6,11 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objectapi"
 )
 
-// Revision is a template at a version as daemons put it in force and pass it
-// on. It has no audit trail, so that no change can be planned on one: a write
-// made from it would wipe the trail. Value stays as it was read, because a
-// daemon of an older release would drop the keys it doesn't know and pass the
-// rest on under the same version.
+// Revision is a template at a version, as daemons put it in force and send it
+// to peers. It has no audit trail, so no change can be planned on it: writing it
+// back would erase the trail. Value is kept as read, because a daemon of an
+// older release that encoded it anew would drop unknown keys and send the rest
+// under the same version.
 type Revision struct {
 	Name    string
 	Version uint64
@@ -18,7 +18,7 @@
 	Value   json.RawMessage // the template's JSON, empty where Deleted
 }
 
-// RevisionOf reads an object of Kind.
+// RevisionOf decodes an object of Kind.
 func RevisionOf(object objectapi.Object) (Revision, error) {
 	out := Revision{Name: object.Name, Version: object.Version, Deleted: object.Deleted}
 	if object.Deleted || len(object.Value) == 0 {
@@ -39,9 +39,9 @@
 	return out, nil
 }
 
-// RevisionsOf reads the objects of a list or a watch. Objects of other kinds
-// are left out; one that can't be read keeps its version with an empty Value,
-// which Store.Apply reports as unusable.
+// RevisionsOf decodes the objects of a list or a watch. It skips objects of
+// other kinds. An object that can't be decoded gives a revision with an empty
+// Value, which Store.Apply reports as unusable.
 func RevisionsOf(objects []objectapi.Object) []Revision {
 	out := make([]Revision, 0, len(objects))
 	for _, object := range objects {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Revision returns what daemons put in force of a record.
+// Revision returns the record's revision, without the audit trail.
 func (r Record) Revision() (Revision, error) {
 	out := Revision{Name: r.Name, Version: r.Version, Deleted: r.Deleted}
 	if r.Deleted || r.Template == nil {
--- a/internal/template/scalar.go
+++ b/internal/template/scalar.go
@@ -4,12 +4,12 @@
 	"strings"
 )
 
-// Scalar is a single value as it stands in a template's text: a number, a
-// duration, a time or a word, in which ${name} stands for a parameter.
+// Scalar is a single value as written in a template's text: a number, a
+// duration, a time or a name. It may contain ${name}, a reference to a parameter.
 type Scalar string
 
-// expand replaces the parameters in s. It returns the first name that has no
-// value, or an unclosed reference as it stands.
+// expand replaces the parameters in s. If it can't, missing is the first name
+// without a value, or an unclosed reference as written.
 func (s Scalar) expand(values func(name string) (string, bool)) (text, missing string) {
 	rest := string(s)
 	if !strings.Contains(rest, "${") {
--- a/internal/template/snapshot.go
+++ b/internal/template/snapshot.go
@@ -6,20 +6,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Snapshot is all templates in force as request handlers see them. It is
-// immutable; any number of goroutines may read it.
+// Snapshot is the merged result of all templates in force, for request handlers.
+// It is immutable and safe for concurrent use.
 type Snapshot struct {
 	Digest     Digest
-	Models     []Model         // that engines must hold, strictest of each Ref, in a fixed order
-	Closings   []Closing       // in a fixed order
-	Disputed   []TokenConflict // tokens that open no workspace
+	Models     []Model         // that engines must have loaded, one per Ref with its strictest requirements, in a fixed order
+	Closings   []Closing       // of all workspaces, in a fixed order
+	Disputed   []TokenConflict // tokens that are rejected
 	workspaces map[fleet.WorkspaceID]*Workspace
 	services   map[string][]call
 	tokens     credentials
 	versions   map[string]uint64
 }
 
-// TokenConflict is a token that templates give to two workspaces.
+// TokenConflict is a token that templates assign to two workspaces.
 type TokenConflict struct {
 	Hash   [32]byte
 	First  fleet.WorkspaceID
@@ -43,7 +43,7 @@
 	return w, ok
 }
 
-// Workspaces returns how many workspaces are in force.
+// Workspaces returns the number of workspaces in force.
 func (s *Snapshot) Workspaces() int { return len(s.workspaces) }
 
 // EachWorkspace calls f for each workspace, in no fixed order.
@@ -53,10 +53,11 @@
 	}
 }
 
-// Version returns a template's version in force; 0 is none or deleted.
+// Version returns a template's version in force; 0 if there is none or it is
+// deleted.
 func (s *Snapshot) Version(name string) uint64 { return s.versions[name] }
 
-// Service reports whether some template names a plain service.
+// Service reports whether any template lists a plain service.
 func (s *Snapshot) Service(name string) bool {
 	_, ok := s.services[name]
 	return ok
@@ -64,8 +65,8 @@
 
 // NonIdempotent reports whether a call of a plain service must run at most
 // once. The path is the service's own, decoded, without its query. A call that
-// any template lists is non-idempotent for every workspace: the service is the
-// same. A service that no template names gets the cautious answer.
+// any template lists is non-idempotent for every workspace, because they share
+// the service. All calls of a service that no template lists are non-idempotent.
 func (s *Snapshot) NonIdempotent(method, service, path string) bool {
 	calls, known := s.services[service]
 	if !known {
--- a/internal/template/spread.go
+++ b/internal/template/spread.go
@@ -9,53 +9,56 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// ActionKind is what a Spread wants done.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
-// The kinds of action. Each is answered by Fetched or FetchFailed, Listed or
-// ListFailed.
+// The kinds of action. The caller reports the result of a fetch to Fetched or
+// FetchFailed, that of a list to Listed or ListFailed.
 const (
 	FetchFromPeer ActionKind = "fetch"
 	ListStore     ActionKind = "list"
 )
 
-// Action is one call that a Spread wants made.
+// Action is a call that the caller of Tick must make.
 type Action struct {
 	Kind ActionKind
 	Peer fleet.DaemonID    // where FetchFromPeer
 	Have map[string]uint64 // where FetchFromPeer: the highest known version of each name
 }
 
-// Spread decides when a daemon asks whom for newer templates. Most changes
-// come by the watch. Peers' digests show what it missed or can't bring while
-// the store is down; a peer is then asked, one at a time. A rare full list
-// finds what neither showed. It isn't safe for concurrent use.
+// Spread decides when a daemon asks the platform's store or a peer for newer
+// templates. Most changes arrive by the watch of the store. Peers' digests
+// reveal changes that the watch missed, or can't deliver while the store is
+// down; they are then fetched from one peer at a time. An infrequent full list
+// of the store finds changes that both missed. A Spread isn't safe for
+// concurrent use.
 type Spread struct {
 	config SpreadConfig
 	store  *Store
 	random *rand.Rand
 	peers  []*peer // by daemon, so that the same seed gives the same choices
-	watch  bool    // its last answer was good
+	watch  bool    // whether the last watch succeeded
 
-	fetching fleet.DaemonID // peer that was asked, empty for none
-	fetchEnd time.Time      // when that call is given up
+	fetching fleet.DaemonID // peer of the fetch in progress, empty for none
+	fetchEnd time.Time      // when that fetch times out
 
-	listing  bool
-	listEnd  time.Time // when that call is given up
-	listNext time.Time
+	listing  bool      // whether a list is in progress
+	listEnd  time.Time // when that list times out
+	listNext time.Time // when the next list is due
 	listFail backoff
 }
 
-// peer is what is known of another daemon.
+// peer is the state kept for another daemon.
 type peer struct {
 	daemon fleet.DaemonID
 	digest Digest
-	heard  time.Time     // when this digest was first heard
-	delay  time.Duration // drawn for this digest, within FetchSpread
+	heard  time.Time     // when this digest was first received
+	delay  time.Duration // random delay of a fetch for this digest, below FetchSpread
 	fail   backoff
 }
 
-// NewSpread returns the spreading for a store, at now.
+// NewSpread returns a Spread for a store. The first list is due within
+// StartSpread of now.
 func NewSpread(config SpreadConfig, store *Store, random *rand.Rand, now time.Time) *Spread {
 	return &Spread{
 		config:   config,
@@ -65,7 +68,7 @@
 	}
 }
 
-// Heard takes a daemon's digest from the membership.
+// Heard handles a daemon's digest received with a membership message.
 func (s *Spread) Heard(now time.Time, daemon fleet.DaemonID, digest Digest) {
 	i, ok := s.find(daemon)
 	if !ok {
@@ -81,14 +84,14 @@
 	}
 }
 
-// find returns the index of a daemon in peers, or where it belongs.
+// find returns the index of a daemon in peers, or else where to insert it.
 func (s *Spread) find(daemon fleet.DaemonID) (int, bool) {
 	return slices.BinarySearchFunc(s.peers, daemon, func(p *peer, d fleet.DaemonID) int {
 		return cmp.Compare(p.daemon, d)
 	})
 }
 
-// Gone forgets a daemon that left or died.
+// Gone removes a daemon that left or failed.
 func (s *Spread) Gone(daemon fleet.DaemonID) {
 	if i, ok := s.find(daemon); ok {
 		s.peers = slices.Delete(s.peers, i, i+1)
@@ -98,7 +101,7 @@
 	}
 }
 
-// Watched takes a good answer of the store's watch, with or without changes.
+// Watched handles a successful watch of the store, with or without changes.
 func (s *Spread) Watched(now time.Time, changes ...Revision) []Applied {
 	s.watch = true
 	if s.store.caughtUp {
@@ -107,12 +110,12 @@
 	return s.store.Apply(changes...)
 }
 
-// WatchFailed notes that the watch is down.
+// WatchFailed handles a failed watch.
 func (s *Spread) WatchFailed() { s.watch = false }
 
-// WatchReset notes that the watch can't go on from its version: changes in
-// between may be lost, so a list is due. All daemons can meet this at once,
-// when the store returns, and spread their lists.
+// WatchReset handles a watch that can't resume from its version. Changes since
+// then may be missed, so a list becomes due. When the store comes back, this can
+// happen to all daemons at once, so each delays its list at random.
 func (s *Spread) WatchReset(now time.Time) {
 	s.watch = false
 	due := now.Add(jitter(s.random, s.config.StartSpread))
@@ -124,7 +127,7 @@
 // WatchFrom returns the version after which a new watch must start.
 func (s *Spread) WatchFrom() uint64 { return s.store.digest.Newest }
 
-// Listed takes a full list of the store.
+// Listed handles a full list of the store.
 func (s *Spread) Listed(now time.Time, all ...Revision) []Applied {
 	out := s.store.Apply(all...)
 	s.store.CaughtUp(now)
@@ -134,21 +137,21 @@
 	return out
 }
 
-// listPause draws the time to the next list.
+// listPause returns a random time until the next list.
 func (s *Spread) listPause() time.Duration {
 	mean := s.config.FleetList * time.Duration(len(s.peers)+1)
 	mean = min(max(mean, s.config.ListLeast), s.config.ListMost)
 	return mean/2 + jitter(s.random, mean)
 }
 
-// ListFailed notes that a list had no answer.
+// ListFailed handles a failed list.
 func (s *Spread) ListFailed(now time.Time) {
 	s.listing = false
 	s.listFail.fail(now, s.config.RetryFirst, s.config.RetryMost, s.random)
 }
 
-// Fetched takes a peer's answer. The peer must have caught up itself, see
-// Store.Newer; an answer that says otherwise is a FetchFailed.
+// Fetched handles a peer's response. The peer must have caught up itself, see
+// Store.Newer; if it hasn't, FetchFailed must be called instead.
 func (s *Spread) Fetched(now time.Time, daemon fleet.DaemonID, newer ...Revision) []Applied {
 	out := s.store.Apply(newer...)
 	s.caughtUpByPeer(now)
@@ -164,8 +167,9 @@
 	return out
 }
 
-// caughtUpByPeer puts off the list that was to fill a new daemon: after a
-// restart of all, the first few that have listed serve the rest.
+// caughtUpByPeer records that a peer brought the store up to date. It postpones
+// a new daemon's first list: after a restart of all daemons, the few that listed
+// first serve the rest.
 func (s *Spread) caughtUpByPeer(now time.Time) {
 	if !s.store.caughtUp && !s.listing {
 		s.listNext = now.Add(s.listPause())
@@ -173,13 +177,13 @@
 	s.store.CaughtUp(now)
 }
 
-// brought reports whether some revision was new. A peer whose digest differs
-// but who has nothing new is spaced out like one that doesn't answer.
+// brought reports whether any revision was put in force. A peer whose digest
+// differs but that has nothing new is backed off like one that doesn't respond.
 func brought(all []Applied) bool {
 	return slices.ContainsFunc(all, func(a Applied) bool { return a.Effect == InForce })
 }
 
-// FetchFailed notes that a peer gave no answer, or hasn't caught up.
+// FetchFailed handles a fetch that failed, or whose peer hasn't caught up.
 func (s *Spread) FetchFailed(now time.Time, daemon fleet.DaemonID) {
 	s.endFetch(daemon)
 	s.failed(now, daemon)
@@ -197,7 +201,8 @@
 	}
 }
 
-// Tick returns the calls that are due. A few times a second is often enough.
+// Tick returns the calls that are due. Calling it a few times a second is
+// enough.
 func (s *Spread) Tick(now time.Time) []Action {
 	var out []Action
 	s.expire(now)
@@ -212,7 +217,7 @@
 	return out
 }
 
-// expire gives up calls whose answer never came.
+// expire fails calls that have timed out.
 func (s *Spread) expire(now time.Time) {
 	if s.fetching != "" && !now.Before(s.fetchEnd) {
 		s.FetchFailed(now, s.fetching)
@@ -226,9 +231,10 @@
 	return !s.listing && !now.Before(s.listNext) && s.listFail.allows(now)
 }
 
-// source returns the peer to ask now, if any: one with the newest version
-// among those that have something that this daemon lacks, at random among
-// equals so that the first to have it isn't asked by all.
+// source returns the peer to fetch from now, if any: the one with the newest
+// version among those that may have something that this daemon lacks. Among
+// equals it chooses at random, so that not all daemons ask the first one to have
+// a change.
 func (s *Spread) source(now time.Time) (fleet.DaemonID, bool) {
 	if s.fetching != "" {
 		return "", false
@@ -252,15 +258,16 @@
 	return best, equals > 0
 }
 
-// useful reports whether a peer may have what this daemon lacks. One whose
-// newest version is lower is left alone: it will ask for ours and then, when
-// the two still differ, have as new a version and be asked itself.
+// useful reports whether a peer may have what this daemon lacks. A peer whose
+// newest version is lower isn't asked: it will fetch from this daemon, and if
+// the digests still differ afterwards, its newest version is no longer lower.
 func (s *Spread) useful(p *peer) bool {
 	own := s.store.digest
 	return !p.digest.IsZero() && p.digest != own && p.digest.Newest >= own.Newest
 }
 
-// dueAt returns when a peer may be asked for what its digest shows.
+// dueAt returns the earliest time of a fetch for a peer's current digest. While
+// the watch is healthy it leaves the watch time to deliver the change.
 func (s *Spread) dueAt(p *peer) time.Time {
 	switch {
 	case s.watch && s.store.caughtUp:
--- a/internal/template/spreadconfig.go
+++ b/internal/template/spreadconfig.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// SpreadConfig bounds how a daemon spends calls on catching up.
+// SpreadConfig bounds the calls that a daemon makes to find newer templates.
 type SpreadConfig struct {
-	// StartSpread is the time over which daemons that start together make
-	// their first list. The first few that have one serve the rest.
+	// StartSpread is the range of the random delay before a daemon's first list.
+	// Of daemons that start together, the few that list first serve the rest.
 	StartSpread time.Duration
-	// WatchGrace is how long a healthy watch may take to bring what a peer
-	// already has, before the peer is asked for it.
+	// WatchGrace is how long a healthy watch may take to deliver a change that a
+	// peer already has, before it is fetched from the peer.
 	WatchGrace time.Duration
-	// FetchSpread is the time over which daemons that hear of a newer version
-	// at once ask for it, while the watch is down.
+	// FetchSpread is the range of the random delay before a fetch, so that
+	// daemons that learn of a newer version at the same time don't all fetch it
+	// at once. The delay counts twice while the watch is healthy.
 	FetchSpread time.Duration
-	// RetryFirst and RetryMost bound the back-off of a peer or the store that
-	// doesn't answer or has nothing to give.
+	// RetryFirst and RetryMost are the first and the longest mean backoff for a
+	// peer or the store that doesn't respond, or a peer that has nothing new.
 	RetryFirst time.Duration
 	RetryMost  time.Duration
-	// FleetList is the mean time between two full lists in the whole fleet,
-	// which find what watch and digests missed. Each daemon lists less often
-	// the more daemons there are, so the store sees one rate at any size.
+	// FleetList is the mean time between two full lists by any daemon of the
+	// fleet; lists find what the watch and the digests missed. The more daemons
+	// there are, the less often each lists, so that the load on the store doesn't
+	// depend on the fleet's size.
 	FleetList time.Duration
-	// ListLeast and ListMost bound one daemon's time between lists.
+	// ListLeast and ListMost bound one daemon's mean time between lists.
 	ListLeast time.Duration
 	ListMost  time.Duration
-	// Timeout is the longest that a fetch or list is waited for.
+	// Timeout is that of a fetch or list.
 	Timeout time.Duration
 }
 
-// DefaultSpread holds the bounds for the fleet's target of 15 s: with the
-// watch healthy a fetch follows after 4 s at the most, with it down after 1 s.
+// DefaultSpread meets the fleet's target of 15 s for a change to be in force
+// everywhere: a fetch starts within 4 s if the watch is healthy, else within 1 s.
 var DefaultSpread = SpreadConfig{
 	StartSpread: 5 * time.Second,
 	WatchGrace:  2 * time.Second,
--- a/internal/template/status.go
+++ b/internal/template/status.go
@@ -2,33 +2,34 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// View is what membership knows of a daemon.
+// View is the membership's state of a daemon.
 type View struct {
 	Daemon    fleet.DaemonID
 	Digest    Digest
-	Reachable bool // alive or suspected, not gone
+	Reachable bool // alive or suspected, not failed
 }
 
-// Spreading says how far a version has come at one daemon.
+// Spreading is the state of a version at one daemon.
 type Spreading string
 
-// The answers.
+// The states of a version.
 const (
 	SpreadInForce  Spreading = "in-force"
 	SpreadBehind   Spreading = "behind"
-	SpreadUnproven Spreading = "unproven" // its digest is none that this daemon ever had; it passes
+	SpreadUnproven Spreading = "unproven" // its digest is none of those that this daemon recorded; transient
 	SpreadLost     Spreading = "unreachable"
 )
 
-// DaemonStatus says how far a version has come at one daemon.
+// DaemonStatus is the state of a version at one daemon.
 type DaemonStatus struct {
 	Daemon fleet.DaemonID
 	State  Spreading
 	Newest uint64 // highest version of any name there
 }
 
-// Status says which daemons have a version of a name, or a higher one, in
-// force. Digests travel with the membership, so the answer lags by as much.
+// Status reports which daemons have a version of a name, or a higher one, in
+// force. Digests arrive with membership messages, so the result lags by their
+// delay.
 func (s *Store) Status(name string, version uint64, views []View) []DaemonStatus {
 	out := make([]DaemonStatus, len(views))
 	for i, v := range views {
--- a/internal/template/store.go
+++ b/internal/template/store.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// Store is what one daemon has in force. It isn't safe for concurrent use; the
-// duty that owns it hands its Snapshot to request handlers.
+// Store holds the revisions that one daemon has in force. It isn't safe for
+// concurrent use; its owner passes the immutable Snapshot to request handlers.
 type Store struct {
 	held     map[string]*holding
-	unusable map[string]uint64 // highest version that couldn't be put in force
+	unusable map[string]uint64 // by name, the highest version that couldn't be put in force
 	digest   Digest
 	snapshot *Snapshot
 	caughtUp bool
-	contact  time.Time // last answer of the store's API or of a peer that had caught up
+	contact  time.Time // when the platform's store, or a peer that had caught up, last confirmed what is in force
 	past     history
 }
 
-// holding is the highest usable revision of a name.
+// holding is the revision of a name that is in force.
 type holding struct {
 	revision Revision
 	resolved *resolved // nil where deleted
 }
 
-// Effect is what Apply did with a revision.
+// Effect is the effect of applying a revision.
 type Effect string
 
 // The effects.
 const (
 	InForce  Effect = "in-force"
-	Older    Effect = "older"    // the same version or a higher one was known
-	Unusable Effect = "unusable" // the version before it stays in force
+	Older    Effect = "older"    // the same version or a higher one was applied or rejected before
+	Unusable Effect = "unusable" // the previous version stays in force
 )
 
-// Applied reports on one revision.
+// Applied is the result of applying one revision.
 type Applied struct {
 	Name    string
 	Version uint64
 	Deleted bool
 	Effect  Effect
-	Before  uint64    // version that was in force
+	Before  uint64    // version in force before, 0 for none
 	Faults  []Problem // where Unusable
 }
 
@@ -52,10 +52,10 @@
 	return s
 }
 
-// Apply puts revisions in force, each unless its version or a higher one of
-// its name is known already: answers of the store and of peers overtake each
-// other, and a late one must not bring an old state back. The order of the
-// revisions doesn't matter.
+// Apply puts revisions in force, except those of which the same or a higher
+// version of the name was applied or rejected before: responses of the
+// platform's store and of peers can arrive out of order, and a late one must not
+// restore an old state. The order of the revisions doesn't matter.
 func (s *Store) Apply(revisions ...Revision) []Applied {
 	out := make([]Applied, 0, len(revisions))
 	changed := false
@@ -112,12 +112,12 @@
 	return 0
 }
 
-// known returns the highest version of a name that was ever seen. An unusable
-// one counts, so that it isn't fetched over and over.
+// known returns the highest version of a name that was applied or rejected. An
+// unusable version counts, so that it isn't fetched again and again.
 func (s *Store) known(name string) uint64 { return max(s.version(name), s.unusable[name]) }
 
-// rebuild makes the snapshot anew. At a change every 23 s there is no need to
-// do it by parts.
+// rebuild builds a new snapshot from scratch. With a change every 23 s an
+// incremental update isn't needed.
 func (s *Store) rebuild() {
 	var all []*resolved
 	versions := map[string]uint64{}
@@ -131,11 +131,11 @@
 	s.snapshot = merge(all, s.digest, versions)
 }
 
-// Snapshot returns what is in force, for request handlers. It never changes.
+// Snapshot returns what is in force, for request handlers. It is immutable.
 func (s *Store) Snapshot() *Snapshot { return s.snapshot }
 
-// Digest returns what peers are told: zero until the store has caught up, so
-// that no daemon takes a half-filled one for a source.
+// Digest returns the digest to send to peers: zero until the store has caught
+// up, so that no daemon fetches from an incomplete store.
 func (s *Store) Digest() Digest {
 	if !s.caughtUp {
 		return Digest{}
@@ -143,8 +143,8 @@
 	return s.digest
 }
 
-// Have returns the highest known version of each name, for a peer to answer
-// with what is newer.
+// Have returns the highest known version of each name. A peer responds to it
+// with the revisions that are newer.
 func (s *Store) Have() map[string]uint64 {
 	out := make(map[string]uint64, len(s.held))
 	for name := range s.held {
@@ -156,9 +156,9 @@
 	return out
 }
 
-// Newer returns what a peer lacks, oldest first. It reports false while this
-// daemon hasn't caught up itself: an empty answer from it would let two new
-// daemons believe that there is nothing to have.
+// Newer returns the revisions that a peer lacks, oldest first. It reports false
+// while this daemon hasn't caught up itself: otherwise two new daemons would take
+// each other's empty response for the complete state.
 func (s *Store) Newer(have map[string]uint64) ([]Revision, bool) {
 	if !s.caughtUp {
 		return nil, false
--- a/internal/template/template.go
+++ b/internal/template/template.go
@@ -6,9 +6,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Template is a closing template as an operator writes it. A Scalar may hold
-// ${name} for a parameter, which each workspace resolves by its own value or
-// by the template's.
+// Template is a closing template as an operator writes it. A Scalar may contain
+// ${name}, a parameter whose value is the workspace's or else the template's.
 type Template struct {
 	Name       string            `json:"name"`
 	Parameters map[string]string `json:"parameters,omitempty"` // defaults, by name
@@ -22,20 +21,20 @@
 	positions map[string]position // of fields, by path; only after Parse
 }
 
-// JSON returns the form for storage: the fields in a fixed order.
+// JSON returns the encoding for the store, with the fields in a fixed order.
 func (t *Template) JSON() ([]byte, error) {
 	out, err := json.Marshal(t)
 	return out, Error.Wrap(err)
 }
 
-// YAML returns the form for operators; Parse reads it back.
+// YAML returns the encoding for operators; Parse decodes it.
 func (t *Template) YAML() ([]byte, error) {
 	out, err := yaml.Marshal(t)
 	return out, Error.Wrap(err)
 }
 
-// FromJSON reads the form for storage. Unlike Parse it passes over keys it
-// doesn't know: a daemon of an older release must go on serving what a newer
+// FromJSON decodes the encoding for the store. Unlike Parse it ignores unknown
+// keys, because a daemon of an older release must serve templates that a newer
 // one wrote.
 func FromJSON(value []byte) (*Template, error) {
 	t := new(Template)
--- a/internal/template/watchers.go
+++ b/internal/template/watchers.go
@@ -5,16 +5,16 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/rendezvous"
 )
 
-// Watchers is how many daemons watch templates in the store. A change is in
-// force at the daemon that accepted it at once and goes from digest to digest
-// from there; the watch is for changes whose answer was lost. When some
-// are lost or cut off, membership drops them and the next ones watch. Were all
-// to watch, each change would send the whole object, of which the audit trail
-// is the most, to every daemon.
+// Watchers is the number of daemons that watch templates in the store. A change
+// is in force at once at the daemon that accepted it, and other daemons find it
+// by that daemon's digest; the watch delivers changes whose response was lost.
+// When watchers fail or are partitioned, the membership removes them and others
+// take over. If all daemons watched, each change would send the whole object,
+// most of it audit trail, to every daemon.
 const Watchers = 6
 
 // Watches reports whether self is among the daemons that watch templates.
-// Alive may be in any order, with self or without.
+// Alive may be in any order, and may include self or not.
 func Watches(self fleet.DaemonID, alive []fleet.DaemonID) bool {
 	key := rendezvous.Key(Kind)
 	own, before := rendezvous.Score(key, string(self)), 0
