--- a/internal/template/bench_test.go
+++ b/internal/template/bench_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// large returns the example with a number of workspaces, each with a token.
+// large returns the example with this number of workspaces, each with a token.
 func large(t testing.TB, workspaces int) *Template {
 	out := example(t)
 	out.Workspaces = nil
@@ -28,7 +28,7 @@
 	return out
 }
 
-// full returns a record whose trail is as long as it gets.
+// full returns a record with an audit trail of the maximum length.
 func full(t testing.TB, template *Template) Record {
 	r := Record{Name: template.Name, Version: 5000, Template: template}
 	state, err := template.JSON()
@@ -79,8 +79,9 @@
 	}
 }
 
-// BenchmarkApply is what a watch's change costs a daemon: reading the object,
-// the checks, and a new snapshot. Bytes are those of the object.
+// BenchmarkApply measures a daemon's cost of a change received by a watch:
+// decoding and checking the object, and building a new snapshot. It also reports
+// the sizes of the object and of the revision kept.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// BenchmarkHeld prints the memory that a template in force takes: the revision,
+// BenchmarkHeld reports the memory used by a template in force: the revision,
 // its resolved form and the snapshot.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
@@ -120,7 +121,7 @@
 	}
 }
 
-// heap returns the bytes of live objects.
+// heap returns the size of all live objects in bytes.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -128,7 +129,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkParse is what a template's text costs the daemon that checks it.
+// BenchmarkParse measures a daemon's cost of parsing and checking a template's
+// text.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// BenchmarkPlan is what one change costs the daemon that an operator asks.
+// BenchmarkPlan measures a daemon's cost of planning one operator's change.
 func BenchmarkPlan(b *testing.B) {
 	record := full(b, large(b, 100))
 	wish := large(b, 101)
@@ -157,8 +159,9 @@
 	}
 }
 
-// BenchmarkSpread prints what a fleet needs to have one change everywhere with
-// the store down, and to catch up after a restart of all with the store up.
+// BenchmarkSpread reports the time and calls that a fleet needs to catch up after
+// a restart of all daemons with the store up, and then to put one change in force
+// everywhere with the store down.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{9, 85, 340} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -183,7 +186,7 @@
 	b.ReportMetric(float64(d.most), "change-fetches-from-one/tick")
 }
 
-// BenchmarkSpreadTick is what the decision costs a daemon of a quiet fleet.
+// BenchmarkSpreadTick measures the cost of one Tick in a fleet without changes.
 func BenchmarkSpreadTick(b *testing.B) {
 	d := newDaemons(340, true, revision(b, small("a"), 3))
 	d.until(b, (*Store).Ready)
--- a/internal/template/change_test.go
+++ b/internal/template/change_test.go
@@ -15,7 +15,7 @@
 	return Change{Name: "a", Expected: expected, Template: wish, Who: "ana", Why: "test", Operation: operation}
 }
 
-// stored returns the record that a change leaves behind.
+// stored returns the record after a change took effect as a version.
 func stored(t *testing.T, current Record, c Change, version uint64) Record {
 	r := c.Plan(current, noon)
 	assert.Equal(t, r.Outcome, Proceed, r.Reason)
@@ -27,8 +27,9 @@
 	return next
 }
 
-// An operator who amends what another has changed in the meantime is told the
-// version now in the store and what would differ, and nothing is written.
+// An operator amends a template that another has changed in the meantime. The
+// change must be refused with the stored version and the difference to it, not
+// overwrite the other's.
 func TestConflictShowsTheDifference(t *testing.T) {
 	first := stored(t, Record{Name: "a"}, change(0, small("a"), "1"), 5)
 	wish := small("a")
@@ -40,8 +41,8 @@
 	assert.Equal(t, r.Diff[0].String(), "+ workspaces[w].priority: 7")
 }
 
-// The answer to a write is lost, and another operator amends the template
-// before it is read back. The trail still shows that ours took effect.
+// The response to a write is lost, and another operator amends the template
+// before it is read back. The audit trail must show that the write took effect.
 func TestLostAnswerOfAChangeThatWasSuperseded(t *testing.T) {
 	ours := change(0, small("a"), "ours")
 	sent := ours.Plan(Record{Name: "a"}, noon).Write
@@ -55,8 +56,9 @@
 	assert.Equal(t, r.Superseded, true)
 }
 
-// The answer is lost and more changes follow than the trail keeps. Nobody can
-// tell any more, and "refused" would be a guess.
+// The response is lost and more changes follow than the audit trail keeps, so
+// whether the write took effect can't be decided. Reporting it as refused could
+// be wrong.
 func TestLostAnswerBeyondTheTrailIsUnknown(t *testing.T) {
 	ours := change(1, small("a"), "ours")
 	now := Record{Name: "a", Version: 2000, Template: small("a")}
@@ -67,8 +69,9 @@
 	assert.Equal(t, ours.Resolve(Write{IfVersion: 100}, now).Outcome, Refused)
 }
 
-// A read-back that shows the old version proves nothing: the write may be on
-// its way. The very same write is sent again, so that one at most takes effect.
+// A read-back that returns the old version doesn't prove that the write failed:
+// it may still be in transit. The same write must be sent again, with the same
+// condition, so that at most one of the two takes effect.
 func TestUnchangedVersionAsksForTheSameWrite(t *testing.T) {
 	ours := change(0, small("a"), "ours")
 	sent := ours.Plan(Record{Name: "a"}, noon).Write
@@ -77,14 +80,16 @@
 	assert.DeepEqual(t, r.Write, sent)
 }
 
-// A store that comes back with an older state must not be taken for a refusal.
+// A store restored to an older state doesn't show whether the write took effect,
+// so the change must not be reported as refused.
 func TestOlderVersionThanReplacedIsUnknown(t *testing.T) {
 	ours := change(9, small("a"), "ours")
 	assert.Equal(t, ours.Resolve(Write{IfVersion: 9}, Record{Name: "a", Version: 5}).Outcome, Unknown)
 }
 
-// A deleted template that is made anew goes on from its tombstone, or daemons
-// that know the tombstone would take the new one for older.
+// A template that is created again must replace its tombstone, with a higher
+// version. Otherwise daemons that have the tombstone would ignore the new
+// template as older.
 func TestRecreationGoesOnFromTheTombstone(t *testing.T) {
 	first := stored(t, Record{Name: "a"}, change(0, small("a"), "1"), 5)
 	tombstone := stored(t, first, change(5, nil, "2"), 8)
--- a/internal/template/example_test.go
+++ b/internal/template/example_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// monthEnd uses every field of the form.
+// monthEnd uses every field of a template.
 const monthEnd = `
 name: month-end
 parameters:
@@ -47,7 +47,7 @@
     priority: 20
 `
 
-// hashOf returns the form of a token in a template.
+// hashOf returns a token's hash as written in a template.
 func hashOf(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
@@ -61,14 +61,14 @@
 	return out
 }
 
-// revision returns a template as a daemon gets it.
+// revision returns a template's revision, as received by a daemon.
 func revision(t testing.TB, template *Template, version uint64) Revision {
 	r, err := Record{Name: template.Name, Version: version, Template: template}.Revision()
 	assert.NilError(t, err)
 	return r
 }
 
-// small returns a template of one workspace and model.
+// small returns a template of one workspace and one model.
 func small(name string) *Template {
 	return &Template{
 		Name:       name,
--- a/internal/template/operators_test.go
+++ b/internal/template/operators_test.go
@@ -13,12 +13,12 @@
 	"pgregory.net/rapid"
 )
 
-// objects is a store of one template, which keeps all versions it ever had.
+// objects is a store of one template that keeps all of its versions.
 type objects struct {
 	past    []objectapi.Object
-	newest  Record // of past, decoded
+	newest  Record // the last of past, decoded
 	version uint64
-	delayed []Write // on their way, may take effect at any later time
+	delayed []Write // in transit, may take effect at any later time
 }
 
 func (o *objects) current() objectapi.Object {
@@ -46,7 +46,7 @@
 	return o.newest
 }
 
-// operator amends the template again and again. One step is one call.
+// operator amends the template repeatedly. One step is one call to the store.
 type operator struct {
 	name     string
 	wanted   int // changes still to be accepted
@@ -59,8 +59,8 @@
 	unknown  []string
 }
 
-// step does the operator's next call of the store. Fate says what becomes of a
-// write: 0 its answer is lost, 1 it arrives late, 2 it never arrives.
+// step makes the operator's next call to the store. Fate is the fault injected
+// into a write: 0 loses its response, 1 delays it, 2 loses it; -1 is no fault.
 func (o *operator) step(t assert.TestingT, store *objects, fate int) {
 	if o.sending {
 		o.send(t, store, fate)
@@ -109,7 +109,7 @@
 	}
 }
 
-// amend lets operators work until each has its changes accepted.
+// amend runs operators until each has had its number of changes accepted.
 func amend(t assert.TestingT, operators, changes int, pick func(n int) int) (*objects, []*operator) {
 	store := &objects{newest: Record{Name: "month-end"}}
 	var all, busy []*operator
@@ -131,7 +131,7 @@
 	return store, all
 }
 
-// fate loses one answer in five, in one of three ways.
+// fate returns the fault of a write, see step: one write in five has one.
 func fate(pick func(n int) int) int {
 	if pick(5) > 0 {
 		return -1
@@ -139,8 +139,8 @@
 	return pick(3)
 }
 
-// checkHistory fails unless the versions are one line, each accepted change is
-// in it once, and no refused one is.
+// checkHistory fails unless each version continues the previous one, each
+// accepted change occurs exactly once, and no refused one occurs.
 func checkHistory(t assert.TestingT, store *objects, operators []*operator) {
 	times := map[string]int{}
 	before := Record{Name: "month-end"}
@@ -170,9 +170,10 @@
 	assert.Equal(t, len(store.past), accepted)
 }
 
-// Ten operators amend one template at once, 50 times each, and one answer in
-// five is lost: after the effect, before it, or the write arrives late. Each is
-// told the truth about every change, and the trail has no gap and nothing twice.
+// Ten operators concurrently amend one template, 50 times each, and one write in
+// five has no response: the response is lost, the write is lost, or it arrives
+// late. Each operator must get the true outcome of every change, and the audit
+// trail must have no gaps and no duplicates.
 func TestTenOperatorsAmendAtOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	store, operators := amend(t, 10, 50, random.IntN)
@@ -186,9 +187,9 @@
 	assert.Equal(t, len(store.read(t).Audit.Entries), audit.MaxKept)
 }
 
-// As above with schedules that rapid chooses. Daemons get the versions by
-// watch, list and peers, in any order and more than once: what one of them
-// shows must never go back.
+// As above, with random schedules. A daemon receives the versions by watch, list
+// and peers, in any order and repeatedly. The version it has in force must never
+// decrease.
 func TestHistoryIsOneLineAndNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
--- a/internal/template/parse_test.go
+++ b/internal/template/parse_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, len(stored.Check()), 0)
 }
 
-// A version such as 1.10 is a number to YAML. Read as one it becomes 1.1, and
-// engines would load another version than the operator asked for.
+// YAML treats a version such as 1.10 as a number. Decoded as one it becomes 1.1,
+// and engines would load another version than the operator requested.
 func TestVersionsStayAsWritten(t *testing.T) {
 	assert.Equal(t, string(example(t).Models[0].Version), "1.10")
 }
@@ -97,8 +97,8 @@
 	}
 }
 
-// An unquoted parameter within braces is a fault of the YAML, which the
-// parser's own words don't explain.
+// An unquoted parameter within braces is a YAML syntax error that the parser's
+// message doesn't explain, so a hint must be added.
 func TestUnquotedParameterWithinBraces(t *testing.T) {
 	_, problems := Parse([]byte("name: a\ndefaults: {priority: ${p}}\n"))
 	assert.Equal(t, len(problems), 1)
@@ -106,8 +106,8 @@
 	assert.Assert(t, strings.Contains(problems[0].Message, "in quotes"), problems[0].Message)
 }
 
-// The YAML parser takes half a minute for 100 KB of brackets, and the daemon
-// that an operator asked would do nothing else.
+// The YAML parser takes half a minute for 100 KB of brackets, during which a
+// daemon that parsed such a text would do nothing else.
 func TestDeepTextsNeverReachTheParser(t *testing.T) {
 	for _, text := range []string{"[", "{a: ", "- ", "? "} {
 		_, problems := Parse([]byte(strings.Repeat(text, 10_000)))
--- a/internal/template/spread_test.go
+++ b/internal/template/spread_test.go
@@ -10,23 +10,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// daemons is a fleet whose members hear of each other's digests.
+// daemons is a simulated fleet whose daemons exchange digests.
 type daemons struct {
 	ids     []fleet.DaemonID
 	stores  []*Store
 	spreads []*Spread
 	random  *rand.Rand
 	now     time.Time
-	stored  []Revision // what the platform's store holds
-	up      bool       // the platform's store answers
-	deaf    map[int]bool
+	stored  []Revision   // the content of the platform's store
+	up      bool         // whether the platform's store responds
+	deaf    map[int]bool // daemons that receive no digests
 	lists   int
 	fetches int
-	most    int // fetches from one daemon in one tick
+	most    int // maximum of fetches from one daemon in one tick
 }
 
-// ticksASecond and heardEach set the pace: each daemon hears the digests of a
-// few others in each tick, as the membership's probes carry them.
+// Each daemon receives the digests of up to heardEach others in each tick, as
+// it would with the probes of the membership.
 const (
 	ticksASecond = 5
 	heardEach    = 4
@@ -43,7 +43,7 @@
 	return d
 }
 
-// tick lets a fifth of a second pass.
+// tick advances the time by one tick, delivers digests and makes the calls due.
 func (d *daemons) tick() {
 	d.now = d.now.Add(time.Second / ticksASecond)
 	asked := map[fleet.DaemonID]int{}
@@ -89,7 +89,7 @@
 	}
 }
 
-// until ticks until every daemon satisfies f and returns the time that took.
+// until ticks until all daemons satisfy f and returns the simulated time taken.
 func (d *daemons) until(t testing.TB, f func(*Store) bool) time.Duration {
 	start := d.now
 	for d.now.Sub(start) < time.Hour {
@@ -106,8 +106,8 @@
 	return 0
 }
 
-// A change is accepted, and the store goes down before any watch tells of it.
-// The daemon that wrote it tells the others, and all have it within seconds.
+// A change is accepted, and the store goes down before any watch delivers it.
+// The others must fetch it from the daemon that wrote it, within seconds.
 func TestChangeSpreadsWithTheStoreDown(t *testing.T) {
 	d := newDaemons(9, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
@@ -120,8 +120,9 @@
 	assert.Assert(t, took < 15*time.Second, "%s", took)
 }
 
-// With the store down, a daemon that starts gets everything from a peer and
-// only then serves. One that reaches neither refuses, however long it waits.
+// With the store down, a new daemon must fetch everything from a peer before it
+// is ready. One that reaches neither the store nor a peer must never be ready,
+// as it would serve without the templates.
 func TestNewDaemonCatchesUpWithAPeer(t *testing.T) {
 	d := newDaemons(4, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
@@ -140,8 +141,9 @@
 	assert.Assert(t, d.stores[0].Ready(), "a daemon that had caught up goes on without the store")
 }
 
-// Two daemons each miss what the other has, and both have the same newest
-// version. Digests must show it, or they differ until the next full list.
+// Two daemons each miss a change that the other has, and their newest versions
+// are equal. Their digests must differ, or neither fetches before the next full
+// list.
 func TestPeersWithEachOthersGapsMeet(t *testing.T) {
 	d := newDaemons(2, false)
 	a, b, c := revision(t, small("a"), 3), revision(t, small("b"), 4), revision(t, small("c"), 9)
@@ -153,8 +155,8 @@
 	d.until(t, func(s *Store) bool { return len(s.held) == 3 })
 }
 
-// A peer's digest differs but it has nothing new, for instance because this
-// daemon can't use what it has. It must not be asked in each tick.
+// A peer's digest differs but it has nothing new, for instance because its
+// revision is unusable for this daemon. It must not be asked in each tick.
 func TestFruitlessPeerIsSpacedOut(t *testing.T) {
 	d := newDaemons(2, false)
 	d.stores[0].Apply(revision(t, small("a"), 3))
@@ -167,8 +169,8 @@
 	assert.Assert(t, d.fetches > 1 && d.fetches < 20, "%d fetches in ten minutes", d.fetches)
 }
 
-// In quiet a daemon asks no peer, and the fleet lists the store at one rate
-// whatever its size.
+// Without changes, daemons must not fetch from peers, and the rate of the fleet's
+// lists must not grow with its size.
 func TestQuietFleetCallsAreBounded(t *testing.T) {
 	d := newDaemons(60, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
--- a/internal/template/store_test.go
+++ b/internal/template/store_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Daemons that know the same versions have the same digest and decide alike,
-// in whatever order, how often and with whatever older ones they got them.
+// Daemons with the same versions must have equal digests and equal snapshots, in
+// whatever order and however often they received these and older versions.
 func TestEqualDigestsForEqualVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Revision
@@ -40,8 +40,8 @@
 	})
 }
 
-// A template that this release can't use must not take the working one out of
-// force, nor be fetched again and again.
+// A revision that this release can't use must not replace the one in force, nor
+// be fetched again and again.
 func TestUnusableRevisionLeavesTheOldInForce(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
@@ -56,8 +56,8 @@
 	assert.Equal(t, s.Apply(revision(t, small("a"), 8))[0].Effect, InForce)
 }
 
-// An old list arrives after a deletion. The tombstone has the higher version,
-// so the template must not come back.
+// An old list arrives after a deletion. The tombstone has the higher version, so
+// the template must not be restored.
 func TestDeletedTemplateStaysDeleted(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3), Revision{Name: "a", Version: 5, Deleted: true})
@@ -68,8 +68,8 @@
 	assert.Assert(t, ok && len(newer) == 1 && newer[0].Deleted)
 }
 
-// A daemon that hasn't caught up offers nothing: another new one would take
-// its empty answer for all there is, and refuse no caller.
+// A daemon that hasn't caught up must serve nothing to peers: another new daemon
+// would take an incomplete response for the complete state and become ready.
 func TestNewDaemonIsNoSource(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
@@ -80,8 +80,8 @@
 	assert.Assert(t, ok && s.Ready() && !s.Digest().IsZero())
 }
 
-// A key that only a newer release knows must reach the daemons of that release
-// through one that doesn't know it.
+// A daemon of an older release must send revisions on with keys that it doesn't
+// know, or daemons of the newer release would lose them.
 func TestRevisionKeepsUnknownKeys(t *testing.T) {
 	r := revision(t, small("a"), 3)
 	r.Value = append([]byte(`{"colour":"new",`), r.Value[1:]...)
@@ -142,7 +142,7 @@
 	assert.Equal(t, len(snapshot.Disputed), 1)
 }
 
-// inForce returns the snapshot of the example.
+// inForce returns the snapshot with the example in force.
 func inForce(t testing.TB) *Snapshot {
 	s := NewStore()
 	assert.Equal(t, s.Apply(revision(t, example(t), 1))[0].Effect, InForce)
@@ -177,8 +177,8 @@
 	assert.Assert(t, !ok)
 }
 
-// A service may take other spellings for the same call. Taken for repeatable,
-// such a call would be retried and could order twice.
+// A service may accept other spellings of a path for the same call. If such a
+// call is classified as idempotent, it is retried and could run twice.
 func TestNonIdempotentCallsInAnySpelling(t *testing.T) {
 	s := inForce(t)
 	for _, path := range []string{"/orders", "//orders/", "/Orders", "/./orders", "/stock/../orders", "/orders;a=b", "/orders/x/.."} {
