--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -41,7 +41,7 @@
 // configurationState is what the duty owns.
 type configurationState struct {
 	store  *template.Store
-	spread *template.Spread
+	spread *template.Syncer
 }
 
 // configurationDuty keeps the closing templates in force.
@@ -69,14 +69,14 @@
 
 func newConfigurationDuty(objects outside.Objects, startSpread time.Duration, state *lifecycle, log *logrus.Entry) *configurationDuty {
 	store := template.NewStore()
-	config := template.DefaultSpread
-	config.StartSpread = startSpread
-	config.RetryMost = listRetryMost
+	config := template.DefaultSyncConfig
+	config.StartJitter = startSpread
+	config.MaxBackoff = listRetryMost
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	d := &configurationDuty{
 		owner: newOwner("configuration", configurationRing, &configurationState{
 			store:  store,
-			spread: template.NewSpread(config, store, rng, time.Now()),
+			spread: template.NewSyncer(config, store, rng, time.Now()),
 		}),
 		objects: objects.As(budget.Configuration),
 		kinds:   func() []string { return allKinds },
@@ -155,7 +155,7 @@
 			s.spread.WatchFailed()
 			return
 		}
-		d.applied(s, s.spread.Watched(now, changes...))
+		d.applied(s, s.spread.WatchSucceeded(now, changes...))
 	})
 }
 
@@ -225,7 +225,7 @@
 		return
 	}
 	for daemon, digest := range heard {
-		s.spread.Heard(now, daemon, digest)
+		s.spread.DigestReceived(now, daemon, digest)
 	}
 	d.publish(s)
 }
@@ -233,7 +233,7 @@
 // gone forgets a daemon.
 func (d *configurationDuty) gone(daemon fleet.DaemonID) {
 	d.digests.drop(daemon)
-	d.tell(func(_ time.Time, s *configurationState) { s.spread.Gone(daemon) })
+	d.tell(func(_ time.Time, s *configurationState) { s.spread.PeerGone(daemon) })
 }
 
 func (d *configurationDuty) applied(s *configurationState, all []template.Applied) {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -187,7 +187,7 @@
 	out := operator.TemplateStatus{Name: name, Version: version, InForce: true}
 	for i, s := range o.daemon.configuration.status(name, version, views) {
 		out.Daemons = append(out.Daemons, operator.DaemonStatus{Instance: peers[i].Instance, State: s.State, Newest: s.Newest})
-		if s.State == template.SpreadBehind || s.State == template.SpreadUnproven {
+		if s.State == template.PropagationBehind || s.State == template.PropagationUnproven {
 			out.InForce = false
 		}
 	}
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -63,9 +63,9 @@
 
 // DaemonStatus reports whether a version of a template is in force at one daemon.
 type DaemonStatus struct {
-	Instance fleet.InstanceID   `json:"instance"`
-	State    template.Spreading `json:"state"`
-	Newest   uint64             `json:"newest"` // highest version of any template there
+	Instance fleet.InstanceID     `json:"instance"`
+	State    template.Propagation `json:"state"`
+	Newest   uint64               `json:"newest"` // highest version of any template there
 }
 
 // TemplateStatus reports which daemons have the stored version of a template in force.
--- a/internal/template/bench_test.go
+++ b/internal/template/bench_test.go
@@ -191,7 +191,7 @@
 	d := newDaemons(340, true, revision(b, small("a"), 3))
 	d.until(b, (*Store).Ready)
 	for i := range d.ids {
-		d.spreads[0].Heard(d.now, d.ids[i], d.stores[i].Digest())
+		d.spreads[0].DigestReceived(d.now, d.ids[i], d.stores[i].Digest())
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/template/status.go
+++ b/internal/template/status.go
@@ -9,21 +9,21 @@
 	Reachable bool // alive or suspected, not failed
 }
 
-// Spreading is the state of a version at one daemon.
-type Spreading string
+// Propagation is the state of a version at one daemon.
+type Propagation string
 
 // The states of a version.
 const (
-	SpreadInForce  Spreading = "in-force"
-	SpreadBehind   Spreading = "behind"
-	SpreadUnproven Spreading = "unproven" // its digest is none of those that this daemon recorded; transient
-	SpreadLost     Spreading = "unreachable"
+	PropagationInForce     Propagation = "in-force"
+	PropagationBehind      Propagation = "behind"
+	PropagationUnproven    Propagation = "unproven" // its digest is none of those that this daemon recorded; transient
+	PropagationUnreachable Propagation = "unreachable"
 )
 
 // DaemonStatus is the state of a version at one daemon.
 type DaemonStatus struct {
 	Daemon fleet.DaemonID
-	State  Spreading
+	State  Propagation
 	Newest uint64 // highest version of any name there
 }
 
@@ -33,32 +33,32 @@
 func (s *Store) Status(name string, version uint64, views []View) []DaemonStatus {
 	out := make([]DaemonStatus, len(views))
 	for i, v := range views {
-		out[i] = DaemonStatus{Daemon: v.Daemon, Newest: v.Digest.Newest, State: s.spreading(name, version, v)}
+		out[i] = DaemonStatus{Daemon: v.Daemon, Newest: v.Digest.Newest, State: s.propagation(name, version, v)}
 	}
 	return out
 }
 
-func (s *Store) spreading(name string, version uint64, v View) Spreading {
+func (s *Store) propagation(name string, version uint64, v View) Propagation {
 	switch {
 	case !v.Reachable:
-		return SpreadLost
+		return PropagationUnreachable
 	case v.Digest.Newest < version:
-		return SpreadBehind
+		return PropagationBehind
 	case v.Digest == s.digest:
-		return inForceIf(s.version(name) >= version)
+		return inForceOrBehind(s.version(name) >= version)
 	case s.version(name) < version:
-		return SpreadUnproven
+		return PropagationUnproven
 	}
 	step := s.past.find(v.Digest)
 	if step < 0 {
-		return SpreadUnproven
+		return PropagationUnproven
 	}
-	return inForceIf(step >= s.past.reached(name, version))
+	return inForceOrBehind(step >= s.past.reached(name, version))
 }
 
-func inForceIf(yes bool) Spreading {
+func inForceOrBehind(yes bool) Propagation {
 	if yes {
-		return SpreadInForce
+		return PropagationInForce
 	}
-	return SpreadBehind
+	return PropagationBehind
 }
--- a/internal/template/store_test.go
+++ b/internal/template/store_test.go
@@ -107,11 +107,11 @@
 		{Daemon: "new", Reachable: true},
 		{Daemon: "other", Digest: Digest{Hash: 1, Newest: 99}, Reachable: true},
 	}
-	want := []Spreading{SpreadInForce, SpreadInForce, SpreadBehind, SpreadLost, SpreadBehind, SpreadUnproven}
+	want := []Propagation{PropagationInForce, PropagationInForce, PropagationBehind, PropagationUnreachable, PropagationBehind, PropagationUnproven}
 	for i, status := range s.Status("a", 6, views) {
 		assert.Equal(t, status.State, want[i], "%s", status.Daemon)
 	}
-	assert.Equal(t, s.Status("a", 7, views)[0].State, SpreadBehind)
+	assert.Equal(t, s.Status("a", 7, views)[0].State, PropagationBehind)
 }
 
 func TestMergeOfTemplates(t *testing.T) {
--- a/internal/template/spread_test.go
+++ b/internal/template/syncer_test.go
@@ -14,7 +14,7 @@
 type daemons struct {
 	ids     []fleet.DaemonID
 	stores  []*Store
-	spreads []*Spread
+	spreads []*Syncer
 	random  *rand.Rand
 	now     time.Time
 	stored  []Revision   // the content of the platform's store
@@ -38,7 +38,7 @@
 		store := NewStore()
 		d.ids = append(d.ids, fleet.DaemonID(fmt.Sprintf("daemon-%03d", i)))
 		d.stores = append(d.stores, store)
-		d.spreads = append(d.spreads, NewSpread(DefaultSpread, store, rand.New(rand.NewPCG(2, uint64(i))), d.now))
+		d.spreads = append(d.spreads, NewSyncer(DefaultSyncConfig, store, rand.New(rand.NewPCG(2, uint64(i))), d.now))
 	}
 	return d
 }
@@ -51,7 +51,7 @@
 		for range heardEach {
 			j := d.random.IntN(len(d.ids))
 			if j != i && !d.deaf[i] {
-				s.Heard(d.now, d.ids[j], d.stores[j].Digest())
+				s.DigestReceived(d.now, d.ids[j], d.stores[j].Digest())
 			}
 		}
 		for _, a := range s.Tick(d.now) {
@@ -129,7 +129,7 @@
 	d.up = false
 	for _, i := range []int{2, 3} {
 		d.stores[i] = NewStore()
-		d.spreads[i] = NewSpread(DefaultSpread, d.stores[i], d.random, d.now)
+		d.spreads[i] = NewSyncer(DefaultSyncConfig, d.stores[i], d.random, d.now)
 	}
 	d.deaf[3] = true
 	for range 60 * ticksASecond {
