--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -243,7 +243,7 @@
 		case template.InForce:
 			entry.Info("template in force")
 		case template.Unusable:
-			entry.Errorf("template unusable, the version before stays: %v", a.Faults)
+			entry.Errorf("template unusable, the version before stays: %v", a.Problems)
 		}
 	}
 	d.publish(s)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -166,7 +166,7 @@
 		admission: d.admission,
 		ledger:    d.ledger,
 		daemon:    d.run,
-		known:     func(name string) bool { return d.configuration.snapshot.Load().Service(name) },
+		known:     func(name string) bool { return d.configuration.snapshot.Load().HasService(name) },
 		log:       logging.For(d.log, logging.Dispatch),
 	}
 	d.dispatcher = dispatch.New(d.dispatchOptions(engineClient))
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -121,7 +121,7 @@
 		var conflict *outside.Conflict
 		switch {
 		case err == nil:
-			return c.Took(version)
+			return c.WriteSucceeded(version)
 		case errors.As(err, &conflict):
 		case outside.NoEffect(err) && !sent:
 			return template.Result{Outcome: template.Refused, Reason: err.Error()}
--- a/internal/daemon/watching.go
+++ b/internal/daemon/watching.go
@@ -24,7 +24,7 @@
 // daemons a day's 3,700 changes are 1.3 million reads and, at 100 KB, 126 GB. A
 // few daemons watch, and the others hear of a new version by their digests.
 func watchedKinds(self fleet.DaemonID, alive []fleet.DaemonID) []string {
-	if len(alive) <= watchAllUpTo || template.Watches(self, alive) {
+	if len(alive) <= watchAllUpTo || template.IsWatcher(self, alive) {
 		return allKinds
 	}
 	return drainKinds
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -52,13 +52,13 @@
 
 // ChangeResult is the outcome of a change.
 type ChangeResult struct {
-	Outcome    template.Outcome   `json:"outcome"`              // accepted, unchanged, refused or unknown
-	Version    uint64             `json:"version,omitempty"`    // of the template, if accepted or unchanged
-	Superseded bool               `json:"superseded,omitempty"` // accepted, and replaced by a later change since
-	Current    uint64             `json:"current,omitempty"`    // stored version
-	Diff       []template.Line    `json:"diff,omitempty"`       // from the stored template to the requested one, if refused with a version conflict
-	Problems   []template.Problem `json:"problems,omitempty"`   // mistakes in the change or its template
-	Reason     string             `json:"reason,omitempty"`     // why it was refused or is unknown
+	Outcome    template.Outcome    `json:"outcome"`              // accepted, unchanged, refused or unknown
+	Version    uint64              `json:"version,omitempty"`    // of the template, if accepted or unchanged
+	Superseded bool                `json:"superseded,omitempty"` // accepted, and replaced by a later change since
+	Current    uint64              `json:"current,omitempty"`    // stored version
+	Diff       []template.DiffLine `json:"diff,omitempty"`       // from the stored template to the requested one, if refused with a version conflict
+	Problems   []template.Problem  `json:"problems,omitempty"`   // mistakes in the change or its template
+	Reason     string              `json:"reason,omitempty"`     // why it was refused or is unknown
 }
 
 // DaemonStatus reports whether a version of a template is in force at one daemon.
--- a/internal/template/bench_test.go
+++ b/internal/template/bench_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// full returns a record with an audit trail of the maximum length.
-func full(t testing.TB, template *Template) Record {
+// withFullAudit returns a record with an audit trail of the maximum length.
+func withFullAudit(t testing.TB, template *Template) Record {
 	r := Record{Name: template.Name, Version: 5000, Template: template}
 	state, err := template.JSON()
 	assert.NilError(t, err)
@@ -85,7 +85,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			o := object(b, full(b, large(b, n)))
+			o := object(b, withFullAudit(b, large(b, n)))
 			s := NewStore()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -96,7 +96,7 @@
 				}
 			}
 			b.ReportMetric(float64(len(o.Value)), "object-bytes")
-			b.ReportMetric(float64(len(s.held[o.Name].revision.Value)), "revision-bytes")
+			b.ReportMetric(float64(len(s.active[o.Name].revision.Value)), "revision-bytes")
 		})
 	}
 }
@@ -148,9 +148,9 @@
 
 // BenchmarkPlan measures a daemon's cost of planning one operator's change.
 func BenchmarkPlan(b *testing.B) {
-	record := full(b, large(b, 100))
-	wish := large(b, 101)
-	c := Change{Name: record.Name, Expected: record.Version, Template: wish, Who: "ana", Operation: "1"}
+	record := withFullAudit(b, large(b, 100))
+	requested := large(b, 101)
+	c := Change{Name: record.Name, Expected: record.Version, Template: requested, Who: "ana", Operation: "1"}
 	b.ReportAllocs()
 	for b.Loop() {
 		if r := c.Plan(record, noon); r.Outcome != Proceed {
@@ -177,13 +177,13 @@
 	d := newDaemons(n, true, first)
 	b.ReportMetric(d.until(b, (*Store).Ready).Seconds(), "restart-s")
 	b.ReportMetric(float64(d.lists), "restart-lists")
-	b.ReportMetric(float64(d.most), "restart-fetches-from-one/tick")
-	d.up, d.fetches, d.most = false, 0, 0
+	b.ReportMetric(float64(d.maxFetches), "restart-fetches-from-one/tick")
+	d.storeUp, d.fetches, d.maxFetches = false, 0, 0
 	d.stores[0].Apply(revision(b, large(b, 11), 8))
 	took := d.until(b, func(s *Store) bool { return s.Snapshot().Version("month-end") == 8 })
 	b.ReportMetric(took.Seconds(), "change-s")
 	b.ReportMetric(float64(d.fetches)/float64(n), "change-fetches/daemon")
-	b.ReportMetric(float64(d.most), "change-fetches-from-one/tick")
+	b.ReportMetric(float64(d.maxFetches), "change-fetches-from-one/tick")
 }
 
 // BenchmarkSpreadTick measures the cost of one Tick in a fleet without changes.
--- a/internal/template/change.go
+++ b/internal/template/change.go
@@ -11,7 +11,7 @@
 
 // Change is an operator's request to create, amend or delete a template. Plan
 // returns the conditional write to make. If the store answers the write with a
-// version, the change is accepted, see Took; after any other answer the caller
+// version, the change is accepted, see WriteSucceeded; after any other answer the caller
 // reads the object again and calls Resolve.
 type Change struct {
 	Name      string
@@ -43,13 +43,13 @@
 // Result is the next step of a change, or its outcome.
 type Result struct {
 	Outcome    Outcome
-	Write      Write     // where Proceed
-	Version    uint64    // where Accepted or Unchanged
-	Superseded bool      // where Accepted: a later change has replaced it
-	Current    uint64    // version now in the store
-	Diff       []Line    // where Refused for the version: from the stored template to the requested one
-	Problems   []Problem // where Refused for the change itself
-	Reason     string    // where Refused or Unknown
+	Write      Write      // where Proceed
+	Version    uint64     // where Accepted or Unchanged
+	Superseded bool       // where Accepted: a later change has replaced it
+	Current    uint64     // version now in the store
+	Diff       []DiffLine // where Refused for the version: from the stored template to the requested one
+	Problems   []Problem  // where Refused for the change itself
+	Reason     string     // where Refused or Unknown
 }
 
 // Write is a conditional write of a template's object.
@@ -97,9 +97,9 @@
 	}
 }
 
-// Took returns the result of a change whose write the store answered with a
+// WriteSucceeded returns the result of a change whose write the store answered with a
 // version.
-func (c Change) Took(version uint64) Result {
+func (c Change) WriteSucceeded(version uint64) Result {
 	return Result{Outcome: Accepted, Version: version, Current: version}
 }
 
@@ -152,12 +152,12 @@
 	if !r.Exists() {
 		return false
 	}
-	stands, err := r.Template.JSON()
+	stored, err := r.Template.JSON()
 	if err != nil {
 		return false
 	}
-	wished, err := c.Template.JSON()
-	return err == nil && bytes.Equal(stands, wished)
+	requested, err := c.Template.JSON()
+	return err == nil && bytes.Equal(stored, requested)
 }
 
 // write returns the conditional write of the changed record. The audit entry is
--- a/internal/template/change_test.go
+++ b/internal/template/change_test.go
@@ -11,8 +11,8 @@
 
 var noon = time.Date(2026, 1, 31, 12, 0, 0, 0, time.UTC)
 
-func change(expected uint64, wish *Template, operation string) Change {
-	return Change{Name: "a", Expected: expected, Template: wish, Who: "ana", Why: "test", Operation: operation}
+func change(expected uint64, requested *Template, operation string) Change {
+	return Change{Name: "a", Expected: expected, Template: requested, Who: "ana", Why: "test", Operation: operation}
 }
 
 // stored returns the record after a change took effect as a version.
@@ -30,11 +30,11 @@
 // An operator amends a template that another has changed in the meantime. The
 // change must be refused with the stored version and the difference to it, not
 // overwrite the other's.
-func TestConflictShowsTheDifference(t *testing.T) {
+func TestConflictReturnsTheDifference(t *testing.T) {
 	first := stored(t, Record{Name: "a"}, change(0, small("a"), "1"), 5)
-	wish := small("a")
-	wish.Workspaces[0].Priority = "7"
-	r := change(4, wish, "2").Plan(first, noon)
+	requested := small("a")
+	requested.Workspaces[0].Priority = "7"
+	r := change(4, requested, "2").Plan(first, noon)
 	assert.Equal(t, r.Outcome, Refused)
 	assert.Equal(t, r.Current, uint64(5))
 	assert.Equal(t, len(r.Diff), 1)
@@ -43,13 +43,13 @@
 
 // The response to a write is lost, and another operator amends the template
 // before it is read back. The audit trail must show that the write took effect.
-func TestLostAnswerOfAChangeThatWasSuperseded(t *testing.T) {
+func TestSupersededChangeWithLostResponseIsAccepted(t *testing.T) {
 	ours := change(0, small("a"), "ours")
 	sent := ours.Plan(Record{Name: "a"}, noon).Write
 	first := stored(t, Record{Name: "a"}, ours, 5)
-	wish := small("a")
-	wish.Workspaces[0].Priority = "7"
-	second := stored(t, first, change(5, wish, "theirs"), 9)
+	requested := small("a")
+	requested.Workspaces[0].Priority = "7"
+	second := stored(t, first, change(5, requested, "theirs"), 9)
 	r := ours.Resolve(sent, second)
 	assert.Equal(t, r.Outcome, Accepted)
 	assert.Equal(t, r.Version, uint64(5))
@@ -59,7 +59,7 @@
 // The response is lost and more changes follow than the audit trail keeps, so
 // whether the write took effect can't be decided. Reporting it as refused could
 // be wrong.
-func TestLostAnswerBeyondTheTrailIsUnknown(t *testing.T) {
+func TestLostResponseOlderThanTheAuditTrailIsUnknown(t *testing.T) {
 	ours := change(1, small("a"), "ours")
 	now := Record{Name: "a", Version: 2000, Template: small("a")}
 	for i := range audit.MaxKept + 2 {
@@ -72,7 +72,7 @@
 // A read-back that returns the old version doesn't prove that the write failed:
 // it may still be in transit. The same write must be sent again, with the same
 // condition, so that at most one of the two takes effect.
-func TestUnchangedVersionAsksForTheSameWrite(t *testing.T) {
+func TestUnchangedVersionRepeatsTheSameWrite(t *testing.T) {
 	ours := change(0, small("a"), "ours")
 	sent := ours.Plan(Record{Name: "a"}, noon).Write
 	r := ours.Resolve(sent, Record{Name: "a"})
@@ -82,7 +82,7 @@
 
 // A store restored to an older state doesn't show whether the write took effect,
 // so the change must not be reported as refused.
-func TestOlderVersionThanReplacedIsUnknown(t *testing.T) {
+func TestStoreOlderThanTheReplacedVersionIsUnknown(t *testing.T) {
 	ours := change(9, small("a"), "ours")
 	assert.Equal(t, ours.Resolve(Write{IfVersion: 9}, Record{Name: "a", Version: 5}).Outcome, Unknown)
 }
@@ -90,7 +90,7 @@
 // A template that is created again must replace its tombstone, with a higher
 // version. Otherwise daemons that have the tombstone would ignore the new
 // template as older.
-func TestRecreationGoesOnFromTheTombstone(t *testing.T) {
+func TestRecreationReplacesTheTombstone(t *testing.T) {
 	first := stored(t, Record{Name: "a"}, change(0, small("a"), "1"), 5)
 	tombstone := stored(t, first, change(5, nil, "2"), 8)
 	r := change(0, small("a"), "3").Plan(tombstone, noon)
@@ -102,9 +102,9 @@
 }
 
 func TestPlanRefusesFaultyChanges(t *testing.T) {
-	faulty := small("b")
-	faulty.Closing.At = "soon"
-	c := change(0, faulty, "1")
+	invalid := small("b")
+	invalid.Closing.At = "soon"
+	c := change(0, invalid, "1")
 	c.Who = ""
 	r := c.Plan(Record{Name: "a"}, noon)
 	assert.Equal(t, r.Outcome, Refused)
--- a/internal/template/check.go
+++ b/internal/template/check.go
@@ -33,14 +33,14 @@
 		found.add(at, "is needed")
 	case len(name) > maxNameBytes:
 		found.add(at, fmt.Sprintf("has more than %d characters", maxNameBytes))
-	case strings.Trim(name, nameCharacters) != "" || !nameEnd(name[0]) || !nameEnd(name[len(name)-1]):
+	case strings.Trim(name, nameCharacters) != "" || !validAtEnd(name[0]) || !validAtEnd(name[len(name)-1]):
 		found.add(at, "must be lower-case letters, digits, '.' and '-', with a letter or digit at both ends")
 	}
 }
 
 const nameCharacters = "abcdefghijklmnopqrstuvwxyz0123456789.-"
 
-func nameEnd(c byte) bool { return c != '.' && c != '-' }
+func validAtEnd(c byte) bool { return c != '.' && c != '-' }
 
 func (t *Template) checkCounts(found *problems) {
 	count := func(at string, have, high int) {
--- a/internal/template/credential.go
+++ b/internal/template/credential.go
@@ -9,9 +9,9 @@
 
 // credential is a bearer token and its workspace.
 type credential struct {
-	token     Token
-	workspace *Workspace
-	disputed  bool // templates assign it to different workspaces
+	token       Token
+	workspace   *Workspace
+	conflicting bool // templates assign it to different workspaces
 }
 
 // credentials maps the hashes of callers' tokens to workspaces. The key is the
@@ -33,11 +33,11 @@
 			continue
 		}
 		if known.workspace.ID != workspace.ID {
-			known.disputed = true
+			known.conflicting = true
 			return true
 		}
 		known.token.Expires = later(known.token.Expires, token.Expires)
-		return known.disputed
+		return known.conflicting
 	}
 	c[key] = append(c[key], credential{token: token, workspace: workspace})
 	return false
@@ -63,7 +63,7 @@
 			continue
 		}
 		expired := !known.token.Expires.IsZero() && !now.Before(known.token.Expires)
-		if expired || known.disputed {
+		if expired || known.conflicting {
 			return nil, false
 		}
 		return known.workspace, true
--- a/internal/template/diff.go
+++ b/internal/template/diff.go
@@ -7,16 +7,16 @@
 	"strconv"
 )
 
-// Line is one field that differs between two templates. The value of an absent
+// DiffLine is one field that differs between two templates. The value of an absent
 // field is the empty string.
-type Line struct {
+type DiffLine struct {
 	Path string `json:"path"` // with names as indexes: workspaces[magnolia].limits.burst
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
 // String returns "~ path: old -> new", "- path: old" or "+ path: new".
-func (l Line) String() string {
+func (l DiffLine) String() string {
 	switch {
 	case l.Old == "":
 		return fmt.Sprintf("+ %s: %s", l.Path, l.New)
@@ -29,17 +29,17 @@
 
 // Diff returns the fields that differ between a and b, in the schema's order,
 // removed ones last. A nil template has no fields.
-func Diff(a, b *Template) []Line {
+func Diff(a, b *Template) []DiffLine {
 	old, next := flatten(a), flatten(b)
-	var out []Line
+	var out []DiffLine
 	for _, path := range next.paths {
 		if before, after := old.values[path], next.values[path]; before != after {
-			out = append(out, Line{Path: path, Old: before, New: after})
+			out = append(out, DiffLine{Path: path, Old: before, New: after})
 		}
 	}
 	for _, path := range old.paths {
 		if _, kept := next.values[path]; !kept {
-			out = append(out, Line{Path: path, Old: old.values[path]})
+			out = append(out, DiffLine{Path: path, Old: old.values[path]})
 		}
 	}
 	return out
--- a/internal/template/history.go
+++ b/internal/template/history.go
@@ -1,8 +1,8 @@
 package template
 
-// pastSteps bounds the recorded steps. At 3,700 changes a day they cover 100
+// maxSteps bounds the recorded steps. At 3,700 changes a day they cover 100
 // minutes, far more than a daemon in contact with its peers can be behind.
-const pastSteps = 256
+const maxSteps = 256
 
 // step is one revision that this daemon put in force, and its digest afterwards.
 type step struct {
@@ -22,12 +22,12 @@
 
 func (h *history) add(digest Digest, name string, version uint64) {
 	s := step{digest: digest, name: name, version: version}
-	if len(h.steps) < pastSteps {
+	if len(h.steps) < maxSteps {
 		h.steps = append(h.steps, s)
 		return
 	}
 	h.steps[h.next] = s
-	h.next = (h.next + 1) % pastSteps
+	h.next = (h.next + 1) % maxSteps
 }
 
 // at returns the i-th oldest step.
--- a/internal/template/merge.go
+++ b/internal/template/merge.go
@@ -147,17 +147,17 @@
 		w := m.out.workspaces[t.workspaces[i].ID]
 		for _, token := range t.workspaces[i].tokens {
 			if m.out.tokens.add(token, w) {
-				m.dispute(token, w.ID)
+				m.addTokenConflict(token, w.ID)
 			}
 		}
 	}
 }
 
-// dispute records a token that is assigned to two workspaces.
-func (m *merger) dispute(token Token, second fleet.WorkspaceID) {
+// addTokenConflict records a token that is assigned to two workspaces.
+func (m *merger) addTokenConflict(token Token, second fleet.WorkspaceID) {
 	for _, known := range m.out.tokens[credentialKey(&token.Hash)] {
 		if known.token.Hash == token.Hash && known.workspace.ID != second {
-			m.out.Disputed = append(m.out.Disputed, TokenConflict{token.Hash, known.workspace.ID, second})
+			m.out.TokenConflicts = append(m.out.TokenConflicts, TokenConflict{token.Hash, known.workspace.ID, second})
 		}
 	}
 }
--- a/internal/template/operators_test.go
+++ b/internal/template/operators_test.go
@@ -59,42 +59,42 @@
 	unknown  []string
 }
 
-// step makes the operator's next call to the store. Fate is the fault injected
+// step makes the operator's next call to the store. Fault is injected
 // into a write: 0 loses its response, 1 delays it, 2 loses it; -1 is no fault.
-func (o *operator) step(t assert.TestingT, store *objects, fate int) {
+func (o *operator) step(t assert.TestingT, store *objects, fault int) {
 	if o.sending {
-		o.send(t, store, fate)
+		o.send(t, store, fault)
 		return
 	}
 	current := store.read(t)
 	o.attempts++
 	operation := fmt.Sprintf("%s-%d", o.name, o.attempts)
-	wish := small("month-end")
-	wish.Workspaces[0].Priority = Scalar(fmt.Sprint(o.attempts % 100))
-	wish.Workspaces[0].Name = fleet.WorkspaceID(operation)
-	o.change = Change{Name: "month-end", Expected: current.Version, Template: wish, Who: o.name, Why: operation, Operation: operation}
+	requested := small("month-end")
+	requested.Workspaces[0].Priority = Scalar(fmt.Sprint(o.attempts % 100))
+	requested.Workspaces[0].Name = fleet.WorkspaceID(operation)
+	o.change = Change{Name: "month-end", Expected: current.Version, Template: requested, Who: o.name, Why: operation, Operation: operation}
 	if o.attempts%17 == 0 && current.Exists() {
 		o.change.Template = nil
 	}
-	o.take(o.change.Plan(current, time.UnixMilli(int64(o.attempts))))
+	o.handle(o.change.Plan(current, time.UnixMilli(int64(o.attempts))))
 }
 
-func (o *operator) send(t assert.TestingT, store *objects, fate int) {
-	switch fate {
+func (o *operator) send(t assert.TestingT, store *objects, fault int) {
+	switch fault {
 	case 1:
 		store.delayed = append(store.delayed, o.sent)
 	case 2:
 	default:
-		took := store.write(o.sent)
-		if took && fate != 0 {
-			o.take(o.change.Took(store.version))
+		written := store.write(o.sent)
+		if written && fault != 0 {
+			o.handle(o.change.WriteSucceeded(store.version))
 			return
 		}
 	}
-	o.take(o.change.Resolve(o.sent, store.read(t)))
+	o.handle(o.change.Resolve(o.sent, store.read(t)))
 }
 
-func (o *operator) take(r Result) {
+func (o *operator) handle(r Result) {
 	o.sending = r.Outcome == Proceed
 	switch r.Outcome {
 	case Proceed:
@@ -119,7 +119,7 @@
 	busy = append(busy, all...)
 	for len(busy) > 0 {
 		i := pick(len(busy))
-		busy[i].step(t, store, fate(pick))
+		busy[i].step(t, store, pickFault(pick))
 		if busy[i].wanted == 0 {
 			busy = append(busy[:i:i], busy[i+1:]...)
 		}
@@ -131,8 +131,8 @@
 	return store, all
 }
 
-// fate returns the fault of a write, see step: one write in five has one.
-func fate(pick func(n int) int) int {
+// pickFault returns the fault of a write, see step: one write in five has one.
+func pickFault(pick func(n int) int) int {
 	if pick(5) > 0 {
 		return -1
 	}
@@ -142,7 +142,7 @@
 // checkHistory fails unless each version continues the previous one, each
 // accepted change occurs exactly once, and no refused one occurs.
 func checkHistory(t assert.TestingT, store *objects, operators []*operator) {
-	times := map[string]int{}
+	occurrences := map[string]int{}
 	before := Record{Name: "month-end"}
 	for _, object := range store.past {
 		r, err := RecordOf(object)
@@ -152,17 +152,17 @@
 		entry := r.Audit.Entries[len(r.Audit.Entries)-1]
 		assert.Equal(t, entry.From, before.Version)
 		assert.Assert(t, r.Version > before.Version)
-		times[entry.Operation]++
+		occurrences[entry.Operation]++
 		before = r
 	}
 	assert.NilError(t, before.Audit.Verify())
 	accepted := 0
 	for _, o := range operators {
 		for _, operation := range o.accepted {
-			assert.Equal(t, times[operation], 1, operation)
+			assert.Equal(t, occurrences[operation], 1, operation)
 		}
 		for _, operation := range o.refused {
-			assert.Equal(t, times[operation], 0, operation)
+			assert.Equal(t, occurrences[operation], 0, operation)
 		}
 		assert.Equal(t, len(o.unknown), 0)
 		accepted += len(o.accepted)
@@ -190,17 +190,17 @@
 // As above, with random schedules. A daemon receives the versions by watch, list
 // and peers, in any order and repeatedly. The version it has in force must never
 // decrease.
-func TestHistoryIsOneLineAndNeverGoesBack(t *testing.T) {
+func TestHistoryIsLinearAndVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 		store, operators := amend(t, rapid.IntRange(1, 4).Draw(t, "operators"), 6, pick)
 		checkHistory(t, store, operators)
-		daemon, shown := NewStore(), uint64(0)
+		daemon, highest := NewStore(), uint64(0)
 		for range 30 {
 			daemon.Apply(RevisionsOf(store.past[pick(len(store.past)):][:1])...)
 			version := daemon.version("month-end")
-			assert.Assert(t, version >= shown, "%d after %d", version, shown)
-			shown = version
+			assert.Assert(t, version >= highest, "%d after %d", version, highest)
+			highest = version
 		}
 		daemon.Apply(RevisionsOf(store.past)...)
 		assert.Equal(t, daemon.version("month-end"), store.current().Version)
--- a/internal/template/parse.go
+++ b/internal/template/parse.go
@@ -28,7 +28,7 @@
 	found := &problems{positions: map[string]position{}}
 	if len(text) > MaxTextBytes {
 		found.add("", fmt.Sprintf("the text has more than %d bytes", MaxTextBytes))
-		return nil, found.found
+		return nil, found.list
 	}
 	root, fault := document(text)
 	if fault != nil {
@@ -44,7 +44,7 @@
 
 // document returns the root of the only document in a text.
 func document(text []byte) (ast.Node, *Problem) {
-	if fault := tooDeep(text); fault != nil {
+	if fault := checkNesting(text); fault != nil {
 		return nil, fault
 	}
 	file, err := parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
@@ -85,10 +85,10 @@
 	return nil
 }
 
-// tooDeep returns a problem for a text that might nest deeper than maxNesting.
+// checkNesting returns a problem for a text that might nest deeper than maxNesting.
 // It counts every bracket, also in strings, and each dash and question mark that
 // opens a level within a line.
-func tooDeep(text []byte) *Problem {
+func checkNesting(text []byte) *Problem {
 	depth := 0
 	for number, line := range bytes.Split(text, []byte("\n")) {
 		indent := len(line) - len(bytes.TrimLeft(line, " "))
--- a/internal/template/parse_test.go
+++ b/internal/template/parse_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, string(example(t).Models[0].Version), "1.10")
 }
 
-func TestAllProblemsAtOnceWithTheirPlaces(t *testing.T) {
+func TestAllProblemsAreReportedWithPositions(t *testing.T) {
 	text := strings.ReplaceAll(`name: Month_End
 models:
   - model: m
@@ -81,7 +81,7 @@
 	assert.DeepEqual(t, got, want)
 }
 
-func TestTextsWithoutReadableForm(t *testing.T) {
+func TestMalformedTextsHaveProblems(t *testing.T) {
 	texts := map[string]string{
 		"empty":     "",
 		"syntax":    "name: [a",
@@ -117,11 +117,11 @@
 }
 
 func TestProblemsAreBounded(t *testing.T) {
-	faulty := small("many")
+	invalid := small("many")
 	for i := range MaxWorkspaces {
-		faulty.Workspaces = append(faulty.Workspaces, WorkspaceSpec{Name: "w", Priority: Scalar(fmt.Sprint("x", i))})
+		invalid.Workspaces = append(invalid.Workspaces, WorkspaceSpec{Name: "w", Priority: Scalar(fmt.Sprint("x", i))})
 	}
-	assert.Equal(t, len(faulty.Check()), maxProblems)
+	assert.Equal(t, len(invalid.Check()), maxProblems)
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/template/path.go
+++ b/internal/template/path.go
@@ -6,21 +6,21 @@
 // Its text is built only for a problem, so that checking a valid template of a
 // thousand workspaces builds none.
 type path struct {
-	up    *path
-	key   string
-	index int // in a sequence, if key is empty
+	parent *path
+	key    string
+	index  int // in a sequence, if key is empty
 }
 
-func (p *path) field(key string) *path { return &path{up: p, key: key} }
+func (p *path) field(key string) *path { return &path{parent: p, key: key} }
 
-func (p *path) item(index int) *path { return &path{up: p, index: index} }
+func (p *path) item(index int) *path { return &path{parent: p, index: index} }
 
 // String returns a form such as workspaces[0].limits.burst.
 func (p *path) String() string {
 	if p == nil {
 		return ""
 	}
-	before := p.up.String()
+	before := p.parent.String()
 	switch {
 	case p.key == "":
 		return before + "[" + strconv.Itoa(p.index) + "]"
--- a/internal/template/problem.go
+++ b/internal/template/problem.go
@@ -40,14 +40,14 @@
 
 // problems collects a template's problems.
 type problems struct {
-	found     []Problem
+	list      []Problem
 	positions map[string]position
 	seen      map[Problem]bool
 }
 
 // add adds a problem at a path, unless it was added before.
 func (p *problems) add(path, message string) {
-	if len(p.found) >= maxProblems {
+	if len(p.list) >= maxProblems {
 		return
 	}
 	at := nearest(p.positions, path)
@@ -59,7 +59,7 @@
 		p.seen = map[Problem]bool{}
 	}
 	p.seen[fault] = true
-	p.found = append(p.found, fault)
+	p.list = append(p.list, fault)
 }
 
 // nearest returns the position of a path; if the field is missing from the text,
@@ -76,8 +76,8 @@
 
 // sorted returns the problems in the order of the text.
 func (p *problems) sorted() []Problem {
-	slices.SortStableFunc(p.found, func(a, b Problem) int {
+	slices.SortStableFunc(p.list, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	return p.found
+	return p.list
 }
--- a/internal/template/ready.go
+++ b/internal/template/ready.go
@@ -6,7 +6,7 @@
 // response of a peer that had caught up, has been applied.
 func (s *Store) CaughtUp(now time.Time) {
 	s.caughtUp = true
-	s.contact = now
+	s.lastConfirmed = now
 }
 
 // Ready reports whether callers may be served. It stays true once the store has
@@ -14,15 +14,15 @@
 // with what it has in force.
 func (s *Store) Ready() bool { return s.caughtUp }
 
-// Isolated returns the time since the platform's store or a peer last confirmed
+// SinceConfirmed returns the time since the platform's store or a peer last confirmed
 // what is in force; 0 before the store has caught up.
-func (s *Store) Isolated(now time.Time) time.Duration {
+func (s *Store) SinceConfirmed(now time.Time) time.Duration {
 	if !s.caughtUp {
 		return 0
 	}
-	return now.Sub(s.contact)
+	return now.Sub(s.lastConfirmed)
 }
 
-// Contact records that what is in force was confirmed, for instance by a watch
+// Confirmed records that what is in force was confirmed, for instance by a watch
 // of the platform's store that ended without changes.
-func (s *Store) Contact(now time.Time) { s.contact = now }
+func (s *Store) Confirmed(now time.Time) { s.lastConfirmed = now }
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -48,16 +48,16 @@
 	out.Models = r.models(at.field("models"))
 	out.Services = r.services(at.field("services"))
 	out.Limits = r.limits(at.field("limits"))
-	out.Priority, out.Weight = r.standing(at)
+	out.Priority, out.Weight = r.priorityAndWeight(at)
 	out.Closings = []Closing{r.closing()}
 	return out
 }
 
-// standing returns the workspace's priority and weight.
-func (r *resolver) standing(at *path) (priority int, weight float64) {
+// priorityAndWeight returns the workspace's priority and weight.
+func (r *resolver) priorityAndWeight(at *path) (priority int, weight float64) {
 	own, def := r.workspace, r.template.Defaults
 	s, place := choose(own.Priority, def.Priority, at, "priority")
-	priority = r.whole(s, place, maxPriority)
+	priority = r.integer(s, place, maxPriority)
 	s, place = choose(own.Weight, def.Weight, at, "weight")
 	weight = r.number(s, place, maxWeight)
 	if weight == 0 {
@@ -88,7 +88,7 @@
 	}
 	whole := func(own, def Scalar, key string, high int) int {
 		s, place := choose(own, def, at, key)
-		return r.whole(s, place, high)
+		return r.integer(s, place, high)
 	}
 	return Limits{
 		RequestsPerSecond: number(own.RequestsPerSecond, def.RequestsPerSecond, "requestsPerSecond", maxRate),
@@ -96,7 +96,7 @@
 		TokensPerSecond:   number(own.TokensPerSecond, def.TokensPerSecond, "tokensPerSecond", maxTokenRate),
 		TokenBurst:        number(own.TokenBurst, def.TokenBurst, "tokenBurst", maxTokenRate),
 		Concurrency:       whole(own.Concurrency, def.Concurrency, "concurrency", maxRate),
-		MaxTokens:         whole(own.MaxTokens, def.MaxTokens, "maxTokens", maxAnswer),
+		MaxTokens:         whole(own.MaxTokens, def.MaxTokens, "maxTokens", maxAnswerTokens),
 	}
 }
 
@@ -157,15 +157,15 @@
 // template.
 func (r *resolver) checkUse(i int, all []Model, at *path) {
 	use := r.workspace.Models[i]
-	model := r.word(use.Model, at.field("model"), true)
-	r.word(use.Adapter, at.field("adapter"), false)
+	model := r.name(use.Model, at.field("model"), true)
+	r.name(use.Adapter, at.field("adapter"), false)
 	for _, m := range all {
 		if r.matches(i, m.Ref) {
 			return
 		}
 	}
 	if model != "" {
-		r.fault(use.Model, at, fmt.Sprintf("no model of the template matches %q", model))
+		r.report(use.Model, at, fmt.Sprintf("no model of the template matches %q", model))
 	}
 }
 
@@ -177,11 +177,11 @@
 	latency := at.field("latency")
 	out := Model{
 		Ref: fleet.ModelRef{
-			Model:   r.word(spec.Model, at.field("model"), true),
-			Adapter: r.word(spec.Adapter, at.field("adapter"), false),
-			Version: r.word(spec.Version, at.field("version"), false),
+			Model:   r.name(spec.Model, at.field("model"), true),
+			Adapter: r.name(spec.Adapter, at.field("adapter"), false),
+			Version: r.name(spec.Version, at.field("version"), false),
 		},
-		MinReplicas:   r.whole(spec.MinReplicas, at.field("minReplicas"), maxReplicas),
+		MinReplicas:   r.integer(spec.MinReplicas, at.field("minReplicas"), maxReplicas),
 		NonIdempotent: spec.NonIdempotent,
 		Latency: Latency{
 			FirstToken:    r.duration(spec.Latency.FirstToken, latency.field("firstToken"), maxLatency, false),
@@ -217,9 +217,9 @@
 	return Closing{
 		Template:  r.template.Name,
 		Workspace: r.workspace.Name,
-		At:        r.moment(spec.At, at.field("at")),
+		At:        r.timestamp(spec.At, at.field("at")),
 		Window:    r.duration(spec.Window, at.field("window"), maxWindow, true),
-		Priority:  r.whole(spec.Priority, at.field("priority"), maxPriority),
+		Priority:  r.integer(spec.Priority, at.field("priority"), maxPriority),
 		Weights:   r.weights(),
 	}
 }
@@ -234,7 +234,7 @@
 	recompute := r.number(spec.Recompute, at.field("recompute"), maxWeight)
 	cost := r.number(spec.Cost, at.field("cost"), maxWeight)
 	if recompute+cost == 0 {
-		r.fault(spec.Recompute, at, "one of recompute and cost must be above 0")
+		r.report(spec.Recompute, at, "one of recompute and cost must be above 0")
 		return Weights{}
 	}
 	return Weights{Recompute: recompute / (recompute + cost), Cost: cost / (recompute + cost)}
--- a/internal/template/resolver.go
+++ b/internal/template/resolver.go
@@ -31,31 +31,31 @@
 func (r *resolver) text(s Scalar, at *path) (string, bool) {
 	text, missing := s.expand(r.parameter)
 	if missing != "" {
-		r.fault(s, at, fmt.Sprintf("parameter %q has no value", missing))
+		r.report(s, at, fmt.Sprintf("parameter %q has no value", missing))
 		return "", false
 	}
 	return text, true
 }
 
-// fault reports a problem of a scalar. If the scalar refers to a parameter, the
+// report reports a problem of a scalar. If the scalar refers to a parameter, the
 // message names the workspace, because the value may be valid for others.
-func (r *resolver) fault(s Scalar, at *path, message string) {
+func (r *resolver) report(s Scalar, at *path, message string) {
 	if s.parametrised() {
 		message += fmt.Sprintf(" (workspace %s)", r.workspace.Name)
 	}
 	r.problems.add(at.String(), message)
 }
 
-// word returns a scalar that is a name.
-func (r *resolver) word(s Scalar, at *path, required bool) string {
+// name returns a scalar that is a name.
+func (r *resolver) name(s Scalar, at *path, required bool) string {
 	text, ok := r.text(s, at)
 	switch {
 	case !ok:
 		return ""
 	case required && text == "":
-		r.fault(s, at, "is needed")
-	case len(text) > maxWordBytes:
-		r.fault(s, at, fmt.Sprintf("has more than %d bytes", maxWordBytes))
+		r.report(s, at, "is needed")
+	case len(text) > maxModelNameBytes:
+		r.report(s, at, fmt.Sprintf("has more than %d bytes", maxModelNameBytes))
 	}
 	return text
 }
@@ -68,21 +68,21 @@
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) {
-		r.fault(s, at, fmt.Sprintf("%q is not a number", text))
+		r.report(s, at, fmt.Sprintf("%q is not a number", text))
 		return 0
 	}
 	if value < 0 || value > high {
-		r.fault(s, at, fmt.Sprintf("%s is not between 0 and %g", text, high))
+		r.report(s, at, fmt.Sprintf("%s is not between 0 and %g", text, high))
 		return 0
 	}
 	return value
 }
 
-// whole is like number, for whole numbers.
-func (r *resolver) whole(s Scalar, at *path, high int) int {
+// integer is like number, for integer numbers.
+func (r *resolver) integer(s Scalar, at *path, high int) int {
 	value := r.number(s, at, float64(high))
 	if value != math.Trunc(value) {
-		r.fault(s, at, fmt.Sprintf("%g is not a whole number", value))
+		r.report(s, at, fmt.Sprintf("%g is not a whole number", value))
 		return 0
 	}
 	return int(value)
@@ -97,25 +97,25 @@
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil {
-		r.fault(s, at, fmt.Sprintf("%q is not a duration such as 1500ms or 4h", text))
+		r.report(s, at, fmt.Sprintf("%q is not a duration such as 1500ms or 4h", text))
 		return 0
 	}
 	if value <= 0 || value > high {
-		r.fault(s, at, fmt.Sprintf("%s is not above 0 and at most %s", text, high))
+		r.report(s, at, fmt.Sprintf("%s is not above 0 and at most %s", text, high))
 		return 0
 	}
 	return value
 }
 
-// moment returns a scalar that is a time in RFC 3339.
-func (r *resolver) moment(s Scalar, at *path) time.Time {
+// timestamp returns a scalar that is a time in RFC 3339.
+func (r *resolver) timestamp(s Scalar, at *path) time.Time {
 	text, ok := r.text(s, at)
 	if !ok {
 		return time.Time{}
 	}
 	value, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		r.fault(s, at, fmt.Sprintf("%q is not a time such as 2026-01-31T18:00:00Z", text))
+		r.report(s, at, fmt.Sprintf("%q is not a time such as 2026-01-31T18:00:00Z", text))
 		return time.Time{}
 	}
 	return value
--- a/internal/template/snapshot.go
+++ b/internal/template/snapshot.go
@@ -9,14 +9,14 @@
 // Snapshot is the merged result of all templates in force, for request handlers.
 // It is immutable and safe for concurrent use.
 type Snapshot struct {
-	Digest     Digest
-	Models     []Model         // that engines must have loaded, one per Ref with its strictest requirements, in a fixed order
-	Closings   []Closing       // of all workspaces, in a fixed order
-	Disputed   []TokenConflict // tokens that are rejected
-	workspaces map[fleet.WorkspaceID]*Workspace
-	services   map[string][]call
-	tokens     credentials
-	versions   map[string]uint64
+	Digest         Digest
+	Models         []Model         // that engines must have loaded, one per Ref with its strictest requirements, in a fixed order
+	Closings       []Closing       // of all workspaces, in a fixed order
+	TokenConflicts []TokenConflict // tokens that are rejected
+	workspaces     map[fleet.WorkspaceID]*Workspace
+	services       map[string][]call
+	tokens         credentials
+	versions       map[string]uint64
 }
 
 // TokenConflict is a token that templates assign to two workspaces.
@@ -43,8 +43,8 @@
 	return w, ok
 }
 
-// Workspaces returns the number of workspaces in force.
-func (s *Snapshot) Workspaces() int { return len(s.workspaces) }
+// WorkspaceCount returns the number of workspaces in force.
+func (s *Snapshot) WorkspaceCount() int { return len(s.workspaces) }
 
 // EachWorkspace calls f for each workspace, in no fixed order.
 func (s *Snapshot) EachWorkspace(f func(*Workspace)) {
@@ -57,8 +57,8 @@
 // deleted.
 func (s *Snapshot) Version(name string) uint64 { return s.versions[name] }
 
-// Service reports whether any template lists a plain service.
-func (s *Snapshot) Service(name string) bool {
+// HasService reports whether any template lists a plain service.
+func (s *Snapshot) HasService(name string) bool {
 	_, ok := s.services[name]
 	return ok
 }
--- a/internal/template/status.go
+++ b/internal/template/status.go
@@ -45,18 +45,18 @@
 	case v.Digest.Newest < version:
 		return PropagationBehind
 	case v.Digest == s.digest:
-		return inForceOrBehind(s.version(name) >= version)
+		return propagationIf(s.version(name) >= version)
 	case s.version(name) < version:
 		return PropagationUnproven
 	}
-	step := s.past.find(v.Digest)
+	step := s.history.find(v.Digest)
 	if step < 0 {
 		return PropagationUnproven
 	}
-	return inForceOrBehind(step >= s.past.reached(name, version))
+	return propagationIf(step >= s.history.reached(name, version))
 }
 
-func inForceOrBehind(yes bool) Propagation {
+func propagationIf(yes bool) Propagation {
 	if yes {
 		return PropagationInForce
 	}
--- a/internal/template/store.go
+++ b/internal/template/store.go
@@ -10,17 +10,17 @@
 // Store holds the revisions that one daemon has in force. It isn't safe for
 // concurrent use; its owner passes the immutable Snapshot to request handlers.
 type Store struct {
-	held     map[string]*holding
-	unusable map[string]uint64 // by name, the highest version that couldn't be put in force
-	digest   Digest
-	snapshot *Snapshot
-	caughtUp bool
-	contact  time.Time // when the platform's store, or a peer that had caught up, last confirmed what is in force
-	past     history
+	active        map[string]*activeRevision
+	unusable      map[string]uint64 // by name, the highest version that couldn't be put in force
+	digest        Digest
+	snapshot      *Snapshot
+	caughtUp      bool
+	lastConfirmed time.Time // when the platform's store, or a peer that had caught up, last confirmed what is in force
+	history       history
 }
 
-// holding is the revision of a name that is in force.
-type holding struct {
+// activeRevision is the revision of a name that is in force.
+type activeRevision struct {
 	revision Revision
 	resolved *resolved // nil where deleted
 }
@@ -37,17 +37,17 @@
 
 // Applied is the result of applying one revision.
 type Applied struct {
-	Name    string
-	Version uint64
-	Deleted bool
-	Effect  Effect
-	Before  uint64    // version in force before, 0 for none
-	Faults  []Problem // where Unusable
+	Name     string
+	Version  uint64
+	Deleted  bool
+	Effect   Effect
+	Before   uint64    // version in force before, 0 for none
+	Problems []Problem // where Unusable
 }
 
 // NewStore returns a store with nothing in force.
 func NewStore() *Store {
-	s := &Store{held: map[string]*holding{}, unusable: map[string]uint64{}}
+	s := &Store{active: map[string]*activeRevision{}, unusable: map[string]uint64{}}
 	s.rebuild()
 	return s
 }
@@ -76,19 +76,19 @@
 	if r.Version <= s.known(r.Name) {
 		return out
 	}
-	next := &holding{revision: r}
+	next := &activeRevision{revision: r}
 	if !r.Deleted {
-		next.resolved, out.Faults = usable(r)
+		next.resolved, out.Problems = usable(r)
 	}
-	if len(out.Faults) > 0 {
+	if len(out.Problems) > 0 {
 		s.unusable[r.Name] = r.Version
 		out.Effect = Unusable
 		return out
 	}
 	s.digest = s.digest.replace(r.Name, out.Before, r.Version)
-	s.held[r.Name] = next
+	s.active[r.Name] = next
 	delete(s.unusable, r.Name)
-	s.past.add(s.digest, r.Name, r.Version)
+	s.history.add(s.digest, r.Name, r.Version)
 	out.Effect = InForce
 	return out
 }
@@ -106,7 +106,7 @@
 
 // version returns the version of a name in force, tombstones included.
 func (s *Store) version(name string) uint64 {
-	if h, ok := s.held[name]; ok {
+	if h, ok := s.active[name]; ok {
 		return h.revision.Version
 	}
 	return 0
@@ -121,7 +121,7 @@
 func (s *Store) rebuild() {
 	var all []*resolved
 	versions := map[string]uint64{}
-	for name, h := range s.held {
+	for name, h := range s.active {
 		if h.resolved == nil {
 			continue
 		}
@@ -146,8 +146,8 @@
 // Have returns the highest known version of each name. A peer responds to it
 // with the revisions that are newer.
 func (s *Store) Have() map[string]uint64 {
-	out := make(map[string]uint64, len(s.held))
-	for name := range s.held {
+	out := make(map[string]uint64, len(s.active))
+	for name := range s.active {
 		out[name] = s.known(name)
 	}
 	for name := range s.unusable {
@@ -164,8 +164,8 @@
 		return nil, false
 	}
 	var out []Revision
-	for _, name := range slices.Sorted(maps.Keys(s.held)) {
-		if r := s.held[name].revision; r.Version > have[name] {
+	for _, name := range slices.Sorted(maps.Keys(s.active)) {
+		if r := s.active[name].revision; r.Version > have[name] {
 			out = append(out, r)
 		}
 	}
--- a/internal/template/store_test.go
+++ b/internal/template/store_test.go
@@ -11,7 +11,7 @@
 
 // Daemons with the same versions must have equal digests and equal snapshots, in
 // whatever order and however often they received these and older versions.
-func TestEqualDigestsForEqualVersions(t *testing.T) {
+func TestEqualVersionsHaveEqualDigestsAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Revision
 		for v := range rapid.IntRange(1, 12).Draw(t, "versions") {
@@ -32,7 +32,7 @@
 		}
 		assert.Equal(t, shuffled.digest, straight.digest)
 		a, b := straight.Snapshot(), shuffled.Snapshot()
-		assert.Equal(t, a.Workspaces(), b.Workspaces())
+		assert.Equal(t, a.WorkspaceCount(), b.WorkspaceCount())
 		if wa, ok := a.Workspace("w"); ok {
 			wb, _ := b.Workspace("w")
 			assert.DeepEqual(t, wa, wb)
@@ -42,13 +42,13 @@
 
 // A revision that this release can't use must not replace the one in force, nor
 // be fetched again and again.
-func TestUnusableRevisionLeavesTheOldInForce(t *testing.T) {
+func TestUnusableRevisionKeepsThePreviousInForce(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
 	digest := s.digest
 	applied := s.Apply(Revision{Name: "a", Version: 7, Value: []byte(`{"name":"a"}`)})
 	assert.Equal(t, applied[0].Effect, Unusable)
-	assert.Assert(t, len(applied[0].Faults) > 0)
+	assert.Assert(t, len(applied[0].Problems) > 0)
 	assert.Equal(t, s.Snapshot().Version("a"), uint64(3))
 	assert.Equal(t, s.digest, digest)
 	assert.Equal(t, s.Have()["a"], uint64(7))
@@ -62,7 +62,7 @@
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3), Revision{Name: "a", Version: 5, Deleted: true})
 	s.Apply(revision(t, small("a"), 3))
-	assert.Equal(t, s.Snapshot().Workspaces(), 0)
+	assert.Equal(t, s.Snapshot().WorkspaceCount(), 0)
 	s.CaughtUp(noon)
 	newer, ok := s.Newer(map[string]uint64{"a": 3})
 	assert.Assert(t, ok && len(newer) == 1 && newer[0].Deleted)
@@ -70,7 +70,7 @@
 
 // A daemon that hasn't caught up must serve nothing to peers: another new daemon
 // would take an incomplete response for the complete state and become ready.
-func TestNewDaemonIsNoSource(t *testing.T) {
+func TestDaemonThatHasNotCaughtUpServesNoPeer(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
 	_, ok := s.Newer(nil)
@@ -139,7 +139,7 @@
 	assert.Assert(t, ok && w.ID == "w")
 	_, ok = snapshot.Authenticate(noon, []byte("shared"))
 	assert.Assert(t, !ok, "a token of two workspaces opened one")
-	assert.Equal(t, len(snapshot.Disputed), 1)
+	assert.Equal(t, len(snapshot.TokenConflicts), 1)
 }
 
 // inForce returns the snapshot with the example in force.
@@ -167,7 +167,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestExpiredTokenOpensNothing(t *testing.T) {
+func TestExpiredTokenIsRejected(t *testing.T) {
 	s := inForce(t)
 	w, ok := s.Authenticate(noon, []byte("secret"))
 	assert.Assert(t, ok && w.ID == "taller-vivo")
@@ -179,7 +179,7 @@
 
 // A service may accept other spellings of a path for the same call. If such a
 // call is classified as idempotent, it is retried and could run twice.
-func TestNonIdempotentCallsInAnySpelling(t *testing.T) {
+func TestNonIdempotentCallsMatchInAnySpelling(t *testing.T) {
 	s := inForce(t)
 	for _, path := range []string{"/orders", "//orders/", "/Orders", "/./orders", "/stock/../orders", "/orders;a=b", "/orders/x/.."} {
 		assert.Assert(t, s.NonIdempotent("POST", "parts", path), path)
--- a/internal/template/syncer.go
+++ b/internal/template/syncer.go
@@ -105,7 +105,7 @@
 func (s *Syncer) WatchSucceeded(now time.Time, changes ...Revision) []Applied {
 	s.watchHealthy = true
 	if s.store.caughtUp {
-		s.store.Contact(now)
+		s.store.Confirmed(now)
 	}
 	return s.store.Apply(changes...)
 }
@@ -162,7 +162,7 @@
 	case anyInForce(out):
 		s.peers[i].backoff.succeed()
 	default:
-		s.fetchFailed(now, daemon)
+		s.backOff(now, daemon)
 	}
 	return out
 }
@@ -186,7 +186,7 @@
 // FetchFailed handles a fetch that failed, or whose peer hasn't caught up.
 func (s *Syncer) FetchFailed(now time.Time, daemon fleet.DaemonID) {
 	s.endFetch(daemon)
-	s.fetchFailed(now, daemon)
+	s.backOff(now, daemon)
 }
 
 func (s *Syncer) endFetch(daemon fleet.DaemonID) {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (s *Syncer) fetchFailed(now time.Time, daemon fleet.DaemonID) {
+func (s *Syncer) backOff(now time.Time, daemon fleet.DaemonID) {
 	if i, ok := s.findPeer(daemon); ok {
 		s.peers[i].backoff.fail(now, s.config.MinBackoff, s.config.MaxBackoff, s.random)
 	}
--- a/internal/template/syncer_test.go
+++ b/internal/template/syncer_test.go
@@ -12,28 +12,28 @@
 
 // daemons is a simulated fleet whose daemons exchange digests.
 type daemons struct {
-	ids     []fleet.DaemonID
-	stores  []*Store
-	spreads []*Syncer
-	random  *rand.Rand
-	now     time.Time
-	stored  []Revision   // the content of the platform's store
-	up      bool         // whether the platform's store responds
-	deaf    map[int]bool // daemons that receive no digests
-	lists   int
-	fetches int
-	most    int // maximum of fetches from one daemon in one tick
+	ids        []fleet.DaemonID
+	stores     []*Store
+	spreads    []*Syncer
+	random     *rand.Rand
+	now        time.Time
+	stored     []Revision   // the content of the platform's store
+	storeUp    bool         // whether the platform's store responds
+	noDigests  map[int]bool // daemons that receive no digests
+	lists      int
+	fetches    int
+	maxFetches int // maximum of fetches from one daemon in one tick
 }
 
-// Each daemon receives the digests of up to heardEach others in each tick, as
+// Each daemon receives the digests of up to digestsPerTick others in each tick, as
 // it would with the probes of the membership.
 const (
-	ticksASecond = 5
-	heardEach    = 4
+	ticksPerSecond = 5
+	digestsPerTick = 4
 )
 
 func newDaemons(n int, up bool, stored ...Revision) *daemons {
-	d := &daemons{random: rand.New(rand.NewPCG(1, uint64(n))), now: noon, stored: stored, up: up, deaf: map[int]bool{}}
+	d := &daemons{random: rand.New(rand.NewPCG(1, uint64(n))), now: noon, stored: stored, storeUp: up, noDigests: map[int]bool{}}
 	for i := range n {
 		store := NewStore()
 		d.ids = append(d.ids, fleet.DaemonID(fmt.Sprintf("daemon-%03d", i)))
@@ -45,12 +45,12 @@
 
 // tick advances the time by one tick, delivers digests and makes the calls due.
 func (d *daemons) tick() {
-	d.now = d.now.Add(time.Second / ticksASecond)
+	d.now = d.now.Add(time.Second / ticksPerSecond)
 	asked := map[fleet.DaemonID]int{}
 	for i, s := range d.spreads {
-		for range heardEach {
+		for range digestsPerTick {
 			j := d.random.IntN(len(d.ids))
-			if j != i && !d.deaf[i] {
+			if j != i && !d.noDigests[i] {
 				s.DigestReceived(d.now, d.ids[j], d.stores[j].Digest())
 			}
 		}
@@ -61,7 +61,7 @@
 	}
 	delete(asked, "")
 	for _, n := range asked {
-		d.most = max(d.most, n)
+		d.maxFetches = max(d.maxFetches, n)
 	}
 }
 
@@ -69,7 +69,7 @@
 	s := d.spreads[i]
 	if a.Kind == ListStore {
 		d.lists++
-		if d.up {
+		if d.storeUp {
 			s.Listed(d.now, d.stored...)
 		} else {
 			s.ListFailed(d.now)
@@ -111,7 +111,7 @@
 func TestChangeSpreadsWithTheStoreDown(t *testing.T) {
 	d := newDaemons(9, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
-	d.up = false
+	d.storeUp = false
 	for _, s := range d.spreads {
 		s.WatchFailed()
 	}
@@ -123,16 +123,16 @@
 // With the store down, a new daemon must fetch everything from a peer before it
 // is ready. One that reaches neither the store nor a peer must never be ready,
 // as it would serve without the templates.
-func TestNewDaemonCatchesUpWithAPeer(t *testing.T) {
+func TestNewDaemonCatchesUpFromAPeer(t *testing.T) {
 	d := newDaemons(4, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
-	d.up = false
+	d.storeUp = false
 	for _, i := range []int{2, 3} {
 		d.stores[i] = NewStore()
 		d.spreads[i] = NewSyncer(DefaultSyncConfig, d.stores[i], d.random, d.now)
 	}
-	d.deaf[3] = true
-	for range 60 * ticksASecond {
+	d.noDigests[3] = true
+	for range 60 * ticksPerSecond {
 		d.tick()
 	}
 	assert.Assert(t, d.stores[2].Ready())
@@ -144,7 +144,7 @@
 // Two daemons each miss a change that the other has, and their newest versions
 // are equal. Their digests must differ, or neither fetches before the next full
 // list.
-func TestPeersWithEachOthersGapsMeet(t *testing.T) {
+func TestPeersWithDifferentGapsConverge(t *testing.T) {
 	d := newDaemons(2, false)
 	a, b, c := revision(t, small("a"), 3), revision(t, small("b"), 4), revision(t, small("c"), 9)
 	d.stores[0].Apply(a, c)
@@ -152,18 +152,18 @@
 	for _, s := range d.stores {
 		s.CaughtUp(noon)
 	}
-	d.until(t, func(s *Store) bool { return len(s.held) == 3 })
+	d.until(t, func(s *Store) bool { return len(s.active) == 3 })
 }
 
 // A peer's digest differs but it has nothing new, for instance because its
 // revision is unusable for this daemon. It must not be asked in each tick.
-func TestFruitlessPeerIsSpacedOut(t *testing.T) {
+func TestPeerWithNothingNewIsBackedOff(t *testing.T) {
 	d := newDaemons(2, false)
 	d.stores[0].Apply(revision(t, small("a"), 3))
 	d.stores[0].CaughtUp(noon)
 	d.stores[1].Apply(Revision{Name: "a", Version: 3})
 	d.stores[1].CaughtUp(noon)
-	for range 600 * ticksASecond {
+	for range 600 * ticksPerSecond {
 		d.tick()
 	}
 	assert.Assert(t, d.fetches > 1 && d.fetches < 20, "%d fetches in ten minutes", d.fetches)
@@ -171,11 +171,11 @@
 
 // Without changes, daemons must not fetch from peers, and the rate of the fleet's
 // lists must not grow with its size.
-func TestQuietFleetCallsAreBounded(t *testing.T) {
+func TestCallsWithoutChangesAreBounded(t *testing.T) {
 	d := newDaemons(60, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
 	d.lists, d.fetches = 0, 0
-	for range 1200 * ticksASecond {
+	for range 1200 * ticksPerSecond {
 		d.tick()
 	}
 	assert.Equal(t, d.fetches, 0)
--- a/internal/template/watchers.go
+++ b/internal/template/watchers.go
@@ -13,9 +13,9 @@
 // most of it audit trail, to every daemon.
 const Watchers = 6
 
-// Watches reports whether self is among the daemons that watch templates.
+// IsWatcher reports whether self is among the daemons that watch templates.
 // Alive may be in any order, and may include self or not.
-func Watches(self fleet.DaemonID, alive []fleet.DaemonID) bool {
+func IsWatcher(self fleet.DaemonID, alive []fleet.DaemonID) bool {
 	key := rendezvous.Key(Kind)
 	own, before := rendezvous.Score(key, string(self)), 0
 	for _, d := range alive {
--- a/internal/template/watchers_test.go
+++ b/internal/template/watchers_test.go
@@ -10,10 +10,10 @@
 	d := newDaemons(340, false)
 	watching := 0
 	for _, id := range d.ids {
-		if Watches(id, d.ids) {
+		if IsWatcher(id, d.ids) {
 			watching++
 		}
 	}
 	assert.Equal(t, watching, Watchers)
-	assert.Assert(t, Watches("alone", nil))
+	assert.Assert(t, IsWatcher("alone", nil))
 }
