--- a/internal/daemon/configuration.go
+++ b/internal/daemon/configuration.go
@@ -97,7 +97,7 @@
 			case template.ListStore:
 				go d.list()
 			case template.FetchFromPeer:
-				go d.fetchFrom(a.Peer, a.Have)
+				go d.fetchFrom(a.Peer, a.KnownVersions)
 			}
 		}
 	})
--- a/internal/template/bench_test.go
+++ b/internal/template/bench_test.go
@@ -80,8 +80,8 @@
 }
 
 // BenchmarkApply measures a daemon's cost of a change received by a watch:
-// decoding and checking the object, and building a new snapshot. It also reports
-// the sizes of the object and of the revision kept.
+// decoding and checking the object, and building a new snapshot. It also
+// reports the sizes of the object and of the revision kept.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -159,9 +159,9 @@
 	}
 }
 
-// BenchmarkSpread reports the time and calls that a fleet needs to catch up after
-// a restart of all daemons with the store up, and then to put one change in force
-// everywhere with the store down.
+// BenchmarkSpread reports the time and calls that a fleet needs to catch up
+// after a restart of all daemons with the store up, and then to put one change
+// in force everywhere with the store down.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{9, 85, 340} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -191,11 +191,11 @@
 	d := newDaemons(340, true, revision(b, small("a"), 3))
 	d.until(b, (*Store).Ready)
 	for i := range d.ids {
-		d.spreads[0].DigestReceived(d.now, d.ids[i], d.stores[i].Digest())
+		d.syncers[0].DigestReceived(d.now, d.ids[i], d.stores[i].Digest())
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.spreads[0].Tick(d.now)
+		d.syncers[0].Tick(d.now)
 		d.now = d.now.Add(time.Microsecond)
 	}
 }
--- a/internal/template/bind.go
+++ b/internal/template/bind.go
@@ -18,7 +18,7 @@
 }
 
 func (b *binder) bind(node ast.Node, into reflect.Value, at *path) {
-	b.place(node, at)
+	b.recordPosition(node, at)
 	if _, null := node.(*ast.NullNode); null {
 		return
 	}
@@ -36,8 +36,9 @@
 	}
 }
 
-// place records a field's position, unless that of its key is recorded already.
-func (b *binder) place(node ast.Node, at *path) {
+// recordPosition records a field's position, unless that of its key is recorded
+// already.
+func (b *binder) recordPosition(node ast.Node, at *path) {
 	text := at.String()
 	if _, noted := b.problems.positions[text]; noted {
 		return
@@ -72,7 +73,7 @@
 			continue
 		}
 		field := at.field(key)
-		b.place(value.Key, field)
+		b.recordPosition(value.Key, field)
 		if seen[key] {
 			b.problems.add(field.String(), "stands twice")
 			continue
--- a/internal/template/change.go
+++ b/internal/template/change.go
@@ -11,8 +11,8 @@
 
 // Change is an operator's request to create, amend or delete a template. Plan
 // returns the conditional write to make. If the store answers the write with a
-// version, the change is accepted, see WriteSucceeded; after any other answer the caller
-// reads the object again and calls Resolve.
+// version, the change is accepted, see WriteSucceeded; after any other answer
+// the caller reads the object again and calls Resolve.
 type Change struct {
 	Name      string
 	Expected  uint64    // version that the operator saw; 0 if there was none
@@ -97,8 +97,8 @@
 	}
 }
 
-// WriteSucceeded returns the result of a change whose write the store answered with a
-// version.
+// WriteSucceeded returns the result of a change whose write the store answered
+// with a version.
 func (c Change) WriteSucceeded(version uint64) Result {
 	return Result{Outcome: Accepted, Version: version, Current: version}
 }
@@ -165,7 +165,7 @@
 // remain after the change was refused.
 func (c Change) write(current Record, now time.Time) Result {
 	next := Record{Name: c.Name, Template: c.Template, Deleted: c.Template == nil}
-	action, state, err := c.state(current)
+	action, state, err := c.actionAndState(current)
 	if err == nil {
 		next.Audit = current.Audit.Append(c.entry(current, action, state, now))
 		var value json.RawMessage
@@ -175,12 +175,13 @@
 			return Result{Outcome: Proceed, Write: write, Current: current.Version}
 		}
 	}
-	fault := Problem{Message: err.Error()}
-	return Result{Outcome: Refused, Current: current.Version, Problems: []Problem{fault}, Reason: "the change can't be stored"}
+	problem := Problem{Message: err.Error()}
+	return Result{Outcome: Refused, Current: current.Version, Problems: []Problem{problem}, Reason: "the change can't be stored"}
 }
 
-// state returns the change's audit action and the encoding of the new state.
-func (c Change) state(current Record) (audit.Action, []byte, error) {
+// actionAndState returns the change's audit action and the encoding of the new
+// actionAndState.
+func (c Change) actionAndState(current Record) (audit.Action, []byte, error) {
 	if c.Template == nil {
 		return audit.Deleted, nil, nil
 	}
--- a/internal/template/change_test.go
+++ b/internal/template/change_test.go
@@ -80,8 +80,8 @@
 	assert.DeepEqual(t, r.Write, sent)
 }
 
-// A store restored to an older state doesn't show whether the write took effect,
-// so the change must not be reported as refused.
+// A store restored to an older state doesn't show whether the write took
+// effect, so the change must not be reported as refused.
 func TestStoreOlderThanTheReplacedVersionIsUnknown(t *testing.T) {
 	ours := change(9, small("a"), "ours")
 	assert.Equal(t, ours.Resolve(Write{IfVersion: 9}, Record{Name: "a", Version: 5}).Outcome, Unknown)
--- a/internal/template/diff.go
+++ b/internal/template/diff.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// DiffLine is one field that differs between two templates. The value of an absent
-// field is the empty string.
+// DiffLine is one field that differs between two templates. The value of an
+// absent field is the empty string.
 type DiffLine struct {
 	Path string `json:"path"` // with names as indexes: workspaces[magnolia].limits.burst
 	Old  string `json:"old,omitempty"`
@@ -45,7 +45,8 @@
 	return out
 }
 
-// leaves holds the texts of a template's fields by path, and the paths in order.
+// leaves holds the texts of a template's fields by path, and the paths in
+// order.
 type leaves struct {
 	paths  []string
 	values map[string]string
--- a/internal/template/history.go
+++ b/internal/template/history.go
@@ -4,7 +4,8 @@
 // minutes, far more than a daemon in contact with its peers can be behind.
 const maxSteps = 256
 
-// step is one revision that this daemon put in force, and its digest afterwards.
+// step is one revision that this daemon put in force, and its digest
+// afterwards.
 type step struct {
 	digest  Digest
 	name    string
@@ -33,9 +34,9 @@
 // at returns the i-th oldest step.
 func (h *history) at(i int) *step { return &h.steps[(h.next+i)%len(h.steps)] }
 
-// find returns the index of the last step that led to a digest, counted from
-// the oldest; -1 if there is none.
-func (h *history) find(digest Digest) int {
+// indexOfDigest returns the index of the last step that led to a digest,
+// counted from the oldest; -1 if there is none.
+func (h *history) indexOfDigest(digest Digest) int {
 	for i := len(h.steps) - 1; i >= 0; i-- {
 		if h.at(i).digest == digest {
 			return i
@@ -44,9 +45,10 @@
 	return -1
 }
 
-// reached returns the index of the first recorded step that put a version of a
-// name, or a higher one, in force; -1 if that was before all recorded steps.
-func (h *history) reached(name string, version uint64) int {
+// indexOfVersion returns the index of the first recorded step that put a
+// version of a name, or a higher one, in force; -1 if that was before all
+// recorded steps.
+func (h *history) indexOfVersion(name string, version uint64) int {
 	for i := range h.steps {
 		if s := h.at(i); s.name == name && s.version >= version {
 			return i
--- a/internal/template/operators_test.go
+++ b/internal/template/operators_test.go
@@ -15,17 +15,17 @@
 
 // objects is a store of one template that keeps all of its versions.
 type objects struct {
-	past    []objectapi.Object
+	versions    []objectapi.Object
 	newest  Record // the last of past, decoded
 	version uint64
 	delayed []Write // in transit, may take effect at any later time
 }
 
 func (o *objects) current() objectapi.Object {
-	if len(o.past) == 0 {
+	if len(o.versions) == 0 {
 		return objectapi.Object{Kind: Kind, Name: "month-end"}
 	}
-	return o.past[len(o.past)-1]
+	return o.versions[len(o.versions)-1]
 }
 
 func (o *objects) write(w Write) bool {
@@ -33,7 +33,7 @@
 	if o.current().Version != w.IfVersion {
 		return false
 	}
-	o.past = append(o.past, objectapi.Object{Kind: Kind, Name: w.Name, Version: o.version, Value: w.Value})
+	o.versions = append(o.versions, objectapi.Object{Kind: Kind, Name: w.Name, Version: o.version, Value: w.Value})
 	return true
 }
 
@@ -49,7 +49,7 @@
 // operator amends the template repeatedly. One step is one call to the store.
 type operator struct {
 	name     string
-	wanted   int // changes still to be accepted
+	remaining   int // changes still to be accepted
 	change   Change
 	sent     Write
 	sending  bool
@@ -59,8 +59,8 @@
 	unknown  []string
 }
 
-// step makes the operator's next call to the store. Fault is injected
-// into a write: 0 loses its response, 1 delays it, 2 loses it; -1 is no fault.
+// step makes the operator's next call to the store. The fault is injected into
+// a write: 0 loses its response, 1 delays it, 2 loses it; -1 is no fault.
 func (o *operator) step(t assert.TestingT, store *objects, fault int) {
 	if o.sending {
 		o.send(t, store, fault)
@@ -101,7 +101,7 @@
 		o.sent = r.Write
 	case Accepted:
 		o.accepted = append(o.accepted, o.change.Operation)
-		o.wanted--
+		o.remaining--
 	case Refused:
 		o.refused = append(o.refused, o.change.Operation)
 	case Unknown:
@@ -114,13 +114,13 @@
 	store := &objects{newest: Record{Name: "month-end"}}
 	var all, busy []*operator
 	for i := range operators {
-		all = append(all, &operator{name: fmt.Sprintf("operator-%d", i), wanted: changes})
+		all = append(all, &operator{name: fmt.Sprintf("operator-%d", i), remaining: changes})
 	}
 	busy = append(busy, all...)
 	for len(busy) > 0 {
 		i := pick(len(busy))
 		busy[i].step(t, store, pickFault(pick))
-		if busy[i].wanted == 0 {
+		if busy[i].remaining == 0 {
 			busy = append(busy[:i:i], busy[i+1:]...)
 		}
 		if len(store.delayed) > 0 && pick(3) == 0 {
@@ -144,7 +144,7 @@
 func checkHistory(t assert.TestingT, store *objects, operators []*operator) {
 	occurrences := map[string]int{}
 	before := Record{Name: "month-end"}
-	for _, object := range store.past {
+	for _, object := range store.versions {
 		r, err := RecordOf(object)
 		assert.NilError(t, err)
 		assert.NilError(t, r.Audit.Continues(before.Audit))
@@ -167,13 +167,13 @@
 		assert.Equal(t, len(o.unknown), 0)
 		accepted += len(o.accepted)
 	}
-	assert.Equal(t, len(store.past), accepted)
+	assert.Equal(t, len(store.versions), accepted)
 }
 
-// Ten operators concurrently amend one template, 50 times each, and one write in
-// five has no response: the response is lost, the write is lost, or it arrives
-// late. Each operator must get the true outcome of every change, and the audit
-// trail must have no gaps and no duplicates.
+// Ten operators concurrently amend one template, 50 times each, and one write
+// in five has no response: the response is lost, the write is lost, or it
+// arrives late. Each operator must get the true outcome of every change, and
+// the audit trail must have no gaps and no duplicates.
 func TestTenOperatorsAmendAtOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	store, operators := amend(t, 10, 50, random.IntN)
@@ -181,15 +181,15 @@
 	for _, o := range operators {
 		attempts += o.attempts
 	}
-	t.Logf("%d attempts for %d accepted changes", attempts, len(store.past))
+	t.Logf("%d attempts for %d accepted changes", attempts, len(store.versions))
 	checkHistory(t, store, operators)
 	assert.Equal(t, store.read(t).Audit.Len(), uint64(500))
 	assert.Equal(t, len(store.read(t).Audit.Entries), audit.MaxKept)
 }
 
-// As above, with random schedules. A daemon receives the versions by watch, list
-// and peers, in any order and repeatedly. The version it has in force must never
-// decrease.
+// As above, with random schedules. A daemon receives the versions by watch,
+// list and peers, in any order and repeatedly. The version it has in force must
+// never decrease.
 func TestHistoryIsLinearAndVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
@@ -197,12 +197,12 @@
 		checkHistory(t, store, operators)
 		daemon, highest := NewStore(), uint64(0)
 		for range 30 {
-			daemon.Apply(RevisionsOf(store.past[pick(len(store.past)):][:1])...)
+			daemon.Apply(RevisionsOf(store.versions[pick(len(store.versions)):][:1])...)
 			version := daemon.version("month-end")
 			assert.Assert(t, version >= highest, "%d after %d", version, highest)
 			highest = version
 		}
-		daemon.Apply(RevisionsOf(store.past)...)
+		daemon.Apply(RevisionsOf(store.versions)...)
 		assert.Equal(t, daemon.version("month-end"), store.current().Version)
 	})
 }
--- a/internal/template/parse.go
+++ b/internal/template/parse.go
@@ -30,9 +30,9 @@
 		found.add("", fmt.Sprintf("the text has more than %d bytes", MaxTextBytes))
 		return nil, found.list
 	}
-	root, fault := document(text)
-	if fault != nil {
-		return nil, []Problem{*fault}
+	root, problem := document(text)
+	if problem != nil {
+		return nil, []Problem{*problem}
 	}
 	t := new(Template)
 	b := binder{problems: found}
@@ -44,8 +44,8 @@
 
 // document returns the root of the only document in a text.
 func document(text []byte) (ast.Node, *Problem) {
-	if fault := checkNesting(text); fault != nil {
-		return nil, fault
+	if problem := checkNesting(text); problem != nil {
+		return nil, problem
 	}
 	file, err := parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
@@ -59,20 +59,20 @@
 
 // syntaxProblem returns the parser's error with its position.
 func syntaxProblem(text []byte, err error) *Problem {
-	fault := &Problem{Message: err.Error()}
+	problem := &Problem{Message: err.Error()}
 	var syntax *yaml.SyntaxError
 	if !errors.As(err, &syntax) {
-		return fault
+		return problem
 	}
-	fault.Message = syntax.Message
+	problem.Message = syntax.Message
 	if syntax.Token != nil && syntax.Token.Position != nil {
-		fault.Line = syntax.Token.Position.Line
-		fault.Column = syntax.Token.Position.Column
+		problem.Line = syntax.Token.Position.Line
+		problem.Column = syntax.Token.Position.Column
 	}
-	if line := lineOf(text, fault.Line); bytes.Contains(line, []byte("${")) {
-		fault.Message += "; within brackets a ${parameter} must stand in quotes"
+	if line := lineOf(text, problem.Line); bytes.Contains(line, []byte("${")) {
+		problem.Message += "; within brackets a ${parameter} must stand in quotes"
 	}
-	return fault
+	return problem
 }
 
 // lineOf returns a line of a text, counted from 1.
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// checkNesting returns a problem for a text that might nest deeper than maxNesting.
-// It counts every bracket, also in strings, and each dash and question mark that
-// opens a level within a line.
+// checkNesting returns a problem for a text that might nest deeper than
+// maxNesting. It counts every bracket, also in strings, and each dash and
+// question mark that opens a level within a line.
 func checkNesting(text []byte) *Problem {
 	depth := 0
 	for number, line := range bytes.Split(text, []byte("\n")) {
--- a/internal/template/parse_test.go
+++ b/internal/template/parse_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, len(stored.Check()), 0)
 }
 
-// YAML treats a version such as 1.10 as a number. Decoded as one it becomes 1.1,
-// and engines would load another version than the operator requested.
+// YAML treats a version such as 1.10 as a number. Decoded as one it becomes
+// 1.1, and engines would load another version than the operator requested.
 func TestVersionsStayAsWritten(t *testing.T) {
 	assert.Equal(t, string(example(t).Models[0].Version), "1.10")
 }
--- a/internal/template/pattern.go
+++ b/internal/template/pattern.go
@@ -15,8 +15,8 @@
 	rest     bool     // ends in **
 }
 
-// compilePattern parses a pattern such as /orders, /orders/*/lines or /admin/**.
-// A non-empty fault describes why the pattern is invalid.
+// compilePattern parses a pattern such as /orders, /orders/*/lines or
+// /admin/**. A non-empty fault describes why the pattern is invalid.
 func compilePattern(text string) (p pattern, fault string) {
 	if !strings.HasPrefix(text, "/") || len(text) > maxPathBytes {
 		return p, fmt.Sprintf("must start with / and have at most %d bytes", maxPathBytes)
--- a/internal/template/problem.go
+++ b/internal/template/problem.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Problem is one reason why a template is invalid. Line and Column count from 1;
-// they are 0 for a template that wasn't parsed from a text.
+// Problem is one reason why a template is invalid. Line and Column count from
+// 1; they are 0 for a template that wasn't parsed from a text.
 type Problem struct {
 	Path    string `json:"path"` // such as workspaces[0].limits.burst
 	Line    int    `json:"line,omitempty"`
@@ -51,19 +51,19 @@
 		return
 	}
 	at := nearest(p.positions, path)
-	fault := Problem{Path: path, Line: at.line, Column: at.column, Message: message}
-	if p.seen[fault] {
+	problem := Problem{Path: path, Line: at.line, Column: at.column, Message: message}
+	if p.seen[problem] {
 		return
 	}
 	if p.seen == nil {
 		p.seen = map[Problem]bool{}
 	}
-	p.seen[fault] = true
-	p.list = append(p.list, fault)
+	p.seen[problem] = true
+	p.list = append(p.list, problem)
 }
 
-// nearest returns the position of a path; if the field is missing from the text,
-// that of the innermost enclosing field.
+// nearest returns the position of a path; if the field is missing from the
+// text, that of the innermost enclosing field.
 func nearest(positions map[string]position, path string) position {
 	for path != "" {
 		if at, ok := positions[path]; ok {
--- a/internal/template/ready.go
+++ b/internal/template/ready.go
@@ -14,8 +14,8 @@
 // with what it has in force.
 func (s *Store) Ready() bool { return s.caughtUp }
 
-// SinceConfirmed returns the time since the platform's store or a peer last confirmed
-// what is in force; 0 before the store has caught up.
+// SinceConfirmed returns the time since the platform's store or a peer last
+// confirmed what is in force; 0 before the store has caught up.
 func (s *Store) SinceConfirmed(now time.Time) time.Duration {
 	if !s.caughtUp {
 		return 0
@@ -23,6 +23,6 @@
 	return now.Sub(s.lastConfirmed)
 }
 
-// Confirmed records that what is in force was confirmed, for instance by a watch
-// of the platform's store that ended without changes.
+// Confirmed records that what is in force was confirmed, for instance by a
+// watch of the platform's store that ended without changes.
 func (s *Store) Confirmed(now time.Time) { s.lastConfirmed = now }
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -56,9 +56,9 @@
 // priorityAndWeight returns the workspace's priority and weight.
 func (r *resolver) priorityAndWeight(at *path) (priority int, weight float64) {
 	own, def := r.workspace, r.template.Defaults
-	s, place := choose(own.Priority, def.Priority, at, "priority")
+	s, place := valueOrDefault(own.Priority, def.Priority, at, "priority")
 	priority = r.integer(s, place, maxPriority)
-	s, place = choose(own.Weight, def.Weight, at, "weight")
+	s, place = valueOrDefault(own.Weight, def.Weight, at, "weight")
 	weight = r.number(s, place, maxWeight)
 	if weight == 0 {
 		weight = 1
@@ -66,9 +66,9 @@
 	return priority, weight
 }
 
-// choose returns the workspace's scalar, or the default if the workspace has
-// none, and the path of the one returned.
-func choose(own, def Scalar, at *path, key string) (Scalar, *path) {
+// valueOrDefault returns the workspace's scalar, or the default if the
+// workspace has none, and the path of the one returned.
+func valueOrDefault(own, def Scalar, at *path, key string) (Scalar, *path) {
 	if own != "" || def == "" {
 		return own, at.field(key)
 	}
@@ -83,11 +83,11 @@
 func (r *resolver) limits(at *path) Limits {
 	own, def := r.workspace.Limits, r.template.Defaults.Limits
 	number := func(own, def Scalar, key string, high float64) float64 {
-		s, place := choose(own, def, at, key)
+		s, place := valueOrDefault(own, def, at, key)
 		return r.number(s, place, high)
 	}
 	whole := func(own, def Scalar, key string, high int) int {
-		s, place := choose(own, def, at, key)
+		s, place := valueOrDefault(own, def, at, key)
 		return r.integer(s, place, high)
 	}
 	return Limits{
--- a/internal/template/resolver.go
+++ b/internal/template/resolver.go
@@ -37,8 +37,8 @@
 	return text, true
 }
 
-// report reports a problem of a scalar. If the scalar refers to a parameter, the
-// message names the workspace, because the value may be valid for others.
+// report reports a problem of a scalar. If the scalar refers to a parameter,
+// the message names the workspace, because the value may be valid for others.
 func (r *resolver) report(s Scalar, at *path, message string) {
 	if s.parametrised() {
 		message += fmt.Sprintf(" (workspace %s)", r.workspace.Name)
@@ -78,7 +78,7 @@
 	return value
 }
 
-// integer is like number, for integer numbers.
+// integer is like number, for integers.
 func (r *resolver) integer(s Scalar, at *path, high int) int {
 	value := r.number(s, at, float64(high))
 	if value != math.Trunc(value) {
--- a/internal/template/revision.go
+++ b/internal/template/revision.go
@@ -7,8 +7,8 @@
 )
 
 // Revision is a template at a version, as daemons put it in force and send it
-// to peers. It has no audit trail, so no change can be planned on it: writing it
-// back would erase the trail. Value is kept as read, because a daemon of an
+// to peers. It has no audit trail, so no change can be planned on it: writing
+// it back would erase the trail. Value is kept as read, because a daemon of an
 // older release that encoded it anew would drop unknown keys and send the rest
 // under the same version.
 type Revision struct {
--- a/internal/template/scalar.go
+++ b/internal/template/scalar.go
@@ -5,7 +5,8 @@
 )
 
 // Scalar is a single value as written in a template's text: a number, a
-// duration, a time or a name. It may contain ${name}, a reference to a parameter.
+// duration, a time or a name. It may contain ${name}, a reference to a
+// parameter.
 type Scalar string
 
 // expand replaces the parameters in s. If it can't, missing is the first name
--- a/internal/template/snapshot.go
+++ b/internal/template/snapshot.go
@@ -6,8 +6,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Snapshot is the merged result of all templates in force, for request handlers.
-// It is immutable and safe for concurrent use.
+// Snapshot is the merged result of all templates in force, for request
+// handlers. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	Digest         Digest
 	Models         []Model         // that engines must have loaded, one per Ref with its strictest requirements, in a fixed order
@@ -66,7 +66,8 @@
 // NonIdempotent reports whether a call of a plain service must run at most
 // once. The path is the service's own, decoded, without its query. A call that
 // any template lists is non-idempotent for every workspace, because they share
-// the service. All calls of a service that no template lists are non-idempotent.
+// the service. All calls of a service that no template lists are
+// non-idempotent.
 func (s *Snapshot) NonIdempotent(method, service, path string) bool {
 	calls, known := s.services[service]
 	if !known {
--- a/internal/template/spec.go
+++ b/internal/template/spec.go
@@ -84,8 +84,8 @@
 	Adapter Scalar `json:"adapter,omitempty"`
 }
 
-// LimitsSpec bounds a workspace's use of the whole fleet. A limit that is absent
-// or 0 is no limit.
+// LimitsSpec bounds a workspace's use of the whole fleet. A limit that is
+// absent or 0 is no limit.
 type LimitsSpec struct {
 	RequestsPerSecond Scalar `json:"requestsPerSecond,omitempty"`
 	Burst             Scalar `json:"burst,omitempty"` // requests above the rate
--- a/internal/template/status.go
+++ b/internal/template/status.go
@@ -49,11 +49,11 @@
 	case s.version(name) < version:
 		return PropagationUnproven
 	}
-	step := s.history.find(v.Digest)
+	step := s.history.indexOfDigest(v.Digest)
 	if step < 0 {
 		return PropagationUnproven
 	}
-	return propagationIf(step >= s.history.reached(name, version))
+	return propagationIf(step >= s.history.indexOfVersion(name, version))
 }
 
 func propagationIf(yes bool) Propagation {
--- a/internal/template/store.go
+++ b/internal/template/store.go
@@ -54,8 +54,8 @@
 
 // Apply puts revisions in force, except those of which the same or a higher
 // version of the name was applied or rejected before: responses of the
-// platform's store and of peers can arrive out of order, and a late one must not
-// restore an old state. The order of the revisions doesn't matter.
+// platform's store and of peers can arrive out of order, and a late one must
+// not restore an old state. The order of the revisions doesn't matter.
 func (s *Store) Apply(revisions ...Revision) []Applied {
 	out := make([]Applied, 0, len(revisions))
 	changed := false
@@ -78,7 +78,7 @@
 	}
 	next := &activeRevision{revision: r}
 	if !r.Deleted {
-		next.resolved, out.Problems = usable(r)
+		next.resolved, out.Problems = resolveRevision(r)
 	}
 	if len(out.Problems) > 0 {
 		s.unusable[r.Name] = r.Version
@@ -93,8 +93,8 @@
 	return out
 }
 
-// usable resolves a revision's template.
-func usable(r Revision) (*resolved, []Problem) {
+// resolveRevision resolves a revision's template.
+func resolveRevision(r Revision) (*resolved, []Problem) {
 	t, err := FromJSON(r.Value)
 	if err != nil {
 		return nil, []Problem{{Message: err.Error()}}
@@ -143,9 +143,9 @@
 	return s.digest
 }
 
-// Have returns the highest known version of each name. A peer responds to it
-// with the revisions that are newer.
-func (s *Store) Have() map[string]uint64 {
+// KnownVersions returns the highest known version of each name. A peer responds
+// to it with the revisions that are newer.
+func (s *Store) KnownVersions() map[string]uint64 {
 	out := make(map[string]uint64, len(s.active))
 	for name := range s.active {
 		out[name] = s.known(name)
@@ -157,15 +157,15 @@
 }
 
 // Newer returns the revisions that a peer lacks, oldest first. It reports false
-// while this daemon hasn't caught up itself: otherwise two new daemons would take
-// each other's empty response for the complete state.
-func (s *Store) Newer(have map[string]uint64) ([]Revision, bool) {
+// while this daemon hasn't caught up itself: otherwise two new daemons would
+// take each other's empty response for the complete state.
+func (s *Store) Newer(known map[string]uint64) ([]Revision, bool) {
 	if !s.caughtUp {
 		return nil, false
 	}
 	var out []Revision
 	for _, name := range slices.Sorted(maps.Keys(s.active)) {
-		if r := s.active[name].revision; r.Version > have[name] {
+		if r := s.active[name].revision; r.Version > known[name] {
 			out = append(out, r)
 		}
 	}
--- a/internal/template/store_test.go
+++ b/internal/template/store_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Daemons with the same versions must have equal digests and equal snapshots, in
-// whatever order and however often they received these and older versions.
+// Daemons with the same versions must have equal digests and equal snapshots,
+// in whatever order and however often they received these and older versions.
 func TestEqualVersionsHaveEqualDigestsAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Revision
@@ -51,13 +51,13 @@
 	assert.Assert(t, len(applied[0].Problems) > 0)
 	assert.Equal(t, s.Snapshot().Version("a"), uint64(3))
 	assert.Equal(t, s.digest, digest)
-	assert.Equal(t, s.Have()["a"], uint64(7))
+	assert.Equal(t, s.KnownVersions()["a"], uint64(7))
 	assert.Equal(t, s.Apply(Revision{Name: "a", Version: 7})[0].Effect, Older)
 	assert.Equal(t, s.Apply(revision(t, small("a"), 8))[0].Effect, InForce)
 }
 
-// An old list arrives after a deletion. The tombstone has the higher version, so
-// the template must not be restored.
+// An old list arrives after a deletion. The tombstone has the higher version,
+// so the template must not be restored.
 func TestDeletedTemplateStaysDeleted(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3), Revision{Name: "a", Version: 5, Deleted: true})
@@ -68,8 +68,9 @@
 	assert.Assert(t, ok && len(newer) == 1 && newer[0].Deleted)
 }
 
-// A daemon that hasn't caught up must serve nothing to peers: another new daemon
-// would take an incomplete response for the complete state and become ready.
+// A daemon that hasn't caught up must serve nothing to peers: another new
+// daemon would take an incomplete response for the complete state and become
+// ready.
 func TestDaemonThatHasNotCaughtUpServesNoPeer(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
--- a/internal/template/syncconfig.go
+++ b/internal/template/syncconfig.go
@@ -30,8 +30,9 @@
 	Timeout time.Duration
 }
 
-// DefaultSyncConfig meets the fleet's target of 15 s for a change to be in force
-// everywhere: a fetch starts within 4 s if the watch is healthy, else within 1 s.
+// DefaultSyncConfig meets the fleet's target of 15 s for a change to be in
+// force everywhere: a fetch starts within 4 s if the watch is healthy, else
+// within 1 s.
 var DefaultSyncConfig = SyncConfig{
 	StartJitter:       5 * time.Second,
 	WatchGrace:        2 * time.Second,
--- a/internal/template/syncer.go
+++ b/internal/template/syncer.go
@@ -23,7 +23,7 @@
 type Action struct {
 	Kind ActionKind
 	Peer fleet.DaemonID    // where FetchFromPeer
-	Have map[string]uint64 // where FetchFromPeer: the highest known version of each name
+	KnownVersions map[string]uint64 // where FetchFromPeer: the highest known version of each name
 }
 
 // Syncer decides when a daemon asks the platform's store or a peer for newer
@@ -91,7 +91,7 @@
 	})
 }
 
-// PeerPeerGone removes a daemon that left or failed.
+// PeerGone removes a daemon that left or failed.
 func (s *Syncer) PeerGone(daemon fleet.DaemonID) {
 	if i, ok := s.findPeer(daemon); ok {
 		s.peers = slices.Delete(s.peers, i, i+1)
@@ -101,7 +101,8 @@
 	}
 }
 
-// WatchSucceeded handles a successful watch of the store, with or without changes.
+// WatchSucceeded handles a successful watch of the store, with or without
+// changes.
 func (s *Syncer) WatchSucceeded(now time.Time, changes ...Revision) []Applied {
 	s.watchHealthy = true
 	if s.store.caughtUp {
@@ -114,8 +115,8 @@
 func (s *Syncer) WatchFailed() { s.watchHealthy = false }
 
 // WatchReset handles a watch that can't resume from its version. Changes since
-// then may be missed, so a list becomes due. When the store comes back, this can
-// happen to all daemons at once, so each delays its list at random.
+// then may be missed, so a list becomes due. When the store comes back, this
+// can happen to all daemons at once, so each delays its list at random.
 func (s *Syncer) WatchReset(now time.Time) {
 	s.watchHealthy = false
 	due := now.Add(jitter(s.random, s.config.StartJitter))
@@ -168,8 +169,8 @@
 }
 
 // caughtUpByPeer records that a peer brought the store up to date. It postpones
-// a new daemon's first list: after a restart of all daemons, the few that listed
-// first serve the rest.
+// a new daemon's first list: after a restart of all daemons, the few that
+// listed first serve the rest.
 func (s *Syncer) caughtUpByPeer(now time.Time) {
 	if !s.store.caughtUp && !s.listing {
 		s.nextList = now.Add(s.listInterval())
@@ -212,7 +213,7 @@
 	}
 	if daemon, ok := s.pickPeer(now); ok {
 		s.fetching, s.fetchDeadline = daemon, now.Add(s.config.Timeout)
-		out = append(out, Action{Kind: FetchFromPeer, Peer: daemon, Have: s.store.Have()})
+		out = append(out, Action{Kind: FetchFromPeer, Peer: daemon, KnownVersions: s.store.KnownVersions()})
 	}
 	return out
 }
@@ -233,8 +234,8 @@
 
 // pickPeer returns the peer to fetch from now, if any: the one with the newest
 // version among those that may have something that this daemon lacks. Among
-// equals it chooses at random, so that not all daemons ask the first one to have
-// a change.
+// equals it chooses at random, so that not all daemons ask the first one to
+// have a change.
 func (s *Syncer) pickPeer(now time.Time) (fleet.DaemonID, bool) {
 	if s.fetching != "" {
 		return "", false
@@ -242,7 +243,7 @@
 	var best fleet.DaemonID
 	newest, equals := uint64(0), 0
 	for _, p := range s.peers {
-		if !s.mayHaveNewer(p) || now.Before(s.dueAt(p)) || !p.backoff.allows(now) {
+		if !s.mayHaveNewer(p) || now.Before(s.fetchDueAt(p)) || !p.backoff.allows(now) {
 			continue
 		}
 		switch {
@@ -258,17 +259,18 @@
 	return best, equals > 0
 }
 
-// mayHaveNewer reports whether a peer may have what this daemon lacks. A peer whose
-// newest version is lower isn't asked: it will fetch from this daemon, and if
-// the digests still differ afterwards, its newest version is no longer lower.
+// mayHaveNewer reports whether a peer may have what this daemon lacks. A peer
+// whose newest version is lower isn't asked: it will fetch from this daemon,
+// and if the digests still differ afterwards, its newest version is no longer
+// lower.
 func (s *Syncer) mayHaveNewer(p *peer) bool {
 	own := s.store.digest
 	return !p.digest.IsZero() && p.digest != own && p.digest.Newest >= own.Newest
 }
 
-// dueAt returns the earliest time of a fetch for a peer's current digest. While
-// the watch is healthy it leaves the watch time to deliver the change.
-func (s *Syncer) dueAt(p *peer) time.Time {
+// fetchDueAt returns the earliest time of a fetch for a peer's current digest.
+// While the watch is healthy it leaves the watch time to deliver the change.
+func (s *Syncer) fetchDueAt(p *peer) time.Time {
 	switch {
 	case s.watchHealthy && s.store.caughtUp:
 		return p.received.Add(s.config.WatchGrace + 2*p.fetchDelay)
--- a/internal/template/syncer_test.go
+++ b/internal/template/syncer_test.go
@@ -14,7 +14,7 @@
 type daemons struct {
 	ids        []fleet.DaemonID
 	stores     []*Store
-	spreads    []*Syncer
+	syncers    []*Syncer
 	random     *rand.Rand
 	now        time.Time
 	stored     []Revision   // the content of the platform's store
@@ -25,8 +25,8 @@
 	maxFetches int // maximum of fetches from one daemon in one tick
 }
 
-// Each daemon receives the digests of up to digestsPerTick others in each tick, as
-// it would with the probes of the membership.
+// Each daemon receives the digests of up to digestsPerTick others in each tick,
+// as it would with the probes of the membership.
 const (
 	ticksPerSecond = 5
 	digestsPerTick = 4
@@ -38,7 +38,7 @@
 		store := NewStore()
 		d.ids = append(d.ids, fleet.DaemonID(fmt.Sprintf("daemon-%03d", i)))
 		d.stores = append(d.stores, store)
-		d.spreads = append(d.spreads, NewSyncer(DefaultSyncConfig, store, rand.New(rand.NewPCG(2, uint64(i))), d.now))
+		d.syncers = append(d.syncers, NewSyncer(DefaultSyncConfig, store, rand.New(rand.NewPCG(2, uint64(i))), d.now))
 	}
 	return d
 }
@@ -47,7 +47,7 @@
 func (d *daemons) tick() {
 	d.now = d.now.Add(time.Second / ticksPerSecond)
 	asked := map[fleet.DaemonID]int{}
-	for i, s := range d.spreads {
+	for i, s := range d.syncers {
 		for range digestsPerTick {
 			j := d.random.IntN(len(d.ids))
 			if j != i && !d.noDigests[i] {
@@ -66,7 +66,7 @@
 }
 
 func (d *daemons) do(i int, a Action) {
-	s := d.spreads[i]
+	s := d.syncers[i]
 	if a.Kind == ListStore {
 		d.lists++
 		if d.storeUp {
@@ -81,7 +81,7 @@
 		if id != a.Peer {
 			continue
 		}
-		if newer, ok := d.stores[j].Newer(a.Have); ok {
+		if newer, ok := d.stores[j].Newer(a.KnownVersions); ok {
 			s.Fetched(d.now, id, newer...)
 		} else {
 			s.FetchFailed(d.now, id)
@@ -112,7 +112,7 @@
 	d := newDaemons(9, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
 	d.storeUp = false
-	for _, s := range d.spreads {
+	for _, s := range d.syncers {
 		s.WatchFailed()
 	}
 	d.stores[0].Apply(revision(t, small("a"), 8))
@@ -129,7 +129,7 @@
 	d.storeUp = false
 	for _, i := range []int{2, 3} {
 		d.stores[i] = NewStore()
-		d.spreads[i] = NewSyncer(DefaultSyncConfig, d.stores[i], d.random, d.now)
+		d.syncers[i] = NewSyncer(DefaultSyncConfig, d.stores[i], d.random, d.now)
 	}
 	d.noDigests[3] = true
 	for range 60 * ticksPerSecond {
@@ -169,8 +169,8 @@
 	assert.Assert(t, d.fetches > 1 && d.fetches < 20, "%d fetches in ten minutes", d.fetches)
 }
 
-// Without changes, daemons must not fetch from peers, and the rate of the fleet's
-// lists must not grow with its size.
+// Without changes, daemons must not fetch from peers, and the rate of the
+// fleet's lists must not grow with its size.
 func TestCallsWithoutChangesAreBounded(t *testing.T) {
 	d := newDaemons(60, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
