--- a/internal/template/change.go
+++ b/internal/template/change.go
@@ -180,7 +180,7 @@
 }
 
 // actionAndState returns the change's audit action and the encoding of the new
-// actionAndState.
+// state.
 func (c Change) actionAndState(current Record) (audit.Action, []byte, error) {
 	if c.Template == nil {
 		return audit.Deleted, nil, nil
--- a/internal/template/operators_test.go
+++ b/internal/template/operators_test.go
@@ -15,10 +15,10 @@
 
 // objects is a store of one template that keeps all of its versions.
 type objects struct {
-	versions    []objectapi.Object
-	newest  Record // the last of past, decoded
-	version uint64
-	delayed []Write // in transit, may take effect at any later time
+	versions []objectapi.Object
+	newest   Record // the last of versions, decoded
+	version  uint64
+	delayed  []Write // in transit, may take effect at any later time
 }
 
 func (o *objects) current() objectapi.Object {
@@ -48,15 +48,15 @@
 
 // operator amends the template repeatedly. One step is one call to the store.
 type operator struct {
-	name     string
-	remaining   int // changes still to be accepted
-	change   Change
-	sent     Write
-	sending  bool
-	attempts int
-	accepted []string // operation ids
-	refused  []string
-	unknown  []string
+	name      string
+	remaining int // changes still to be accepted
+	change    Change
+	sent      Write
+	sending   bool
+	attempts  int
+	accepted  []string // operation ids
+	refused   []string
+	unknown   []string
 }
 
 // step makes the operator's next call to the store. The fault is injected into
--- a/internal/template/syncconfig.go
+++ b/internal/template/syncconfig.go
@@ -26,7 +26,7 @@
 	// MinListInterval and MaxListInterval bound one daemon's mean time between lists.
 	MinListInterval time.Duration
 	MaxListInterval time.Duration
-	// Timeout is that of a fetch or list.
+	// Timeout bounds the duration of a fetch or list.
 	Timeout time.Duration
 }
 
--- a/internal/template/syncer.go
+++ b/internal/template/syncer.go
@@ -21,8 +21,8 @@
 
 // Action is a call that the caller of Tick must make.
 type Action struct {
-	Kind ActionKind
-	Peer fleet.DaemonID    // where FetchFromPeer
+	Kind          ActionKind
+	Peer          fleet.DaemonID    // where FetchFromPeer
 	KnownVersions map[string]uint64 // where FetchFromPeer: the highest known version of each name
 }
 
