--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -121,7 +121,7 @@
 		var conflict *outside.Conflict
 		switch {
 		case err == nil:
-			return c.Took(version)
+			return c.WriteSucceeded(version)
 		case errors.As(err, &conflict):
 		case outside.NoEffect(err) && !sent:
 			return template.Result{Outcome: template.Refused, Reason: err.Error()}
@@ -187,7 +187,7 @@
 	out := operator.TemplateStatus{Name: name, Version: version, InForce: true}
 	for i, s := range o.daemon.configuration.status(name, version, views) {
 		out.Daemons = append(out.Daemons, operator.DaemonStatus{Instance: peers[i].Instance, State: s.State, Newest: s.Newest})
-		if s.State == template.SpreadBehind || s.State == template.SpreadUnproven {
+		if s.State == template.PropagationBehind || s.State == template.PropagationUnproven {
 			out.InForce = false
 		}
 	}
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -52,20 +52,20 @@
 
 // ChangeResult is the outcome of a change.
 type ChangeResult struct {
-	Outcome    template.Outcome   `json:"outcome"`              // accepted, unchanged, refused or unknown
-	Version    uint64             `json:"version,omitempty"`    // of the template, if accepted or unchanged
-	Superseded bool               `json:"superseded,omitempty"` // accepted, and replaced by a later change since
-	Current    uint64             `json:"current,omitempty"`    // stored version
-	Diff       []template.Line    `json:"diff,omitempty"`       // from the stored template to the requested one, if refused with a version conflict
-	Problems   []template.Problem `json:"problems,omitempty"`   // mistakes in the change or its template
-	Reason     string             `json:"reason,omitempty"`     // why it was refused or is unknown
+	Outcome    template.Outcome    `json:"outcome"`              // accepted, unchanged, refused or unknown
+	Version    uint64              `json:"version,omitempty"`    // of the template, if accepted or unchanged
+	Superseded bool                `json:"superseded,omitempty"` // accepted, and replaced by a later change since
+	Current    uint64              `json:"current,omitempty"`    // stored version
+	Diff       []template.DiffLine `json:"diff,omitempty"`       // from the stored template to the requested one, if refused with a version conflict
+	Problems   []template.Problem  `json:"problems,omitempty"`   // mistakes in the change or its template
+	Reason     string              `json:"reason,omitempty"`     // why it was refused or is unknown
 }
 
 // DaemonStatus reports whether a version of a template is in force at one daemon.
 type DaemonStatus struct {
-	Instance fleet.InstanceID   `json:"instance"`
-	State    template.Spreading `json:"state"`
-	Newest   uint64             `json:"newest"` // highest version of any template there
+	Instance fleet.InstanceID     `json:"instance"`
+	State    template.Propagation `json:"state"`
+	Newest   uint64               `json:"newest"` // highest version of any template there
 }
 
 // TemplateStatus reports which daemons have the stored version of a template in force.
--- a/internal/template/bench_test.go
+++ b/internal/template/bench_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// large returns the example with a number of workspaces, each with a token.
+// large returns the example with this number of workspaces, each with a token.
 func large(t testing.TB, workspaces int) *Template {
 	out := example(t)
 	out.Workspaces = nil
@@ -28,8 +28,8 @@
 	return out
 }
 
-// full returns a record whose trail is as long as it gets.
-func full(t testing.TB, template *Template) Record {
+// withFullAudit returns a record with an audit trail of the maximum length.
+func withFullAudit(t testing.TB, template *Template) Record {
 	r := Record{Name: template.Name, Version: 5000, Template: template}
 	state, err := template.JSON()
 	assert.NilError(t, err)
@@ -79,12 +79,13 @@
 	}
 }
 
-// BenchmarkApply is what a watch's change costs a daemon: reading the object,
-// the checks, and a new snapshot. Bytes are those of the object.
+// BenchmarkApply measures a daemon's cost of a change received by a watch:
+// decoding and checking the object, and building a new snapshot. It also
+// reports the sizes of the object and of the revision kept.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			o := object(b, full(b, large(b, n)))
+			o := object(b, withFullAudit(b, large(b, n)))
 			s := NewStore()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -95,12 +96,12 @@
 				}
 			}
 			b.ReportMetric(float64(len(o.Value)), "object-bytes")
-			b.ReportMetric(float64(len(s.held[o.Name].revision.Value)), "revision-bytes")
+			b.ReportMetric(float64(len(s.active[o.Name].revision.Value)), "revision-bytes")
 		})
 	}
 }
 
-// BenchmarkHeld prints the memory that a template in force takes: the revision,
+// BenchmarkHeld reports the memory used by a template in force: the revision,
 // its resolved form and the snapshot.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
@@ -120,7 +121,7 @@
 	}
 }
 
-// heap returns the bytes of live objects.
+// heap returns the size of all live objects in bytes.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -128,7 +129,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkParse is what a template's text costs the daemon that checks it.
+// BenchmarkParse measures a daemon's cost of parsing and checking a template's
+// text.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{5, 100, 1000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -144,11 +146,11 @@
 	}
 }
 
-// BenchmarkPlan is what one change costs the daemon that an operator asks.
+// BenchmarkPlan measures a daemon's cost of planning one operator's change.
 func BenchmarkPlan(b *testing.B) {
-	record := full(b, large(b, 100))
-	wish := large(b, 101)
-	c := Change{Name: record.Name, Expected: record.Version, Template: wish, Who: "ana", Operation: "1"}
+	record := withFullAudit(b, large(b, 100))
+	requested := large(b, 101)
+	c := Change{Name: record.Name, Expected: record.Version, Template: requested, Who: "ana", Operation: "1"}
 	b.ReportAllocs()
 	for b.Loop() {
 		if r := c.Plan(record, noon); r.Outcome != Proceed {
@@ -157,8 +159,9 @@
 	}
 }
 
-// BenchmarkSpread prints what a fleet needs to have one change everywhere with
-// the store down, and to catch up after a restart of all with the store up.
+// BenchmarkSpread reports the time and calls that a fleet needs to catch up
+// after a restart of all daemons with the store up, and then to put one change
+// in force everywhere with the store down.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{9, 85, 340} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -174,25 +177,25 @@
 	d := newDaemons(n, true, first)
 	b.ReportMetric(d.until(b, (*Store).Ready).Seconds(), "restart-s")
 	b.ReportMetric(float64(d.lists), "restart-lists")
-	b.ReportMetric(float64(d.most), "restart-fetches-from-one/tick")
-	d.up, d.fetches, d.most = false, 0, 0
+	b.ReportMetric(float64(d.maxFetches), "restart-fetches-from-one/tick")
+	d.storeUp, d.fetches, d.maxFetches = false, 0, 0
 	d.stores[0].Apply(revision(b, large(b, 11), 8))
 	took := d.until(b, func(s *Store) bool { return s.Snapshot().Version("month-end") == 8 })
 	b.ReportMetric(took.Seconds(), "change-s")
 	b.ReportMetric(float64(d.fetches)/float64(n), "change-fetches/daemon")
-	b.ReportMetric(float64(d.most), "change-fetches-from-one/tick")
+	b.ReportMetric(float64(d.maxFetches), "change-fetches-from-one/tick")
 }
 
-// BenchmarkSpreadTick is what the decision costs a daemon of a quiet fleet.
+// BenchmarkSpreadTick measures the cost of one Tick in a fleet without changes.
 func BenchmarkSpreadTick(b *testing.B) {
 	d := newDaemons(340, true, revision(b, small("a"), 3))
 	d.until(b, (*Store).Ready)
 	for i := range d.ids {
-		d.spreads[0].Heard(d.now, d.ids[i], d.stores[i].Digest())
+		d.syncers[0].DigestReceived(d.now, d.ids[i], d.stores[i].Digest())
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.spreads[0].Tick(d.now)
+		d.syncers[0].Tick(d.now)
 		d.now = d.now.Add(time.Microsecond)
 	}
 }
--- a/internal/template/problem.go
+++ b/internal/template/problem.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Problem is one fault of a template. Line and Column count from 1; they are 0
-// in a template that didn't come from a text.
+// Problem is one reason why a template is invalid. Line and Column count from
+// 1; they are 0 for a template that wasn't parsed from a text.
 type Problem struct {
 	Path    string `json:"path"` // such as workspaces[0].limits.burst
 	Line    int    `json:"line,omitempty"`
@@ -29,41 +29,41 @@
 	return b.String()
 }
 
-// position is a place in a template's text, from 1.
+// position is a place in a template's text, counted from 1.
 type position struct {
 	line, column int
 }
 
-// maxProblems bounds a report: one fault in a template of a thousand
-// workspaces can show a thousand times, and nobody reads that far.
+// maxProblems bounds the reported problems: one mistake in a template of a
+// thousand workspaces can cause a thousand of them.
 const maxProblems = 100
 
-// problems collects faults.
+// problems collects a template's problems.
 type problems struct {
-	found     []Problem
+	list      []Problem
 	positions map[string]position
 	seen      map[Problem]bool
 }
 
-// add notes a fault at a path, once.
+// add adds a problem at a path, unless it was added before.
 func (p *problems) add(path, message string) {
-	if len(p.found) >= maxProblems {
+	if len(p.list) >= maxProblems {
 		return
 	}
 	at := nearest(p.positions, path)
-	fault := Problem{Path: path, Line: at.line, Column: at.column, Message: message}
-	if p.seen[fault] {
+	problem := Problem{Path: path, Line: at.line, Column: at.column, Message: message}
+	if p.seen[problem] {
 		return
 	}
 	if p.seen == nil {
 		p.seen = map[Problem]bool{}
 	}
-	p.seen[fault] = true
-	p.found = append(p.found, fault)
+	p.seen[problem] = true
+	p.list = append(p.list, problem)
 }
 
-// nearest returns the position of a path, or of what encloses a field that is
-// missing.
+// nearest returns the position of a path; if the field is missing from the
+// text, that of the innermost enclosing field.
 func nearest(positions map[string]position, path string) position {
 	for path != "" {
 		if at, ok := positions[path]; ok {
@@ -74,10 +74,10 @@
 	return positions[""]
 }
 
-// sorted returns the faults in the order of the text.
+// sorted returns the problems in the order of the text.
 func (p *problems) sorted() []Problem {
-	slices.SortStableFunc(p.found, func(a, b Problem) int {
+	slices.SortStableFunc(p.list, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	return p.found
+	return p.list
 }
--- a/internal/template/resolve.go
+++ b/internal/template/resolve.go
@@ -9,22 +9,22 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// resolved is a template with all parameters replaced, ready to be merged
-// with the others in force.
+// resolved is a template with all parameters replaced, ready to be merged with
+// the other templates in force.
 type resolved struct {
 	name       string
 	workspaces []resolvedWorkspace
 	services   []ServiceSpec
 }
 
-// resolvedWorkspace is a workspace in one template.
+// resolvedWorkspace is a workspace as one template describes it.
 type resolvedWorkspace struct {
 	Workspace
 	tokens []Token
 }
 
-// resolve replaces all parameters. Faults go to found; the result is only
-// good when there are none.
+// resolve replaces all parameters. It adds problems to found; the result is
+// valid only if there are none.
 func (t *Template) resolve(found *problems) resolved {
 	used := map[string]bool{}
 	out := resolved{name: t.Name, services: t.Services}
@@ -48,17 +48,17 @@
 	out.Models = r.models(at.field("models"))
 	out.Services = r.services(at.field("services"))
 	out.Limits = r.limits(at.field("limits"))
-	out.Priority, out.Weight = r.standing(at)
+	out.Priority, out.Weight = r.priorityAndWeight(at)
 	out.Closings = []Closing{r.closing()}
 	return out
 }
 
-// standing returns the workspace's priority and weight.
-func (r *resolver) standing(at *path) (priority int, weight float64) {
+// priorityAndWeight returns the workspace's priority and weight.
+func (r *resolver) priorityAndWeight(at *path) (priority int, weight float64) {
 	own, def := r.workspace, r.template.Defaults
-	s, place := choose(own.Priority, def.Priority, at, "priority")
-	priority = r.whole(s, place, maxPriority)
-	s, place = choose(own.Weight, def.Weight, at, "weight")
+	s, place := valueOrDefault(own.Priority, def.Priority, at, "priority")
+	priority = r.integer(s, place, maxPriority)
+	s, place = valueOrDefault(own.Weight, def.Weight, at, "weight")
 	weight = r.number(s, place, maxWeight)
 	if weight == 0 {
 		weight = 1
@@ -66,9 +66,9 @@
 	return priority, weight
 }
 
-// choose returns the workspace's scalar, or the default's where the workspace
-// states none, and its place.
-func choose(own, def Scalar, at *path, key string) (Scalar, *path) {
+// valueOrDefault returns the workspace's scalar, or the default if the
+// workspace has none, and the path of the one returned.
+func valueOrDefault(own, def Scalar, at *path, key string) (Scalar, *path) {
 	if own != "" || def == "" {
 		return own, at.field(key)
 	}
@@ -83,12 +83,12 @@
 func (r *resolver) limits(at *path) Limits {
 	own, def := r.workspace.Limits, r.template.Defaults.Limits
 	number := func(own, def Scalar, key string, high float64) float64 {
-		s, place := choose(own, def, at, key)
+		s, place := valueOrDefault(own, def, at, key)
 		return r.number(s, place, high)
 	}
 	whole := func(own, def Scalar, key string, high int) int {
-		s, place := choose(own, def, at, key)
-		return r.whole(s, place, high)
+		s, place := valueOrDefault(own, def, at, key)
+		return r.integer(s, place, high)
 	}
 	return Limits{
 		RequestsPerSecond: number(own.RequestsPerSecond, def.RequestsPerSecond, "requestsPerSecond", maxRate),
@@ -96,7 +96,7 @@
 		TokensPerSecond:   number(own.TokensPerSecond, def.TokensPerSecond, "tokensPerSecond", maxTokenRate),
 		TokenBurst:        number(own.TokenBurst, def.TokenBurst, "tokenBurst", maxTokenRate),
 		Concurrency:       whole(own.Concurrency, def.Concurrency, "concurrency", maxRate),
-		MaxTokens:         whole(own.MaxTokens, def.MaxTokens, "maxTokens", maxAnswer),
+		MaxTokens:         whole(own.MaxTokens, def.MaxTokens, "maxTokens", maxAnswerTokens),
 	}
 }
 
@@ -118,8 +118,9 @@
 	return out
 }
 
-// allModels returns the template's models. Workspaces share them where no
-// parameter is in them: fifty models in a thousand workspaces take 6 MB.
+// allModels returns the template's models. Workspaces share them if no model
+// refers to a parameter: separate copies of fifty models for a thousand
+// workspaces take 6 MB.
 func (r *resolver) allModels() []Model {
 	if r.shared != nil {
 		return r.shared
@@ -144,7 +145,7 @@
 	return false
 }
 
-// matches reports whether the workspace's i-th use stands for a model.
+// matches reports whether the workspace's i-th ModelUse selects a model.
 func (r *resolver) matches(i int, ref fleet.ModelRef) bool {
 	use := r.workspace.Models[i]
 	model, _ := use.Model.expand(r.parameter)
@@ -152,18 +153,19 @@
 	return model == ref.Model && (adapter == "" || adapter == ref.Adapter)
 }
 
-// checkUse notes a use that stands for no model of the template.
+// checkUse reports the workspace's i-th ModelUse if it selects no model of the
+// template.
 func (r *resolver) checkUse(i int, all []Model, at *path) {
 	use := r.workspace.Models[i]
-	model := r.word(use.Model, at.field("model"), true)
-	r.word(use.Adapter, at.field("adapter"), false)
+	model := r.name(use.Model, at.field("model"), true)
+	r.name(use.Adapter, at.field("adapter"), false)
 	for _, m := range all {
 		if r.matches(i, m.Ref) {
 			return
 		}
 	}
 	if model != "" {
-		r.fault(use.Model, at, fmt.Sprintf("no model of the template matches %q", model))
+		r.report(use.Model, at, fmt.Sprintf("no model of the template matches %q", model))
 	}
 }
 
@@ -175,11 +177,11 @@
 	latency := at.field("latency")
 	out := Model{
 		Ref: fleet.ModelRef{
-			Model:   r.word(spec.Model, at.field("model"), true),
-			Adapter: r.word(spec.Adapter, at.field("adapter"), false),
-			Version: r.word(spec.Version, at.field("version"), false),
+			Model:   r.name(spec.Model, at.field("model"), true),
+			Adapter: r.name(spec.Adapter, at.field("adapter"), false),
+			Version: r.name(spec.Version, at.field("version"), false),
 		},
-		MinReplicas:   r.whole(spec.MinReplicas, at.field("minReplicas"), maxReplicas),
+		MinReplicas:   r.integer(spec.MinReplicas, at.field("minReplicas"), maxReplicas),
 		NonIdempotent: spec.NonIdempotent,
 		Latency: Latency{
 			FirstToken:    r.duration(spec.Latency.FirstToken, latency.field("firstToken"), maxLatency, false),
@@ -215,14 +217,14 @@
 	return Closing{
 		Template:  r.template.Name,
 		Workspace: r.workspace.Name,
-		At:        r.moment(spec.At, at.field("at")),
+		At:        r.timestamp(spec.At, at.field("at")),
 		Window:    r.duration(spec.Window, at.field("window"), maxWindow, true),
-		Priority:  r.whole(spec.Priority, at.field("priority"), maxPriority),
+		Priority:  r.integer(spec.Priority, at.field("priority"), maxPriority),
 		Weights:   r.weights(),
 	}
 }
 
-// weights returns the two weights with sum 1.
+// weights returns the two weights, scaled to the sum 1.
 func (r *resolver) weights() Weights {
 	var root *path
 	spec, at := r.template.Weights, root.field("weights")
@@ -232,7 +234,7 @@
 	recompute := r.number(spec.Recompute, at.field("recompute"), maxWeight)
 	cost := r.number(spec.Cost, at.field("cost"), maxWeight)
 	if recompute+cost == 0 {
-		r.fault(spec.Recompute, at, "one of recompute and cost must be above 0")
+		r.report(spec.Recompute, at, "one of recompute and cost must be above 0")
 		return Weights{}
 	}
 	return Weights{Recompute: recompute / (recompute + cost), Cost: cost / (recompute + cost)}
@@ -267,8 +269,8 @@
 	return out, err == nil
 }
 
-// priority returns the priority of the template's closing, the highest that a
-// workspace's parameters give it.
+// priority returns the priority of the template's closing: the highest of all
+// workspaces, because it may depend on a parameter.
 func (t *resolved) priority() int {
 	highest := 0
 	for i := range t.workspaces {
--- a/internal/template/status.go
+++ b/internal/template/status.go
@@ -2,62 +2,63 @@
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 
-// View is what membership knows of a daemon.
+// View is the membership's state of a daemon.
 type View struct {
 	Daemon    fleet.DaemonID
 	Digest    Digest
-	Reachable bool // alive or suspected, not gone
+	Reachable bool // alive or suspected, not failed
 }
 
-// Spreading says how far a version has come at one daemon.
-type Spreading string
+// Propagation is the state of a version at one daemon.
+type Propagation string
 
-// The answers.
+// The states of a version.
 const (
-	SpreadInForce  Spreading = "in-force"
-	SpreadBehind   Spreading = "behind"
-	SpreadUnproven Spreading = "unproven" // its digest is none that this daemon ever had; it passes
-	SpreadLost     Spreading = "unreachable"
+	PropagationInForce     Propagation = "in-force"
+	PropagationBehind      Propagation = "behind"
+	PropagationUnproven    Propagation = "unproven" // its digest is none of those that this daemon recorded; transient
+	PropagationUnreachable Propagation = "unreachable"
 )
 
-// DaemonStatus says how far a version has come at one daemon.
+// DaemonStatus is the state of a version at one daemon.
 type DaemonStatus struct {
 	Daemon fleet.DaemonID
-	State  Spreading
+	State  Propagation
 	Newest uint64 // highest version of any name there
 }
 
-// Status says which daemons have a version of a name, or a higher one, in
-// force. Digests travel with the membership, so the answer lags by as much.
+// Status reports which daemons have a version of a name, or a higher one, in
+// force. Digests arrive with membership messages, so the result lags by their
+// delay.
 func (s *Store) Status(name string, version uint64, views []View) []DaemonStatus {
 	out := make([]DaemonStatus, len(views))
 	for i, v := range views {
-		out[i] = DaemonStatus{Daemon: v.Daemon, Newest: v.Digest.Newest, State: s.spreading(name, version, v)}
+		out[i] = DaemonStatus{Daemon: v.Daemon, Newest: v.Digest.Newest, State: s.propagation(name, version, v)}
 	}
 	return out
 }
 
-func (s *Store) spreading(name string, version uint64, v View) Spreading {
+func (s *Store) propagation(name string, version uint64, v View) Propagation {
 	switch {
 	case !v.Reachable:
-		return SpreadLost
+		return PropagationUnreachable
 	case v.Digest.Newest < version:
-		return SpreadBehind
+		return PropagationBehind
 	case v.Digest == s.digest:
-		return inForceIf(s.version(name) >= version)
+		return propagationIf(s.version(name) >= version)
 	case s.version(name) < version:
-		return SpreadUnproven
+		return PropagationUnproven
 	}
-	step := s.past.find(v.Digest)
+	step := s.history.indexOfDigest(v.Digest)
 	if step < 0 {
-		return SpreadUnproven
+		return PropagationUnproven
 	}
-	return inForceIf(step >= s.past.reached(name, version))
+	return propagationIf(step >= s.history.indexOfVersion(name, version))
 }
 
-func inForceIf(yes bool) Spreading {
+func propagationIf(yes bool) Propagation {
 	if yes {
-		return SpreadInForce
+		return PropagationInForce
 	}
-	return SpreadBehind
+	return PropagationBehind
 }
--- a/internal/template/store.go
+++ b/internal/template/store.go
@@ -7,55 +7,55 @@
 	"time"
 )
 
-// Store is what one daemon has in force. It isn't safe for concurrent use; the
-// duty that owns it hands its Snapshot to request handlers.
+// Store holds the revisions that one daemon has in force. It isn't safe for
+// concurrent use; its owner passes the immutable Snapshot to request handlers.
 type Store struct {
-	held     map[string]*holding
-	unusable map[string]uint64 // highest version that couldn't be put in force
-	digest   Digest
-	snapshot *Snapshot
-	caughtUp bool
-	contact  time.Time // last answer of the store's API or of a peer that had caught up
-	past     history
+	active        map[string]*activeRevision
+	unusable      map[string]uint64 // by name, the highest version that couldn't be put in force
+	digest        Digest
+	snapshot      *Snapshot
+	caughtUp      bool
+	lastConfirmed time.Time // when the platform's store, or a peer that had caught up, last confirmed what is in force
+	history       history
 }
 
-// holding is the highest usable revision of a name.
-type holding struct {
+// activeRevision is the revision of a name that is in force.
+type activeRevision struct {
 	revision Revision
 	resolved *resolved // nil where deleted
 }
 
-// Effect is what Apply did with a revision.
+// Effect is the effect of applying a revision.
 type Effect string
 
 // The effects.
 const (
 	InForce  Effect = "in-force"
-	Older    Effect = "older"    // the same version or a higher one was known
-	Unusable Effect = "unusable" // the version before it stays in force
+	Older    Effect = "older"    // the same version or a higher one was applied or rejected before
+	Unusable Effect = "unusable" // the previous version stays in force
 )
 
-// Applied reports on one revision.
+// Applied is the result of applying one revision.
 type Applied struct {
-	Name    string
-	Version uint64
-	Deleted bool
-	Effect  Effect
-	Before  uint64    // version that was in force
-	Faults  []Problem // where Unusable
+	Name     string
+	Version  uint64
+	Deleted  bool
+	Effect   Effect
+	Before   uint64    // version in force before, 0 for none
+	Problems []Problem // where Unusable
 }
 
 // NewStore returns a store with nothing in force.
 func NewStore() *Store {
-	s := &Store{held: map[string]*holding{}, unusable: map[string]uint64{}}
+	s := &Store{active: map[string]*activeRevision{}, unusable: map[string]uint64{}}
 	s.rebuild()
 	return s
 }
 
-// Apply puts revisions in force, each unless its version or a higher one of
-// its name is known already: answers of the store and of peers overtake each
-// other, and a late one must not bring an old state back. The order of the
-// revisions doesn't matter.
+// Apply puts revisions in force, except those of which the same or a higher
+// version of the name was applied or rejected before: responses of the
+// platform's store and of peers can arrive out of order, and a late one must
+// not restore an old state. The order of the revisions doesn't matter.
 func (s *Store) Apply(revisions ...Revision) []Applied {
 	out := make([]Applied, 0, len(revisions))
 	changed := false
@@ -76,25 +76,25 @@
 	if r.Version <= s.known(r.Name) {
 		return out
 	}
-	next := &holding{revision: r}
+	next := &activeRevision{revision: r}
 	if !r.Deleted {
-		next.resolved, out.Faults = usable(r)
+		next.resolved, out.Problems = resolveRevision(r)
 	}
-	if len(out.Faults) > 0 {
+	if len(out.Problems) > 0 {
 		s.unusable[r.Name] = r.Version
 		out.Effect = Unusable
 		return out
 	}
 	s.digest = s.digest.replace(r.Name, out.Before, r.Version)
-	s.held[r.Name] = next
+	s.active[r.Name] = next
 	delete(s.unusable, r.Name)
-	s.past.add(s.digest, r.Name, r.Version)
+	s.history.add(s.digest, r.Name, r.Version)
 	out.Effect = InForce
 	return out
 }
 
-// usable resolves a revision's template.
-func usable(r Revision) (*resolved, []Problem) {
+// resolveRevision resolves a revision's template.
+func resolveRevision(r Revision) (*resolved, []Problem) {
 	t, err := FromJSON(r.Value)
 	if err != nil {
 		return nil, []Problem{{Message: err.Error()}}
@@ -106,22 +106,22 @@
 
 // version returns the version of a name in force, tombstones included.
 func (s *Store) version(name string) uint64 {
-	if h, ok := s.held[name]; ok {
+	if h, ok := s.active[name]; ok {
 		return h.revision.Version
 	}
 	return 0
 }
 
-// known returns the highest version of a name that was ever seen. An unusable
-// one counts, so that it isn't fetched over and over.
+// known returns the highest version of a name that was applied or rejected. An
+// unusable version counts, so that it isn't fetched again and again.
 func (s *Store) known(name string) uint64 { return max(s.version(name), s.unusable[name]) }
 
-// rebuild makes the snapshot anew. At a change every 23 s there is no need to
-// do it by parts.
+// rebuild builds a new snapshot from scratch. With a change every 23 s an
+// incremental update isn't needed.
 func (s *Store) rebuild() {
 	var all []*resolved
 	versions := map[string]uint64{}
-	for name, h := range s.held {
+	for name, h := range s.active {
 		if h.resolved == nil {
 			continue
 		}
@@ -131,11 +131,11 @@
 	s.snapshot = merge(all, s.digest, versions)
 }
 
-// Snapshot returns what is in force, for request handlers. It never changes.
+// Snapshot returns what is in force, for request handlers. It is immutable.
 func (s *Store) Snapshot() *Snapshot { return s.snapshot }
 
-// Digest returns what peers are told: zero until the store has caught up, so
-// that no daemon takes a half-filled one for a source.
+// Digest returns the digest to send to peers: zero until the store has caught
+// up, so that no daemon fetches from an incomplete store.
 func (s *Store) Digest() Digest {
 	if !s.caughtUp {
 		return Digest{}
@@ -143,11 +143,11 @@
 	return s.digest
 }
 
-// Have returns the highest known version of each name, for a peer to answer
-// with what is newer.
-func (s *Store) Have() map[string]uint64 {
-	out := make(map[string]uint64, len(s.held))
-	for name := range s.held {
+// KnownVersions returns the highest known version of each name. A peer responds
+// to it with the revisions that are newer.
+func (s *Store) KnownVersions() map[string]uint64 {
+	out := make(map[string]uint64, len(s.active))
+	for name := range s.active {
 		out[name] = s.known(name)
 	}
 	for name := range s.unusable {
@@ -156,16 +156,16 @@
 	return out
 }
 
-// Newer returns what a peer lacks, oldest first. It reports false while this
-// daemon hasn't caught up itself: an empty answer from it would let two new
-// daemons believe that there is nothing to have.
-func (s *Store) Newer(have map[string]uint64) ([]Revision, bool) {
+// Newer returns the revisions that a peer lacks, oldest first. It reports false
+// while this daemon hasn't caught up itself: otherwise two new daemons would
+// take each other's empty response for the complete state.
+func (s *Store) Newer(known map[string]uint64) ([]Revision, bool) {
 	if !s.caughtUp {
 		return nil, false
 	}
 	var out []Revision
-	for _, name := range slices.Sorted(maps.Keys(s.held)) {
-		if r := s.held[name].revision; r.Version > have[name] {
+	for _, name := range slices.Sorted(maps.Keys(s.active)) {
+		if r := s.active[name].revision; r.Version > known[name] {
 			out = append(out, r)
 		}
 	}
--- a/internal/template/store_test.go
+++ b/internal/template/store_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Daemons that know the same versions have the same digest and decide alike,
-// in whatever order, how often and with whatever older ones they got them.
-func TestEqualDigestsForEqualVersions(t *testing.T) {
+// Daemons with the same versions must have equal digests and equal snapshots,
+// in whatever order and however often they received these and older versions.
+func TestEqualVersionsHaveEqualDigestsAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Revision
 		for v := range rapid.IntRange(1, 12).Draw(t, "versions") {
@@ -32,7 +32,7 @@
 		}
 		assert.Equal(t, shuffled.digest, straight.digest)
 		a, b := straight.Snapshot(), shuffled.Snapshot()
-		assert.Equal(t, a.Workspaces(), b.Workspaces())
+		assert.Equal(t, a.WorkspaceCount(), b.WorkspaceCount())
 		if wa, ok := a.Workspace("w"); ok {
 			wb, _ := b.Workspace("w")
 			assert.DeepEqual(t, wa, wb)
@@ -40,37 +40,38 @@
 	})
 }
 
-// A template that this release can't use must not take the working one out of
-// force, nor be fetched again and again.
-func TestUnusableRevisionLeavesTheOldInForce(t *testing.T) {
+// A revision that this release can't use must not replace the one in force, nor
+// be fetched again and again.
+func TestUnusableRevisionKeepsThePreviousInForce(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
 	digest := s.digest
 	applied := s.Apply(Revision{Name: "a", Version: 7, Value: []byte(`{"name":"a"}`)})
 	assert.Equal(t, applied[0].Effect, Unusable)
-	assert.Assert(t, len(applied[0].Faults) > 0)
+	assert.Assert(t, len(applied[0].Problems) > 0)
 	assert.Equal(t, s.Snapshot().Version("a"), uint64(3))
 	assert.Equal(t, s.digest, digest)
-	assert.Equal(t, s.Have()["a"], uint64(7))
+	assert.Equal(t, s.KnownVersions()["a"], uint64(7))
 	assert.Equal(t, s.Apply(Revision{Name: "a", Version: 7})[0].Effect, Older)
 	assert.Equal(t, s.Apply(revision(t, small("a"), 8))[0].Effect, InForce)
 }
 
 // An old list arrives after a deletion. The tombstone has the higher version,
-// so the template must not come back.
+// so the template must not be restored.
 func TestDeletedTemplateStaysDeleted(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3), Revision{Name: "a", Version: 5, Deleted: true})
 	s.Apply(revision(t, small("a"), 3))
-	assert.Equal(t, s.Snapshot().Workspaces(), 0)
+	assert.Equal(t, s.Snapshot().WorkspaceCount(), 0)
 	s.CaughtUp(noon)
 	newer, ok := s.Newer(map[string]uint64{"a": 3})
 	assert.Assert(t, ok && len(newer) == 1 && newer[0].Deleted)
 }
 
-// A daemon that hasn't caught up offers nothing: another new one would take
-// its empty answer for all there is, and refuse no caller.
-func TestNewDaemonIsNoSource(t *testing.T) {
+// A daemon that hasn't caught up must serve nothing to peers: another new
+// daemon would take an incomplete response for the complete state and become
+// ready.
+func TestDaemonThatHasNotCaughtUpServesNoPeer(t *testing.T) {
 	s := NewStore()
 	s.Apply(revision(t, small("a"), 3))
 	_, ok := s.Newer(nil)
@@ -80,8 +81,8 @@
 	assert.Assert(t, ok && s.Ready() && !s.Digest().IsZero())
 }
 
-// A key that only a newer release knows must reach the daemons of that release
-// through one that doesn't know it.
+// A daemon of an older release must send revisions on with keys that it doesn't
+// know, or daemons of the newer release would lose them.
 func TestRevisionKeepsUnknownKeys(t *testing.T) {
 	r := revision(t, small("a"), 3)
 	r.Value = append([]byte(`{"colour":"new",`), r.Value[1:]...)
@@ -107,11 +108,11 @@
 		{Daemon: "new", Reachable: true},
 		{Daemon: "other", Digest: Digest{Hash: 1, Newest: 99}, Reachable: true},
 	}
-	want := []Spreading{SpreadInForce, SpreadInForce, SpreadBehind, SpreadLost, SpreadBehind, SpreadUnproven}
+	want := []Propagation{PropagationInForce, PropagationInForce, PropagationBehind, PropagationUnreachable, PropagationBehind, PropagationUnproven}
 	for i, status := range s.Status("a", 6, views) {
 		assert.Equal(t, status.State, want[i], "%s", status.Daemon)
 	}
-	assert.Equal(t, s.Status("a", 7, views)[0].State, SpreadBehind)
+	assert.Equal(t, s.Status("a", 7, views)[0].State, PropagationBehind)
 }
 
 func TestMergeOfTemplates(t *testing.T) {
@@ -139,10 +140,10 @@
 	assert.Assert(t, ok && w.ID == "w")
 	_, ok = snapshot.Authenticate(noon, []byte("shared"))
 	assert.Assert(t, !ok, "a token of two workspaces opened one")
-	assert.Equal(t, len(snapshot.Disputed), 1)
+	assert.Equal(t, len(snapshot.TokenConflicts), 1)
 }
 
-// inForce returns the snapshot of the example.
+// inForce returns the snapshot with the example in force.
 func inForce(t testing.TB) *Snapshot {
 	s := NewStore()
 	assert.Equal(t, s.Apply(revision(t, example(t), 1))[0].Effect, InForce)
@@ -167,7 +168,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestExpiredTokenOpensNothing(t *testing.T) {
+func TestExpiredTokenIsRejected(t *testing.T) {
 	s := inForce(t)
 	w, ok := s.Authenticate(noon, []byte("secret"))
 	assert.Assert(t, ok && w.ID == "taller-vivo")
@@ -177,9 +178,9 @@
 	assert.Assert(t, !ok)
 }
 
-// A service may take other spellings for the same call. Taken for repeatable,
-// such a call would be retried and could order twice.
-func TestNonIdempotentCallsInAnySpelling(t *testing.T) {
+// A service may accept other spellings of a path for the same call. If such a
+// call is classified as idempotent, it is retried and could run twice.
+func TestNonIdempotentCallsMatchInAnySpelling(t *testing.T) {
 	s := inForce(t)
 	for _, path := range []string{"/orders", "//orders/", "/Orders", "/./orders", "/stock/../orders", "/orders;a=b", "/orders/x/.."} {
 		assert.Assert(t, s.NonIdempotent("POST", "parts", path), path)
--- a/internal/template/spread_test.go
+++ b/internal/template/syncer_test.go
@@ -10,48 +10,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// daemons is a fleet whose members hear of each other's digests.
+// daemons is a simulated fleet whose daemons exchange digests.
 type daemons struct {
-	ids     []fleet.DaemonID
-	stores  []*Store
-	spreads []*Spread
-	random  *rand.Rand
-	now     time.Time
-	stored  []Revision // what the platform's store holds
-	up      bool       // the platform's store answers
-	deaf    map[int]bool
-	lists   int
-	fetches int
-	most    int // fetches from one daemon in one tick
+	ids        []fleet.DaemonID
+	stores     []*Store
+	syncers    []*Syncer
+	random     *rand.Rand
+	now        time.Time
+	stored     []Revision   // the content of the platform's store
+	storeUp    bool         // whether the platform's store responds
+	noDigests  map[int]bool // daemons that receive no digests
+	lists      int
+	fetches    int
+	maxFetches int // maximum of fetches from one daemon in one tick
 }
 
-// ticksASecond and heardEach set the pace: each daemon hears the digests of a
-// few others in each tick, as the membership's probes carry them.
+// Each daemon receives the digests of up to digestsPerTick others in each tick,
+// as it would with the probes of the membership.
 const (
-	ticksASecond = 5
-	heardEach    = 4
+	ticksPerSecond = 5
+	digestsPerTick = 4
 )
 
 func newDaemons(n int, up bool, stored ...Revision) *daemons {
-	d := &daemons{random: rand.New(rand.NewPCG(1, uint64(n))), now: noon, stored: stored, up: up, deaf: map[int]bool{}}
+	d := &daemons{random: rand.New(rand.NewPCG(1, uint64(n))), now: noon, stored: stored, storeUp: up, noDigests: map[int]bool{}}
 	for i := range n {
 		store := NewStore()
 		d.ids = append(d.ids, fleet.DaemonID(fmt.Sprintf("daemon-%03d", i)))
 		d.stores = append(d.stores, store)
-		d.spreads = append(d.spreads, NewSpread(DefaultSpread, store, rand.New(rand.NewPCG(2, uint64(i))), d.now))
+		d.syncers = append(d.syncers, NewSyncer(DefaultSyncConfig, store, rand.New(rand.NewPCG(2, uint64(i))), d.now))
 	}
 	return d
 }
 
-// tick lets a fifth of a second pass.
+// tick advances the time by one tick, delivers digests and makes the calls due.
 func (d *daemons) tick() {
-	d.now = d.now.Add(time.Second / ticksASecond)
+	d.now = d.now.Add(time.Second / ticksPerSecond)
 	asked := map[fleet.DaemonID]int{}
-	for i, s := range d.spreads {
-		for range heardEach {
+	for i, s := range d.syncers {
+		for range digestsPerTick {
 			j := d.random.IntN(len(d.ids))
-			if j != i && !d.deaf[i] {
-				s.Heard(d.now, d.ids[j], d.stores[j].Digest())
+			if j != i && !d.noDigests[i] {
+				s.DigestReceived(d.now, d.ids[j], d.stores[j].Digest())
 			}
 		}
 		for _, a := range s.Tick(d.now) {
@@ -61,15 +61,15 @@
 	}
 	delete(asked, "")
 	for _, n := range asked {
-		d.most = max(d.most, n)
+		d.maxFetches = max(d.maxFetches, n)
 	}
 }
 
 func (d *daemons) do(i int, a Action) {
-	s := d.spreads[i]
+	s := d.syncers[i]
 	if a.Kind == ListStore {
 		d.lists++
-		if d.up {
+		if d.storeUp {
 			s.Listed(d.now, d.stored...)
 		} else {
 			s.ListFailed(d.now)
@@ -81,7 +81,7 @@
 		if id != a.Peer {
 			continue
 		}
-		if newer, ok := d.stores[j].Newer(a.Have); ok {
+		if newer, ok := d.stores[j].Newer(a.KnownVersions); ok {
 			s.Fetched(d.now, id, newer...)
 		} else {
 			s.FetchFailed(d.now, id)
@@ -89,7 +89,7 @@
 	}
 }
 
-// until ticks until every daemon satisfies f and returns the time that took.
+// until ticks until all daemons satisfy f and returns the simulated time taken.
 func (d *daemons) until(t testing.TB, f func(*Store) bool) time.Duration {
 	start := d.now
 	for d.now.Sub(start) < time.Hour {
@@ -106,13 +106,13 @@
 	return 0
 }
 
-// A change is accepted, and the store goes down before any watch tells of it.
-// The daemon that wrote it tells the others, and all have it within seconds.
+// A change is accepted, and the store goes down before any watch delivers it.
+// The others must fetch it from the daemon that wrote it, within seconds.
 func TestChangeSpreadsWithTheStoreDown(t *testing.T) {
 	d := newDaemons(9, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
-	d.up = false
-	for _, s := range d.spreads {
+	d.storeUp = false
+	for _, s := range d.syncers {
 		s.WatchFailed()
 	}
 	d.stores[0].Apply(revision(t, small("a"), 8))
@@ -120,18 +120,19 @@
 	assert.Assert(t, took < 15*time.Second, "%s", took)
 }
 
-// With the store down, a daemon that starts gets everything from a peer and
-// only then serves. One that reaches neither refuses, however long it waits.
-func TestNewDaemonCatchesUpWithAPeer(t *testing.T) {
+// With the store down, a new daemon must fetch everything from a peer before it
+// is ready. One that reaches neither the store nor a peer must never be ready,
+// as it would serve without the templates.
+func TestNewDaemonCatchesUpFromAPeer(t *testing.T) {
 	d := newDaemons(4, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
-	d.up = false
+	d.storeUp = false
 	for _, i := range []int{2, 3} {
 		d.stores[i] = NewStore()
-		d.spreads[i] = NewSpread(DefaultSpread, d.stores[i], d.random, d.now)
+		d.syncers[i] = NewSyncer(DefaultSyncConfig, d.stores[i], d.random, d.now)
 	}
-	d.deaf[3] = true
-	for range 60 * ticksASecond {
+	d.noDigests[3] = true
+	for range 60 * ticksPerSecond {
 		d.tick()
 	}
 	assert.Assert(t, d.stores[2].Ready())
@@ -140,9 +141,10 @@
 	assert.Assert(t, d.stores[0].Ready(), "a daemon that had caught up goes on without the store")
 }
 
-// Two daemons each miss what the other has, and both have the same newest
-// version. Digests must show it, or they differ until the next full list.
-func TestPeersWithEachOthersGapsMeet(t *testing.T) {
+// Two daemons each miss a change that the other has, and their newest versions
+// are equal. Their digests must differ, or neither fetches before the next full
+// list.
+func TestPeersWithDifferentGapsConverge(t *testing.T) {
 	d := newDaemons(2, false)
 	a, b, c := revision(t, small("a"), 3), revision(t, small("b"), 4), revision(t, small("c"), 9)
 	d.stores[0].Apply(a, c)
@@ -150,30 +152,30 @@
 	for _, s := range d.stores {
 		s.CaughtUp(noon)
 	}
-	d.until(t, func(s *Store) bool { return len(s.held) == 3 })
+	d.until(t, func(s *Store) bool { return len(s.active) == 3 })
 }
 
-// A peer's digest differs but it has nothing new, for instance because this
-// daemon can't use what it has. It must not be asked in each tick.
-func TestFruitlessPeerIsSpacedOut(t *testing.T) {
+// A peer's digest differs but it has nothing new, for instance because its
+// revision is unusable for this daemon. It must not be asked in each tick.
+func TestPeerWithNothingNewIsBackedOff(t *testing.T) {
 	d := newDaemons(2, false)
 	d.stores[0].Apply(revision(t, small("a"), 3))
 	d.stores[0].CaughtUp(noon)
 	d.stores[1].Apply(Revision{Name: "a", Version: 3})
 	d.stores[1].CaughtUp(noon)
-	for range 600 * ticksASecond {
+	for range 600 * ticksPerSecond {
 		d.tick()
 	}
 	assert.Assert(t, d.fetches > 1 && d.fetches < 20, "%d fetches in ten minutes", d.fetches)
 }
 
-// In quiet a daemon asks no peer, and the fleet lists the store at one rate
-// whatever its size.
-func TestQuietFleetCallsAreBounded(t *testing.T) {
+// Without changes, daemons must not fetch from peers, and the rate of the
+// fleet's lists must not grow with its size.
+func TestCallsWithoutChangesAreBounded(t *testing.T) {
 	d := newDaemons(60, true, revision(t, small("a"), 3))
 	d.until(t, (*Store).Ready)
 	d.lists, d.fetches = 0, 0
-	for range 1200 * ticksASecond {
+	for range 1200 * ticksPerSecond {
 		d.tick()
 	}
 	assert.Equal(t, d.fetches, 0)
