--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,4 +1,4 @@
-// Package explain reads the JSON logs of several daemons and shows, in order of
-// time, what they say about one request, one version of the configuration or
-// one endpoint, with what each daemon concerned knew just before.
+// Package explain reads the JSON logs of several daemons and prints, in order of
+// time, the lines about one request, one version of the configuration or one
+// endpoint. Lines about a request come with the daemon's state just before.
 package explain
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// Query says what to look for; one field is set.
+// Query selects log lines; exactly one field is set.
 type Query struct {
-	ID       string // of a request, or what stays the same when it comes again
+	ID       string // of a request, or the key that all its retries share
 	Endpoint string
-	Config   uint64 // a version
+	Config   uint64 // a version of the configuration
 }
 
-// before is how far back the state that a decision saw is shown: longer than
-// a watch waits and an outage is noticed.
+// before is how far back a daemon's state is shown. It exceeds both the longest
+// wait of a watch and the time in which an outage is detected.
 const before = 6 * time.Second
 
-// stateParts are the parts whose lines say what a daemon believes.
+// stateParts are the parts whose lines describe a daemon's own state.
 var stateParts = []string{"daemon", "configuration", "endpoints", "membership", "settings", "duties", "store"}
 
-// Write shows what the lines say, and returns how many matched.
+// Write prints the lines that match q in order of time, and returns their number.
+// It sorts lines in place.
 func Write(w io.Writer, lines []Line, q Query) (int, error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	found := slices.DeleteFunc(slices.Clone(lines), func(l Line) bool { return !q.matches(&l) })
@@ -57,8 +58,9 @@
 	}
 }
 
-// writeState shows what a request's daemon said of its state just before, and
-// what any daemon said of the request's endpoint.
+// writeState prints the lines just before a request's line: those that the same
+// daemon logged about its state, and those of any daemon about the request's
+// endpoint.
 func writeState(w io.Writer, lines []Line, of *Line) error {
 	for i := range lines {
 		l := &lines[i]
@@ -85,7 +87,7 @@
 	return out
 }
 
-// show returns a line for people: its own words, then its fields by name.
+// show formats a line for people: its message, then its other fields sorted by key.
 func (l *Line) show(indent string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s%s %s %s: %s", indent, l.Time.Format("15:04:05.000"), l.Source, l.Part, l.Message)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -27,8 +27,9 @@
 	return n, b.String()
 }
 
-// A request was tried at two daemons. Its way is shown in order, with what each
-// daemon knew, and what another one said of its endpoint.
+// Two daemons log attempts of one request. The lines must come in order of time,
+// with the state of each daemon before its line, and with another daemon's line
+// about the endpoint.
 func TestARequestsWay(t *testing.T) {
 	n, text := explained(t, Query{ID: "r1"})
 	assert.Equal(t, n, 2)
@@ -66,8 +67,9 @@
 	})
 }
 
-// A request ends endpoints and comes again under other ids. By the name that stays
-// the same its tries, the ends and the verdict are shown, at all daemons.
+// A request crashes endpoints and is retried under new ids. A search for the key
+// that its retries share must find the attempts, the crashes and the quarantine
+// decision in the logs of all daemons.
 func TestARequestThatComesAgain(t *testing.T) {
 	const text = `
 1.0 front-a {"msg":"not answered","part":"requests","id":"r1","request":"k1","time":"2026-12-02T10:00:01.000Z"}
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -11,33 +11,33 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of errors made by this package.
+// Error is the class of errors of this package.
 var Error = errs.Class("explain")
 
 // Line is one line of a daemon's log.
 type Line struct {
 	Time    time.Time
-	Source  string // the daemon: what stands before the JSON, or the file's name
+	Source  string // the daemon: the last word before the JSON, or else the file's name
 	Part    string
 	Message string
 	Fields  Fields
 	raw     map[string]any
 }
 
-// Fields are those by which lines are looked for.
+// Fields are the fields that a Query is matched against.
 type Fields struct {
 	ID       string
-	Requests []string // what stays the same when a request comes again
+	Requests []string // keys of requests; all retries of a request share one
 	Endpoint string
 	Version  uint64
 }
 
-// lineBytes bounds a line; longer ones are passed over.
+// lineBytes is the longest line that Read accepts; a longer one ends it with an error.
 const lineBytes = 1 << 20
 
-// Read returns the log lines of a reader. What isn't one is passed over: logs
-// may be mixed with other output. Text before a line's JSON, such as a machine's
-// name, names its source.
+// Read returns the log lines of a reader. Lines of any other form are skipped,
+// since logs may be mixed with other output. The last word before a line's JSON,
+// such as a machine's name, is its source; without one, name is.
 func Read(name string, r io.Reader) ([]Line, error) {
 	var out []Line
 	s := bufio.NewScanner(r)
@@ -75,7 +75,7 @@
 	return l, true
 }
 
-// texts returns a text and a list of texts as one list.
+// texts returns the string in field one and the strings in field list, as one list.
 func (l *Line) texts(one, list string) []string {
 	var out []string
 	if s := l.text(one); s != "" {
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// tally counts requests by what they lost.
+// tally counts unsuccessful requests by the reason.
 type tally struct {
-	byReason map[string]map[string]int // by reason and route
-	bySecond map[time.Time]map[string]int
+	byReason map[string]map[string]int    // by reason, then route
+	bySecond map[time.Time]map[string]int // by second, then reason
 	all      int
 }
 
-// WriteTable counts the requests that failed, were refused or were late, by
-// reason and route and by reason and second, and returns how many there were.
-// Answers in time are not counted: daemons log only some of them.
+// WriteTable counts the requests that failed, were refused or missed a latency
+// target, prints a table by reason and route and one by second and reason, and
+// returns their number. Answers in time are not counted, since daemons log only
+// some of them.
 func WriteTable(w io.Writer, lines []Line) (int, error) {
 	t := tally{byReason: map[string]map[string]int{}, bySecond: map[time.Time]map[string]int{}}
 	for i := range lines {
@@ -49,8 +50,8 @@
 	m[key][name]++
 }
 
-// lost names what a request's line says that it lost; empty: nothing, or the
-// line is of something else.
+// lost returns why the line's request failed, was refused or was late. It is
+// empty where the request succeeded in time and for lines about anything else.
 func (l *Line) lost() string {
 	if l.Part != "requests" {
 		return ""
@@ -66,7 +67,7 @@
 	return ""
 }
 
-// failedLine is the message of a request whose answer is its endpoint's failure.
+// failedLine is the log message for a request that its endpoint answered with a failure.
 const failedLine = "failed by its endpoint"
 
 func (t *tally) writeReasons(w io.Writer) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// names returns the inner names of a table, sorted.
+// names returns the sorted keys of the inner maps.
 func names[K comparable](m map[K]map[string]int) []string {
 	all := map[string]bool{}
 	for _, row := range m {
