--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,5 +1,6 @@
-// Package drain holds operators' wishes that an endpoint get no new work. Each
-// is an object of its own with its audit trail, written in one write.
+// Package drain stores which endpoints operators have drained: a drained endpoint
+// gets no new work. There is one object for each endpoint, which also holds its
+// audit trail, so that a change and its audit entry are stored in one write.
 package drain
 
 import (
@@ -13,13 +14,14 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objectapi"
 )
 
-// Kind is the kind of the objects; an object's name is the endpoint's id.
+// Kind is the kind of the stored objects; an object's name is the endpoint's id.
 const Kind = "drain"
 
 // Error is the class of errors of this package.
 var Error = errs.Class("drain")
 
-// Record is a stored wish.
+// Record is the stored drain state of an endpoint. Version is the object's version,
+// 0 if there is none yet.
 type Record struct {
 	Endpoint fleet.EndpointID `json:"-"`
 	Version  uint64           `json:"-"`
@@ -27,7 +29,7 @@
 	Audit    audit.Trail      `json:"audit"`
 }
 
-// RecordOf reads an object of Kind. A deleted one is no wish.
+// RecordOf decodes an object of Kind. A deleted or empty object means not drained.
 func RecordOf(o objectapi.Object) (Record, error) {
 	r := Record{Endpoint: fleet.EndpointID(o.Name), Version: o.Version}
 	if o.Deleted || len(o.Value) == 0 {
@@ -36,7 +38,8 @@
 	return r, Error.Wrap(json.Unmarshal(o.Value, &r))
 }
 
-// Next returns the value that changes the record, with its audit entry.
+// Next returns the value to store to change the record, with an audit entry for the
+// change.
 func (r Record) Next(now time.Time, draining bool, who, why, operation string) (json.RawMessage, error) {
 	action := audit.Amended
 	if r.Version == 0 {
@@ -57,7 +60,8 @@
 	return value, Error.Wrap(err)
 }
 
-// Set is the wishes that a daemon knows. Not safe for concurrent use.
+// Set is the newest drain state that a daemon has read of each endpoint. Not safe
+// for concurrent use.
 type Set struct {
 	versions map[fleet.EndpointID]uint64
 	draining map[fleet.EndpointID]bool
@@ -68,8 +72,8 @@
 	return &Set{versions: make(map[fleet.EndpointID]uint64), draining: make(map[fleet.EndpointID]bool)}
 }
 
-// Apply takes a record unless a newer one is known. It reports whether the
-// endpoint's state changed.
+// Apply adds a record unless the set has the same or a newer version of it. It
+// reports whether the endpoint's state changed.
 func (s *Set) Apply(r Record) bool {
 	if r.Version <= s.versions[r.Endpoint] {
 		return false
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objectapi"
 )
 
-// An operator drains an endpoint and takes it back. A daemon reads the two
-// versions in the wrong order: the endpoint must end up with work again.
+// An operator drains an endpoint and then reverts that. A daemon that reads the
+// two versions in the wrong order must not leave the endpoint drained.
 func TestOlderWishDoesNotComeBack(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	first, err := Record{Endpoint: "e"}.Next(now, true, "ana", "maintenance", "op-1")
