--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine's time of day is wrong by an hour when the daemon starts, and the
-// others tell the true time. From then on the daemon must follow the steady
-// count from there, whatever the machine's time of day does.
+// The machine's time of day is wrong by an hour when the daemon starts, and the
+// clock is then corrected with the true time from other daemons. From there it
+// must follow the steady count, whatever the machine's time of day does.
 func TestCorrectedClockFollowsTheSteadyCount(t *testing.T) {
 	steady := int64(5 * time.Second)
 	c := &Clock{steady: func() int64 { return steady }}
@@ -22,7 +22,8 @@
 	assert.Assert(t, c.Now().Equal(truth.Add(3*time.Second)))
 }
 
-// The truth was read some time before it is used: what passed since is added.
+// The true time was read some time before it is applied: the time since then must
+// be added.
 func TestLateCorrectionAddsWhatPassed(t *testing.T) {
 	steady := int64(time.Second)
 	c := &Clock{steady: func() int64 { return steady }}
--- a/internal/clock/moment.go
+++ b/internal/clock/moment.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Moment is a time that several goroutines read and set. It keeps what Unix time
-// would lose, the monotonic reading: a step of the time of day doesn't change how
-// long ago it was.
+// Moment is a time that several goroutines can read and set. Unlike a Unix time it
+// keeps the monotonic reading: a step of the machine's time of day doesn't change
+// how long ago it was.
 type Moment struct {
 	base  time.Time
 	after atomic.Int64 // ns after base; 0 is none
@@ -16,10 +16,11 @@
 // NewMoment returns a moment for times from now on, with none set.
 func NewMoment() *Moment { return &Moment{base: time.Now()} }
 
-// Set takes a time of this process's own clock.
+// Set stores a time from time.Now. Times before NewMoment was called are stored as
+// that time.
 func (m *Moment) Set(t time.Time) { m.after.Store(max(1, int64(t.Sub(m.base)))) }
 
-// Time returns what was set last, the zero time where nothing was.
+// Time returns the time set last, or the zero time if none was.
 func (m *Moment) Time() time.Time {
 	after := m.after.Load()
 	if after == 0 {
--- a/internal/clock/moment_test.go
+++ b/internal/clock/moment_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A step of the time of day makes what was heard seem older, or younger, than it is.
+// Without the monotonic reading, a step of the time of day would make the stored
+// time, such as that of the last message, seem older or younger than it is.
 func TestMomentKeepsTheMonotonicReading(t *testing.T) {
 	m := NewMoment()
 	assert.Assert(t, m.Time().IsZero())
