--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a while, or until a context ends.
+// Package pause provides waits that end early when a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether the context lived until then.
+// For waits for d. It returns true after d, and false if the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,19 +18,19 @@
 	}
 }
 
-// Every calls f at an interval until the context ends, at multiples of the interval:
-// what is due at the same moment wakes the process once.
+// Every calls f at each multiple of the interval on the wall clock, until the context
+// ends. Aligned to multiples, timers with the same interval wake the process once.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	for Next(ctx, interval) {
 		f()
 	}
 }
 
-// Next waits for the next multiple of an interval and reports whether the context lived
-// until then.
+// Next waits for the next multiple of the interval on the wall clock. It returns false
+// if the context ends first.
 func Next(ctx context.Context, interval time.Duration) bool { return For(ctx, ToNext(interval)) }
 
-// ToNext returns the time until the next multiple of an interval.
+// ToNext returns the time until the next multiple of the interval on the wall clock.
 func ToNext(interval time.Duration) time.Duration {
 	now := time.Now()
 	return now.Truncate(interval).Add(interval).Sub(now)
