--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Nobody reads standard output. A request that logs must not wait for it.
+// A daemon whose standard output isn't read must not block a request that logs.
 func TestLogWithoutAReaderNeverWaits(t *testing.T) {
 	r, w := io.Pipe()
 	l := NewJSON(w, "info")
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the process's log: short sentences on stderr, each with
-// the part of the daemon that says it. Prompts, answers and tokens are never logged.
+// Package logging creates the process's loggers. Each line names the part of the
+// daemon that logs it. Prompts, answers and tokens must never be logged.
 package logging
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/settings"
 )
 
-// Part is the fixed prefix of one part's lines.
+// Part is the value of the field "part", which names the component that logs a line.
 type Part string
 
-// The parts.
+// Components of the daemon, and the stand-ins.
 const (
 	Gateway    Part = "gateway"
 	Dispatch   Part = "dispatch"
@@ -30,7 +30,7 @@
 	Standin    Part = "standin"
 )
 
-// New returns a log that writes to w. Settings are taken as checked.
+// New returns a logger that writes to w. The settings must have been validated.
 func New(w io.Writer, s settings.Log) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -43,7 +43,7 @@
 	return l
 }
 
-// parseLevel reads a level; what can't be read is info.
+// parseLevel parses a level; an unknown one is taken as info.
 func parseLevel(text string) logrus.Level {
 	level, err := logrus.ParseLevel(text)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return level
 }
 
-// For returns the log of a part.
+// For returns a logger whose lines have the field "part".
 func For(l *logrus.Logger, p Part) *logrus.Entry {
 	return l.WithField("part", string(p))
 }
