--- a/internal/certs/pair.go
+++ b/internal/certs/pair.go
@@ -15,25 +15,25 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("certs")
 
-// recheck is how long files are trusted before their times are looked at again.
+// recheck is the shortest interval between checks of the files' modification times.
 const recheck = 5 * time.Second
 
-// Files names a PEM certificate chain, its key, and the authority of the other
-// end; Authority is empty where the other end shows no certificate.
+// Files are the paths of a PEM certificate chain, its key, and the authority that
+// signs the peers' certificates. Authority is empty where peers need no certificate.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// loaded is what the files held.
+// loaded is the parsed content of the files.
 type loaded struct {
 	pair  tls.Certificate
-	roots *x509.CertPool
-	times [3]time.Time
+	roots *x509.CertPool // nil without an authority
+	times [3]time.Time   // modification times when read
 }
 
-// Store holds the newest good content of Files. Safe for concurrent use.
+// Store holds the last valid content of Files. Safe for concurrent use.
 type Store struct {
 	files   Files
 	mu      sync.Mutex
@@ -41,7 +41,7 @@
 	checked time.Time
 }
 
-// Open reads the files for the first time; a mistake in them is an error here.
+// Open reads the files. Unlike later reads it fails if one is missing or invalid.
 func Open(f Files) (*Store, error) {
 	l, err := read(f)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return &Store{files: f, current: l, checked: time.Now()}, nil
 }
 
-// get returns the newest content. Files that are being replaced or are broken
-// leave the last good ones in force: a half-written key must not end a daemon
+// get returns the last valid content. Files that are invalid, for instance because
+// they are being replaced, are ignored: a half-written key must not stop a daemon
 // that has a valid one.
 func (s *Store) get() loaded {
 	s.mu.Lock()
@@ -69,8 +69,8 @@
 	return s.current
 }
 
-// Server returns a configuration for listeners. With an authority, clients
-// must show a certificate that it signed.
+// Server returns a configuration for listeners, which uses rotated files for new
+// connections. With an authority, clients must present a certificate that it signed.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -90,7 +90,8 @@
 	}
 }
 
-// Client returns a configuration for one new connection to another daemon.
+// Client returns a configuration for one new connection to another daemon. It isn't
+// updated when files rotate.
 func (s *Store) Client() *tls.Config {
 	l := s.get()
 	return &tls.Config{
--- a/internal/certs/pair_test.go
+++ b/internal/certs/pair_test.go
@@ -58,7 +58,8 @@
 	return key, cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-// write issues a key pair into the files.
+// write issues a certificate with the serial number and writes it, its key and the
+// authority's certificate to the files.
 func (a *authority) write(t *testing.T, f Files, serial int64) {
 	t.Helper()
 	key, _, chain := issue(t, a, serial)
@@ -78,8 +79,8 @@
 	}
 }
 
-// handshake connects a client to a server and returns the serial number that
-// the client saw.
+// handshake connects a client to a server and returns the serial number of the
+// server's certificate.
 func handshake(t *testing.T, server, client *tls.Config) (int64, error) {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -98,7 +99,7 @@
 		return 0, err
 	}
 	defer c.Close()
-	// In TLS 1.3 the server's refusal of a client comes with the first read.
+	// In TLS 1.3 a server's refusal is reported by the first read of the client.
 	if _, err := io.ReadAll(c); err != nil {
 		return 0, err
 	}
@@ -127,9 +128,9 @@
 	assert.ErrorContains(t, err, "certificate required")
 }
 
-// An operator replaces the files of a running daemon, at first with half a
-// key. The daemon must go on with the old pair until the new one is whole, and
-// then use it without a restart.
+// An operator replaces the files of a running daemon, and the key is at first
+// incomplete. The daemon must keep the old certificate until the new files are
+// valid, and then use them without a restart.
 func TestRotationSkipsBrokenFiles(t *testing.T) {
 	a := newAuthority(t)
 	f := newFiles(t)
