--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -17,9 +17,9 @@
 	Config   uint64 // a version of the configuration
 }
 
-// before is how far back a daemon's state is shown. It exceeds both the longest
+// stateWindow is how far back a daemon's state is shown. It exceeds both the longest
 // wait of a watch and the time in which an outage is detected.
-const before = 6 * time.Second
+const stateWindow = 6 * time.Second
 
 // stateParts are the parts whose lines describe a daemon's own state.
 var stateParts = []string{"daemon", "configuration", "endpoints", "membership", "settings", "duties", "store"}
@@ -36,7 +36,7 @@
 				return i, err
 			}
 		}
-		if _, err := fmt.Fprintln(w, l.show("")); err != nil {
+		if _, err := fmt.Fprintln(w, l.format("")); err != nil {
 			return i, Error.Wrap(err)
 		}
 	}
@@ -61,18 +61,18 @@
 // writeState prints the lines just before a request's line: those that the same
 // daemon logged about its state, and those of any daemon about the request's
 // endpoint.
-func writeState(w io.Writer, lines []Line, of *Line) error {
+func writeState(w io.Writer, lines []Line, match *Line) error {
 	for i := range lines {
 		l := &lines[i]
-		if l.Time.After(of.Time) || of.Time.Sub(l.Time) > before {
+		if l.Time.After(match.Time) || match.Time.Sub(l.Time) > stateWindow {
 			continue
 		}
-		own := l.Source == of.Source && slices.Contains(stateParts, l.Part)
-		endpoint := of.Fields.Endpoint != "" && l.Part == "endpoints" && l.Fields.Endpoint == of.Fields.Endpoint
+		own := l.Source == match.Source && slices.Contains(stateParts, l.Part)
+		endpoint := match.Fields.Endpoint != "" && l.Part == "endpoints" && l.Fields.Endpoint == match.Fields.Endpoint
 		if !own && !endpoint {
 			continue
 		}
-		if _, err := fmt.Fprintln(w, l.show("    ")); err != nil {
+		if _, err := fmt.Fprintln(w, l.format("    ")); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -87,8 +87,8 @@
 	return out
 }
 
-// show formats a line for people: its message, then its other fields sorted by key.
-func (l *Line) show(indent string) string {
+// format formats a line for people: its message, then its other fields sorted by key.
+func (l *Line) format(indent string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s%s %s %s: %s", indent, l.Time.Format("15:04:05.000"), l.Source, l.Part, l.Message)
 	for _, key := range slices.SortedFunc(maps.Keys(l.raw), cmp.Compare[string]) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -30,7 +30,7 @@
 // Two daemons log attempts of one request. The lines must come in order of time,
 // with the state of each daemon before its line, and with another daemon's line
 // about the endpoint.
-func TestARequestsWay(t *testing.T) {
+func TestRequestIsShownInOrderWithDaemonState(t *testing.T) {
 	n, text := explained(t, Query{ID: "r1"})
 	assert.Equal(t, n, 2)
 	want := []string{"front-a configuration: in force", "front-b endpoints: endpoint leaves", "front-a requests: not answered", "reason=broken", "front-b requests: answered", "clocks differ"}
@@ -43,7 +43,7 @@
 	assert.Assert(t, !strings.Contains(text, "r2"))
 }
 
-func TestAnEndpointAndAVersion(t *testing.T) {
+func TestLinesAreSelectedByEndpointOrVersion(t *testing.T) {
 	n, _ := explained(t, Query{Endpoint: "e2"})
 	assert.Equal(t, n, 2)
 	n, text := explained(t, Query{Config: 7})
@@ -70,7 +70,7 @@
 // A request crashes endpoints and is retried under new ids. A search for the key
 // that its retries share must find the attempts, the crashes and the quarantine
 // decision in the logs of all daemons.
-func TestARequestThatComesAgain(t *testing.T) {
+func TestRetriesAreFoundByTheirSharedKey(t *testing.T) {
 	const text = `
 1.0 front-a {"msg":"not answered","part":"requests","id":"r1","request":"k1","time":"2026-12-02T10:00:01.000Z"}
 1.1 front-a {"msg":"endpoint ended under requests","part":"quarantine","endpoint":"e1","requests":["k2","k1"],"time":"2026-12-02T10:00:01.100Z"}
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -34,7 +34,7 @@
 }
 
 func (t *tally) add(l *Line) {
-	reason := l.lost()
+	reason := l.lossReason()
 	if reason == "" {
 		return
 	}
@@ -50,16 +50,16 @@
 	m[key][name]++
 }
 
-// lost returns why the line's request failed, was refused or was late. It is
+// lossReason returns why the line's request failed, was refused or was late. It is
 // empty where the request succeeded in time and for lines about anything else.
-func (l *Line) lost() string {
+func (l *Line) lossReason() string {
 	if l.Part != "requests" {
 		return ""
 	}
 	switch late := l.text("late"); {
 	case l.text("reason") != "":
 		return l.text("reason")
-	case l.Message == failedLine:
+	case l.Message == failedMessage:
 		return "failed by endpoint"
 	case late != "":
 		return late + " late"
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// failedLine is the log message for a request that its endpoint answered with a failure.
-const failedLine = "failed by its endpoint"
+// failedMessage is the log message for a request that its endpoint answered with a failure.
+const failedMessage = "failed by its endpoint"
 
 func (t *tally) writeReasons(w io.Writer) {
 	routes := names(t.byReason)
--- a/internal/explain/table_test.go
+++ b/internal/explain/table_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const lostLogs = `
+const failureLogs = `
 a {"msg":"not answered","part":"requests","route":"r1","reason":"over-limit","time":"2026-12-02T10:00:01.100Z"}
 a {"msg":"not answered","part":"requests","route":"r1","reason":"over-limit","time":"2026-12-02T10:00:01.900Z"}
 b {"msg":"not answered","part":"requests","route":"r2","reason":"broken","time":"2026-12-02T10:00:02.000Z"}
@@ -18,8 +18,8 @@
 b {"msg":"not answered","part":"requests","reason":"no-route","time":"2026-12-02T10:00:03.300Z"}
 `
 
-func TestTableOfWhatWasLost(t *testing.T) {
-	lines, err := Read("file", strings.NewReader(lostLogs))
+func TestTableCountsUnsuccessfulRequests(t *testing.T) {
+	lines, err := Read("file", strings.NewReader(failureLogs))
 	assert.NilError(t, err)
 	var b strings.Builder
 	n, err := WriteTable(&b, lines)
