--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -24,7 +24,7 @@
 
 // The true time was read some time before it is applied: the time since then must
 // be added.
-func TestLateCorrectionAddsWhatPassed(t *testing.T) {
+func TestCorrectionAddsTheTimeSinceItsMeasurement(t *testing.T) {
 	steady := int64(time.Second)
 	c := &Clock{steady: func() int64 { return steady }}
 	read := c.Steady()
