--- a/internal/certs/pair.go
+++ b/internal/certs/pair.go
@@ -15,8 +15,8 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("certs")
 
-// recheck is the shortest interval between checks of the files' modification times.
-const recheck = 5 * time.Second
+// recheckInterval is the shortest interval between checks of the files' modification times.
+const recheckInterval = 5 * time.Second
 
 // Files are the paths of a PEM certificate chain, its key, and the authority that
 // signs the peers' certificates. Authority is empty where peers need no certificate.
@@ -30,7 +30,7 @@
 type loaded struct {
 	pair  tls.Certificate
 	roots *x509.CertPool // nil without an authority
-	times [3]time.Time   // modification times when read
+	modTimes [3]time.Time   // modification times when read
 }
 
 // Store holds the last valid content of Files. Safe for concurrent use.
@@ -56,11 +56,11 @@
 func (s *Store) get() loaded {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.checked) < recheck {
+	if time.Since(s.checked) < recheckInterval {
 		return s.current
 	}
 	s.checked = time.Now()
-	if modified(s.files) == s.current.times {
+	if modTimes(s.files) == s.current.modTimes {
 		return s.current
 	}
 	if l, err := read(s.files); err == nil {
@@ -102,7 +102,7 @@
 }
 
 func read(f Files) (loaded, error) {
-	l := loaded{times: modified(f)}
+	l := loaded{modTimes: modTimes(f)}
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return l, Error.Wrap(err)
@@ -122,7 +122,7 @@
 	return l, nil
 }
 
-func modified(f Files) [3]time.Time {
+func modTimes(f Files) [3]time.Time {
 	var times [3]time.Time
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		if info, err := os.Stat(name); err == nil {
--- a/internal/certs/pair_test.go
+++ b/internal/certs/pair_test.go
@@ -155,7 +155,7 @@
 	assert.Equal(t, serial, int64(4))
 }
 
-func TestOpenNamesTheMistake(t *testing.T) {
+func TestOpenReportsMissingFiles(t *testing.T) {
 	_, err := Open(newFiles(t))
 	assert.ErrorContains(t, err, "no such file")
 }
