--- a/internal/capacity/action.go
+++ b/internal/capacity/action.go
@@ -7,29 +7,28 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Result is a plan. When Changed, Record must be written, on the version that
-// was read, before any launch is carried out.
+// Result is a plan. If Changed is set, the caller must write Record, on condition
+// that the stored version is the one it read, before it carries out any launch.
 type Result struct {
 	Launches  []cloudapi.Launch
 	GiveBacks []GiveBack
-	Again     time.Time // plan again by then at the latest
+	Again     time.Time // latest time to call Plan again
 	Record    Record
 	Changed   bool
-	Short     float64 // tokens a second that no offer could be found for
+	Short     float64 // tokens a second that the available offers can't cover
 }
 
-// GiveBack ends an instance, after its requests were drained.
+// GiveBack asks for an instance to be drained and then terminated.
 type GiveBack struct {
 	Instance fleet.InstanceID
 	Reason   Reason
 }
 
-// Reason says why an instance is given back.
+// Reason is why an instance is given back.
 type Reason string
 
-// The reasons.
 const (
-	Surplus Reason = "surplus" // more than the demand and its reserve need
-	Orphan  Reason = "orphan"  // owned but in no record
-	Stuck   Reason = "stuck"   // launched long ago and never ready
+	Surplus Reason = "surplus" // not needed for the demand and its reserve
+	Orphan  Reason = "orphan"  // owned, but not in the record
+	Stuck   Reason = "stuck"   // not ready within Config.StuckTime of its launch
 )
--- a/internal/capacity/backoff.go
+++ b/internal/capacity/backoff.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// backoff delays launches of one kind after refusals: doubling, with jitter
-// so that shards do not ask the market in step.
+// backoff delays launches of one kind after refusals. The delay doubles with each
+// refusal; jitter keeps shards from retrying at the same time.
 type backoff struct {
 	delay time.Duration
 	until time.Time
--- a/internal/capacity/buy.go
+++ b/internal/capacity/buy.go
@@ -6,8 +6,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/cloudapi"
 )
 
-// launchAgain repeats launches whose answer was lost, by this planner or by an
-// earlier holder of the shard. The token is the same: nothing is bought twice.
+// launchAgain retries launches without a known outcome, made by this planner or by
+// an earlier holder of the shard. The client token is the same, so nothing is
+// bought twice.
 func (p *Planner) launchAgain(now time.Time, res *Result) {
 	for _, i := range res.Record.Intents {
 		t := token(p.shard, i.Number)
@@ -31,7 +32,7 @@
 	})
 }
 
-// buy records and launches what is missing.
+// buy records and launches the instances that the demand needs beyond those wanted.
 func (p *Planner) buy(now time.Time, in Input, s *survey, res *Result) {
 	rate, when := in.Demand.Peak(now, now.Add(p.cfg.StartTime+p.cfg.RetryTime))
 	if p.urgent(now, rate, when, s) {
@@ -50,8 +51,9 @@
 	p.order(buy, s, res)
 }
 
-// urgent reports whether what is owned or starting has been too little for
-// Patience, with no time left for more refusals: only then is on-demand bought.
+// urgent reports whether on-demand instances are to be bought: the instances that
+// serve or start have been too few for Patience, and no time is left for more
+// refusals.
 func (p *Planner) urgent(now time.Time, rate float64, when time.Time, s *survey) bool {
 	near := when.Sub(now) <= p.cfg.StartTime+p.cfg.RetryTime/2
 	if !near || s.all.total() >= rate {
@@ -64,7 +66,7 @@
 	return now.Sub(p.short) >= p.cfg.Patience
 }
 
-// order records and launches purchases.
+// order records and launches purchases, up to MaxLaunches in one plan.
 func (p *Planner) order(buy []offer, s *survey, res *Result) {
 	for _, o := range buy[:min(len(buy), max(0, p.cfg.MaxLaunches-len(res.Launches)))] {
 		p.launch(res.Record.add(o.choice), res)
@@ -74,8 +76,9 @@
 	}
 }
 
-// exchange returns purchases towards the cheapest mix when what is owned costs
-// too much more. What they replace becomes a surplus once they are ready.
+// exchange returns purchases towards the cheapest mix if the serving instances cost
+// more than it by over SwitchGain. The replaced instances become a surplus once the
+// new ones are ready.
 func (p *Planner) exchange(now time.Time, in Input, s *survey, g goal) []offer {
 	m := p.market(now, in.Prices)
 	ideal, ok := cheapest(g, holding{}, m.offers)
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -6,30 +6,32 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Closing is work that must be done by a deadline.
+// Closing is a workspace's batch of work that must be done by a deadline.
 type Closing struct {
 	Workspace fleet.WorkspaceID
 	Start     time.Time
 	Deadline  time.Time
-	Work      float64 // generated tokens still to come
+	Work      float64 // generated tokens remaining
 }
 
-// Demand is what must be served.
+// Demand is the load to serve.
 type Demand struct {
 	Base     float64 // generated tokens a second outside of closings
 	Measured float64 // generated tokens a second now, closings included
 	Closings []Closing
 }
 
-// leastWindow is the shortest time that a closing's rest of work is spread
-// over; near the deadline the rate would otherwise grow without bound.
+// leastWindow is the shortest time over which a closing's remaining work is spread.
+// Without it, the rate would grow without bound near the deadline.
 const leastWindow = 5 * time.Minute
 
-// closingPart is the part of the time to the deadline over which a closing's
-// work is spread, so that a wave in its last hour does not cost the deadline.
+// closingPart is the fraction of the time to the deadline over which a closing's
+// work is spread, so that a reclaim wave in its last hour doesn't delay it beyond
+// the deadline.
 const closingPart = 0.8
 
-// At returns the rate to provide for at t, as seen from now.
+// At returns the rate to provide at t, as forecast at now, in generated tokens a
+// second.
 func (d Demand) At(now, t time.Time) float64 {
 	rate := d.Base
 	for _, c := range d.Closings {
@@ -41,8 +43,8 @@
 	return rate
 }
 
-// Peak returns the greatest rate in [now, until], and when it is first reached.
-// Rates change only where closings start.
+// Peak returns the highest rate in [now, until] and the time it is first reached.
+// It checks only now and the starts of closings, since the rate rises only there.
 func (d Demand) Peak(now, until time.Time) (rate float64, when time.Time) {
 	rate, when = d.At(now, now), now
 	for _, c := range d.Closings {
@@ -56,7 +58,7 @@
 	return rate, when
 }
 
-// rate is what the closing needs at t when its work is spread evenly.
+// rate returns the rate that the closing needs at t if its work is spread evenly.
 func (c Closing) rate(now, t time.Time) float64 {
 	if t.Before(c.Start) || !t.Before(c.Deadline) {
 		return 0
--- a/internal/capacity/giveback.go
+++ b/internal/capacity/giveback.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// giveBack ends what is more than the demand and its reserve need, the dearest
-// first, once the surplus has lasted KeepFor. Only instances that serve count
-// as a surplus, so nothing goes before its replacement is ready.
+// giveBack gives back the instances that the demand and its reserve don't need, the
+// most expensive first, once there has been a surplus for KeepFor. Only ready
+// instances count, so none is given back before its replacement is ready.
 func (p *Planner) giveBack(now time.Time, in Input, s *survey, res *Result) {
 	rate, _ := in.Demand.Peak(now, now.Add(p.cfg.KeepFor+p.cfg.StartTime))
 	keep := goal{need: rate * (1 + p.cfg.Headroom), part: p.cfg.Reserve}
@@ -29,7 +29,8 @@
 	p.surplus = time.Time{}
 }
 
-// extra lists the instances without which keep is still reached.
+// extra returns the instances without which keep is still reached, the most
+// expensive for their throughput first.
 func (p *Planner) extra(now time.Time, in Input, s *survey, keep goal) []held {
 	prices := p.market(now, in.Prices).prices
 	unit := func(h held) float64 { return prices[h.intent.choice()] / h.rate }
--- a/internal/capacity/market.go
+++ b/internal/capacity/market.go
@@ -7,32 +7,34 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// choice is one kind of instance that can be bought.
+// choice is a kind of instance that can be bought.
 type choice struct {
 	dataCentre fleet.DataCentre
 	class      string
 	onDemand   bool
 }
 
-// offer is a choice with its price.
+// offer is a kind of instance with its price and throughput.
 type offer struct {
 	choice
 	price float64 // currency units an hour
 	rate  float64 // generated tokens a second
 }
 
-// unit is the price of one token a second.
+// unit returns the price of one token a second of throughput, in currency units an
+// hour.
 func (o offer) unit() float64 { return o.price / o.rate }
 
-// market is what can be bought now.
+// market is the set of instances that can be bought now.
 type market struct {
 	offers []offer
 	prices map[choice]float64
 	next   time.Time // earliest end of a back-off; zero when there is none
 }
 
-// market lists the offers that are not backed off from. On-demand ones are
-// left out unless they are no dearer than the reclaimable kind.
+// market returns the offers without a back-off in force. On-demand ones are left
+// out unless they cost no more than the reclaimable ones, or there is no price for
+// those.
 func (p *Planner) market(now time.Time, prices []cloudapi.Price) market {
 	m := market{prices: make(map[choice]float64, 2*len(prices))}
 	for _, price := range prices {
@@ -48,7 +50,7 @@
 	return m
 }
 
-// onDemand lists the on-demand offers.
+// onDemand returns the on-demand offers without a back-off in force.
 func (p *Planner) onDemand(now time.Time, prices []cloudapi.Price) []offer {
 	var m market
 	for _, price := range prices {
@@ -58,7 +60,8 @@
 	return m.offers
 }
 
-// offer adds o if its class is known, it has a price and no back-off holds.
+// offer adds o if its class is known, it has a price and no back-off is in force.
+// Otherwise it notes the end of the back-off.
 func (p *Planner) offer(now time.Time, m *market, o offer) {
 	o.rate = p.rate(o.class)
 	if o.rate <= 0 || o.price <= 0 {
@@ -74,7 +77,7 @@
 	}
 }
 
-// rate returns the work of a class, 0 when it is unknown.
+// rate returns the throughput of a class, 0 if the class is unknown.
 func (p *Planner) rate(class string) float64 {
 	for _, c := range p.cfg.Classes {
 		if c.Name == class {
--- a/internal/capacity/mix.go
+++ b/internal/capacity/mix.go
@@ -8,7 +8,7 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// holding is the work that each data centre can do, in tokens a second.
+// holding is the throughput of the instances by data centre, in tokens a second.
 type holding map[fleet.DataCentre]float64
 
 func (h holding) total() float64 {
@@ -27,7 +27,8 @@
 	return largest
 }
 
-// surviving is what is left after the loss of a part of the largest data centre.
+// surviving returns the throughput left after the loss of a fraction, part, of the
+// largest data centre.
 func (h holding) surviving(part float64) float64 {
 	return h.total() - part*h.largest()
 }
@@ -40,19 +41,20 @@
 	return c
 }
 
-// goal is what a holding must carry.
+// goal is the throughput that must be left after the loss of a fraction of the
+// largest data centre.
 type goal struct {
 	need float64 // tokens a second
-	part float64 // of the largest data centre, after whose loss need is carried
+	part float64 // fraction of the largest data centre that may be lost
 }
 
 func (g goal) reached(h holding) bool { return h.surviving(g.part) >= g.need }
 
-// cheapest returns the cheapest purchases that reach g. When the most that one
-// data centre may hold is M, the cheapest way is to fill the cheapest data
-// centres up to M; the cost is piecewise linear in M with its corners where m
-// data centres are exactly full, need/(m-part) each. So only those M, and the
-// largest holding as it is, are tried.
+// cheapest returns the cheapest purchases that reach g. If no data centre may hold
+// more than M, the cheapest solution fills the cheapest data centres up to M. The
+// cost is piecewise linear in M, with corners where m data centres are exactly
+// full, at need/(m-part) each. So only these values of M, and the present
+// throughput of the largest data centre, are tried.
 func cheapest(g goal, have holding, offers []offer) (buy []offer, ok bool) {
 	sites := bySite(offers)
 	levels := []float64{have.largest()}
@@ -71,13 +73,13 @@
 	return buy, ok
 }
 
-// site is a data centre's offers, cheapest unit first.
+// site is the offers of a data centre, by rising unit price.
 type site struct {
 	dataCentre fleet.DataCentre
 	offers     []offer
 }
 
-// bySite groups offers by data centre, the cheapest data centre first.
+// bySite groups offers by data centre, in order of each one's lowest unit price.
 func bySite(offers []offer) []site {
 	sorted := slices.Clone(offers)
 	slices.SortStableFunc(sorted, func(a, b offer) int { return cmp.Compare(a.unit(), b.unit()) })
@@ -93,8 +95,7 @@
 	return sites
 }
 
-// fill buys at the cheapest data centres, up to level in each, until g is
-// reached.
+// fill buys in the cheapest data centres, up to level in each, until g is reached.
 func fill(g goal, level float64, have holding, sites []site) (buy []offer, cost float64, ok bool) {
 	h := have.clone()
 	for _, s := range sites {
@@ -109,8 +110,8 @@
 	return buy, cost, g.reached(h)
 }
 
-// pick returns the offer with which missing is bought at the least cost, in
-// whole instances of one class.
+// pick returns the offer that covers missing at the lowest cost, in whole instances
+// of one class.
 func (s site) pick(missing float64) offer {
 	best, least := s.offers[0], 0.0
 	for i, o := range s.offers {
@@ -122,7 +123,7 @@
 	return best
 }
 
-// plain returns the cheapest purchases that carry need without a reserve.
+// plain returns purchases that cover need without a reserve, at a low cost.
 func plain(need float64, have holding, offers []offer) []offer {
 	if len(offers) == 0 {
 		return nil
--- a/internal/capacity/owned.go
+++ b/internal/capacity/owned.go
@@ -10,17 +10,18 @@
 type Owned struct {
 	cloudapi.Instance
 	Ready   bool      // an engine serves on it
-	LeaveAt time.Time // from a notice; zero when there is none
+	LeaveAt time.Time // when the platform reclaims it; zero without a notice
 }
 
-// Input is what a plan is made from. A plan ends instances that the record
-// lacks only if the record was read after the list: an intent is recorded
-// before it is launched, so a later record knows all that the list shows.
+// Input is the input of a plan. A plan gives back instances that aren't in the
+// record only if the record was read after the list. Since an intent is recorded
+// before it is launched, a record read later contains every wanted instance of the
+// list.
 type Input struct {
 	Demand       Demand
 	Prices       []cloudapi.Price
 	Owned        []Owned
-	ListedAt     time.Time // when Owned was asked for
+	ListedAt     time.Time // when Owned was requested
 	Record       Record
-	RecordReadAt time.Time // when Record was asked for
+	RecordReadAt time.Time // when Record was requested
 }
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -8,19 +8,20 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Planner plans for one shard of the duty, such as a region. Its own state is
-// soft: a successor starts without it and only asks the market once more.
+// Planner plans for one shard of the instances, such as a region. Its own state
+// isn't stored: a successor starts without it, and at worst repeats launches that
+// were just refused. Not safe for concurrent use.
 type Planner struct {
 	cfg      Config
 	shard    string
 	rng      *rand.Rand
 	backoffs map[choice]*backoff
 	calls    map[string]call // by client token
-	surplus  time.Time       // since when there is one; zero when there is none
-	short    time.Time       // since when even the demand is not carried; zero when it is
+	surplus  time.Time       // since when there is a surplus; zero if there is none
+	short    time.Time       // since when there is too little even for the demand; zero if there is enough
 }
 
-// call is what became of a launch that this planner gave out.
+// call is the outcome of a launch that this planner returned.
 type call struct {
 	pending  bool
 	refused  bool
@@ -39,21 +40,22 @@
 	}
 }
 
-// Launched reports that a launch was answered with an instance.
+// Launched records that a launch succeeded with an instance.
 func (p *Planner) Launched(now time.Time, l cloudapi.Launch, id fleet.InstanceID) {
 	p.calls[l.ClientToken] = call{instance: id, at: now}
 	delete(p.backoffs, choiceOf(l))
 }
 
-// Refused reports that the market refused a launch: nothing was bought. The
-// next plan makes another choice.
+// Refused records that the market refused a launch, so that nothing was bought. The
+// next plan uses another kind of instance.
 func (p *Planner) Refused(now time.Time, l cloudapi.Launch) {
 	p.calls[l.ClientToken] = call{refused: true}
 	p.backOff(now, choiceOf(l))
 }
 
-// Lost reports that a launch's answer was lost: it may have bought. A later
-// plan launches again with the same token, which buys at most once.
+// Lost records that the answer to a launch was lost, so that an instance may have
+// been bought. A later plan repeats the launch with the same client token, which
+// buys at most once.
 func (p *Planner) Lost(now time.Time, l cloudapi.Launch) {
 	delete(p.calls, l.ClientToken)
 	p.backOff(now, choiceOf(l))
@@ -72,9 +74,9 @@
 	return choice{dataCentre: l.DataCentre, class: l.Class, onDemand: l.OnDemand}
 }
 
-// Plan returns what to do now. Call it at Result.Again, and when demand,
-// prices, notices or answers have changed. Every launch must be answered by
-// Launched, Refused or Lost.
+// Plan returns what to do now. Call it again by Result.Again, and when demand,
+// prices or notices change or a launch is answered. Report the outcome of every
+// launch with Launched, Refused or Lost.
 func (p *Planner) Plan(now time.Time, in Input) Result {
 	res := Result{Record: in.Record.clone()}
 	s := p.survey(now, in, &res)
@@ -85,9 +87,9 @@
 	return res
 }
 
-// again returns when the next plan is due without news.
+// again returns when the next plan is due if nothing changes before.
 func (p *Planner) again(now time.Time, in Input, res *Result) time.Time {
-	const regular = time.Minute // prices and demand drift
+	const regular = time.Minute // prices and demand change gradually
 	next := now.Add(regular)
 	m := p.market(now, in.Prices)
 	if res.Short > 0 && !m.next.IsZero() && m.next.Before(next) {
--- a/internal/capacity/planner_bench_test.go
+++ b/internal/capacity/planner_bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkPlan plans for a settled fleet and from nothing.
+// BenchmarkPlan measures a plan that changes nothing, for a complete set of ready
+// instances, and a plan without any instances.
 func BenchmarkPlan(b *testing.B) {
 	for _, engines := range []int{18, 690} {
 		b.Run(fmt.Sprintf("settled/engines=%d", engines), func(b *testing.B) {
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -30,7 +30,7 @@
 	return New("s", cfg, rand.New(rand.NewPCG(1, 1)))
 }
 
-// input is what a planner sees whose record was read just after the list.
+// input returns the input of a plan whose record was read just after the list.
 func input(now time.Time, rate float64, r Record, owned ...Owned) Input {
 	return Input{
 		Demand:       Demand{Base: rate, Measured: rate},
@@ -55,7 +55,7 @@
 	}
 }
 
-// buyAll plans for rate and lets every launch succeed.
+// buyAll plans for rate; every launch succeeds and its instance is ready at once.
 func buyAll(p *Planner, rate float64) (Record, []Owned) {
 	res := p.Plan(start, input(start, rate, Record{}))
 	var owned []Owned
@@ -67,8 +67,8 @@
 	return res.Record, owned
 }
 
-// A data centre vanishes at once; what is left must carry the demand, and no
-// cheaper purchase that does so may exist by much.
+// All of a data centre's instances may be lost at once. The others must be enough
+// for the demand, and the mix must cost no more than 0.1% above the cheapest one.
 func TestMixSurvivesAndIsNearTheCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := float64(rapid.IntRange(1, 500).Draw(t, "need"))
@@ -102,8 +102,8 @@
 	})
 }
 
-// A launch takes effect, its answer is lost and the holder dies. The successor
-// knows only the record; with a token of its own it would buy a second one.
+// A launch takes effect, its answer is lost and the holder crashes. Its successor
+// has only the record; with a new client token it would buy a second instance.
 func TestSuccessorLaunchesWithTheSameToken(t *testing.T) {
 	first := newPlanner()
 	res := first.Plan(start, input(start, 100, Record{}))
@@ -112,14 +112,15 @@
 	again := newPlanner().Plan(after(time.Minute), input(after(time.Minute), 100, res.Record))
 	assert.DeepEqual(t, again.Launches, res.Launches)
 	assert.Assert(t, !again.Changed)
-	// The list shows both: nothing is launched any more.
+	// Once the list contains both, nothing more is launched.
 	owned := []Owned{bought(res.Launches[0], false), bought(res.Launches[1], false)}
 	last := newPlanner().Plan(after(2*time.Minute), input(after(2*time.Minute), 100, res.Record, owned...))
 	assert.Equal(t, len(last.Launches), 0)
 }
 
-// An instance that no record wants costs money for ever. But one that another
-// holder recorded and bought after this holder read its record looks the same.
+// An instance that isn't in the record would cost money for ever. But an instance
+// that another holder recorded and bought after this one read the record looks the
+// same and must be kept.
 func TestOrphanEndsOnlyByARecordNewerThanTheList(t *testing.T) {
 	o := bought(cloudapi.Launch{ClientToken: token("s", 77), Class: "c", DataCentre: "a"}, true)
 	other := bought(cloudapi.Launch{ClientToken: token("other", 1), Class: "c", DataCentre: "a"}, true)
@@ -130,8 +131,8 @@
 	assert.DeepEqual(t, newPlanner().Plan(start, in).GiveBacks, []GiveBack{{o.ID, Orphan}})
 }
 
-// The market refuses. The next plan must ask elsewhere, not the same again and
-// again, and pay for on-demand only once the demand itself is not carried.
+// After a refused launch the next plan must try another data centre rather than
+// repeat the launch, and buy on-demand only once the demand itself can't be served.
 func TestRefusedStartGoesToTheNextChoiceThenToOnDemand(t *testing.T) {
 	p := newPlanner()
 	res := p.Plan(start, input(start, 100, Record{}))
@@ -157,8 +158,8 @@
 	assert.Assert(t, res.Launches[0].OnDemand)
 }
 
-// A notice takes an instance. It counts for nothing from then on, and what is
-// bought in its place has a new token: the old one would buy nothing.
+// An instance under notice must no longer count, and its replacement must have a new
+// client token: a launch with the old one would buy nothing.
 func TestNoticedInstanceIsReplacedAtOnce(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 100)
@@ -173,8 +174,8 @@
 	assert.Equal(t, len(res.Record.Intents), 2)
 }
 
-// Demand falls for a moment, or until a closing. Giving back at once would buy
-// the same again, against a market that may refuse.
+// Demand falls for a moment, or until a closing starts. Instances given back at once
+// would have to be bought again, which the market may refuse.
 func TestSurplusIsGivenBackLateAndNotBeforeAClosing(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 400)
@@ -190,8 +191,8 @@
 	assert.Equal(t, len(at(12*time.Minute).GiveBacks), len(owned)-2)
 }
 
-// An instance starts but no engine ever serves on it. Counted as starting for
-// ever, what it should carry would be bought by nobody.
+// No engine ever serves on an instance. If it were counted as starting for ever, it
+// would never be replaced.
 func TestStuckInstanceIsEndedAndReplaced(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 100)
@@ -203,8 +204,8 @@
 	assert.Equal(t, len(res.Launches), 1)
 }
 
-// Two days of waves, refusals, lost answers and successors: everything that is
-// owned is wanted, and closings end in time.
+// After two simulated days of reclaim waves, refusals, lost answers and successors,
+// every instance must be in the record, and the closings must have finished.
 func TestTraceLeavesNothingUnwanted(t *testing.T) {
 	tr := newTrace(1)
 	record := tr.run(DefaultConfig(traceClasses), 48*time.Hour, func(p []cloudapi.Price) []cloudapi.Price { return p })
@@ -220,8 +221,8 @@
 	}
 }
 
-// Cheaper instances are starting beside dear ones that serve. Ending the dear
-// ones for the sum of both would leave callers without engines.
+// Some instances are ready and others still start. If the starting ones counted
+// towards a surplus, ready ones would be given back and callers left without engines.
 func TestNothingGoesBeforeItsReplacementServes(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 400)
@@ -234,7 +235,8 @@
 	}
 }
 
-// Prices turn: what is owned becomes three times as dear as elsewhere.
+// Prices change, so that the owned instances cost nearly three times as much as
+// those in other data centres.
 func TestDearInstancesAreExchanged(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 100)
@@ -250,8 +252,8 @@
 	assert.Equal(t, len(p.Plan(start, in).Launches), 0)
 }
 
-// A closing is almost over with work left: the rate asked for stays finite. A
-// cold start asks for a bounded number at once.
+// The rate of a closing with work left just before its deadline must stay finite,
+// and a plan from nothing must launch a bounded number of instances.
 func TestDemandsAreBounded(t *testing.T) {
 	c := Closing{Start: start, Deadline: after(time.Hour), Work: 300}
 	d := Demand{Closings: []Closing{c}}
--- a/internal/capacity/record.go
+++ b/internal/capacity/record.go
@@ -9,24 +9,24 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// Record is what one shard of the duty wants, as the object API keeps it.
+// Record is the wanted instances of one shard, as stored in the object API.
 type Record struct {
 	Next    uint64   `json:"next"` // number of the next intent
 	Intents []Intent `json:"intents"`
 }
 
-// Intent is one instance that is wanted. It is recorded before it is launched.
+// Intent is a wanted instance. It is recorded before it is launched.
 type Intent struct {
 	Number         uint64           `json:"number"`
 	Class          string           `json:"class"`
 	DataCentre     fleet.DataCentre `json:"dataCentre"`
 	OnDemand       bool             `json:"onDemand,omitempty"`
-	Instance       fleet.InstanceID `json:"instance,omitempty"` // once known
+	Instance       fleet.InstanceID `json:"instance,omitempty"` // empty until known
 	LaunchedMillis int64            `json:"launchedMillis,omitempty"`
 }
 
-// token is the client token of an intent: the same for every holder of the
-// shard's lease, whatever its fencing number.
+// token returns the client token of an intent. It doesn't depend on the holder of
+// the shard's lease or its fencing number.
 func token(shard string, number uint64) string {
 	return tokenPrefix(shard) + strconv.FormatUint(number, 10)
 }
@@ -58,13 +58,14 @@
 	return choice{dataCentre: i.DataCentre, class: i.Class, onDemand: i.OnDemand}
 }
 
-// gone reports whether a list read at listed proves that the instance, which
-// it does not show, has ended.
+// gone reports whether the instance has ended, given that it is missing from a list
+// requested at listed. Before lag has passed since its launch, it may only be
+// missing from the list so far.
 func (i Intent) gone(listed time.Time, lag time.Duration) bool {
 	return i.Instance != "" && listed.Sub(time.UnixMilli(i.LaunchedMillis)) > lag
 }
 
-// set replaces the intent of the same number.
+// set replaces the intent with the same number.
 func (r *Record) set(i Intent) {
 	for k := range r.Intents {
 		if r.Intents[k].Number == i.Number {
--- a/internal/capacity/survey.go
+++ b/internal/capacity/survey.go
@@ -6,22 +6,22 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// survey is what the shard holds.
+// survey is the state of a shard's instances.
 type survey struct {
-	all      holding // wanted and not leaving, starting ones included
-	ready    holding // serving and not leaving
-	serving  []held  // what makes up ready
-	starting int     // wanted, not yet serving
+	all      holding // without a notice, starting ones included
+	ready    holding // ready and without a notice
+	serving  []held  // the instances counted in ready
+	starting int     // instances not ready yet
 }
 
-// held is one instance that serves.
+// held is a ready instance.
 type held struct {
 	intent Intent
 	rate   float64
 }
 
-// survey matches the record with the cloud's list, closes intents that are
-// done with, and ends instances that nobody wants.
+// survey matches the record with the cloud's list. It removes intents whose
+// instance was refused or has ended, and gives back stuck and orphan instances.
 func (p *Planner) survey(now time.Time, in Input, res *Result) *survey {
 	s := &survey{all: holding{}, ready: holding{}}
 	owned := make(map[string]*Owned, len(in.Owned))
@@ -47,10 +47,11 @@
 	case o == nil && i.gone(in.ListedAt, p.cfg.ListLag):
 		p.close(i, res)
 	case o != nil && !o.LeaveAt.IsZero():
-		// It counts for nothing, and stays recorded until the list drops it.
+		// An instance under notice isn't counted. It stays in the record until it
+		// is missing from the list.
 	case o != nil && !o.Ready && now.Sub(time.UnixMilli(i.LaunchedMillis)) > p.cfg.StuckTime:
-		// An instance that never serves would be counted for ever, and what
-		// it should have carried would be bought by nobody.
+		// An instance that never becomes ready would otherwise be counted as
+		// starting for ever and never be replaced.
 		p.end(i, Stuck, res)
 	case o != nil && o.Ready:
 		s.all[i.DataCentre] += rate
@@ -62,7 +63,8 @@
 	}
 }
 
-// learn puts the instance of an intent into the record.
+// learn adds an intent's instance to the record once its id is known, from the answer
+// to the launch or from the list.
 func (p *Planner) learn(i *Intent, t string, o *Owned, in Input, res *Result) {
 	if i.Instance != "" {
 		return
@@ -79,23 +81,23 @@
 	res.Changed = true
 }
 
-// close drops an intent that has no instance any more.
+// close removes an intent from the record.
 func (p *Planner) close(i Intent, res *Result) {
 	res.Record.drop(i.Number)
 	res.Changed = true
 	delete(p.calls, token(p.shard, i.Number))
 }
 
-// end gives an intent's instance back. If the call is lost, the instance is an
-// orphan in a later list.
+// end removes an intent and gives its instance back. If that call is lost, the
+// instance shows up as an orphan in a later list.
 func (p *Planner) end(i Intent, why Reason, res *Result) {
 	p.close(i, res)
 	res.GiveBacks = append(res.GiveBacks, GiveBack{Instance: i.Instance, Reason: why})
 }
 
-// endOrphans gives back instances of this shard's tokens that the record does
-// not know. With a record older than the list, an instance that another holder
-// recorded and bought in between would look like one.
+// endOrphans gives back instances with a client token of this shard that aren't in
+// the record. It does nothing if the record is older than the list: an instance
+// that another holder recorded and bought in between would look like an orphan.
 func (p *Planner) endOrphans(in Input, res *Result) {
 	if !in.RecordReadAt.After(in.ListedAt) {
 		return
@@ -111,7 +113,7 @@
 	}
 }
 
-// without returns a holding less rate in dc.
+// without returns a copy of h with rate less in dc.
 func (h holding) without(dc fleet.DataCentre, rate float64) holding {
 	c := h.clone()
 	c[dc] -= rate
--- a/internal/capacity/trace_bench_test.go
+++ b/internal/capacity/trace_bench_test.go
@@ -7,6 +7,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/cloudapi"
 )
 
+// BenchmarkTrace compares variants of the planner on the simulated trace: cost,
+// closings that end in time, time with too little capacity, and launches.
+//
 // Run: go test -run=- -bench=Trace -benchtime=1x ./internal/capacity
 func BenchmarkTrace(b *testing.B) {
 	asIs := func(p []cloudapi.Price) []cloudapi.Price { return p }
@@ -54,6 +57,7 @@
 	}
 }
 
+// only returns a function that applies change to a copy of each price.
 func only(change func(*cloudapi.Price)) func([]cloudapi.Price) []cloudapi.Price {
 	return func(prices []cloudapi.Price) []cloudapi.Price {
 		changed := make([]cloudapi.Price, len(prices))
--- a/internal/capacity/trace_test.go
+++ b/internal/capacity/trace_test.go
@@ -11,12 +11,12 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// The trace: three days of a seeded market with four data centres and three
-// classes. Prices wander. A wave takes most of a data centre's reclaimable
-// instances about every eight hours and twice in every closing, after which
-// most starts are refused for a while, there and elsewhere. Demand has a daily
-// swing and four closings, whose work arrives until 24 minutes before their
-// deadline.
+// The trace simulates three days of a seeded market with four data centres and
+// three classes. Prices follow a random walk that reverts to a mean. About every
+// eight hours, and twice in every closing, a reclaim wave takes most of a data
+// centre's reclaimable instances; then most launches are refused for a while, there
+// and elsewhere. Demand has a daily cycle and four closings, whose work arrives
+// until 24 minutes before their deadline.
 const (
 	traceStep   = 30 * time.Second
 	traceTime   = 72 * time.Hour
@@ -38,19 +38,19 @@
 	rng        *rand.Rand
 	now        time.Time
 	prices     []cloudapi.Price
-	refusing   map[fleet.DataCentre]time.Time // until
+	refusing   map[fleet.DataCentre]time.Time // until when
 	machines   []*machine
 	tokens     map[string]*machine
 	waves      []time.Time
-	tightUntil time.Time // of the whole market
+	tightUntil time.Time // until when most launches are refused everywhere
 	closings   []Closing
 	arrived    []float64 // of each closing's work
 	backlog    []float64
 	doneAt     []time.Time
 
-	rate              float64 // of demand now, closings included
+	rate              float64 // demand now, closings included, in tokens a second
 	cost              float64
-	steps, missed     int // with less capacity than demand, after the first hour
+	steps, missed     int // steps after the first hour; those with less capacity than demand
 	launches, refused int
 }
 
@@ -79,7 +79,7 @@
 	return t
 }
 
-// step moves the market and serves demand for one step.
+// step advances the market and the served demand by one step.
 func (t *trace) step() {
 	t.now = t.now.Add(traceStep)
 	t.machines = slices.DeleteFunc(t.machines, func(m *machine) bool {
@@ -109,7 +109,8 @@
 	t.serve(capacity)
 }
 
-// wave takes most of the data centre that holds the most.
+// wave gives notice to most reclaimable instances of the data centre with the most
+// instances.
 func (t *trace) wave() {
 	count := map[fleet.DataCentre]int{}
 	dc := fleet.DataCentre("a")
@@ -147,7 +148,7 @@
 	return traceBase * (1 + 0.5*math.Sin(2*math.Pi*t.now.Sub(traceStart).Hours()/24))
 }
 
-// serve gives capacity to the base first and the rest to closings.
+// serve uses capacity for the base demand first and the rest for closings.
 func (t *trace) serve(capacity float64) {
 	s := traceStep.Seconds()
 	base := t.base()
@@ -177,7 +178,7 @@
 	}
 }
 
-// demand is what a planner is told.
+// demand returns the input of the planner.
 func (t *trace) demand() Demand {
 	d := Demand{Base: t.base(), Measured: t.rate}
 	for i, c := range t.closings {
@@ -189,7 +190,8 @@
 	return d
 }
 
-// launch answers a launch; lost means that the answer does not arrive.
+// launch answers a launch: m is nil if it is refused, and lost is set if it
+// succeeds without an answer.
 func (t *trace) launch(l cloudapi.Launch) (m *machine, lost bool) {
 	t.launches++
 	if m := t.tokens[l.ClientToken]; m != nil {
@@ -232,7 +234,8 @@
 	return list
 }
 
-// run drives a planner that is replaced by a successor every six hours.
+// run simulates span with a planner that is replaced by a successor every six hours,
+// and returns the last record.
 func (t *trace) run(cfg Config, span time.Duration, prices func([]cloudapi.Price) []cloudapi.Price) Record {
 	var record Record
 	p := New("s", cfg, t.rng)
