--- a/internal/certs/pair.go
+++ b/internal/certs/pair.go
@@ -28,8 +28,8 @@
 
 // loaded is the parsed content of the files.
 type loaded struct {
-	pair  tls.Certificate
-	roots *x509.CertPool // nil without an authority
+	pair     tls.Certificate
+	roots    *x509.CertPool // nil without an authority
 	modTimes [3]time.Time   // modification times when read
 }
 
--- a/internal/certs/pair_test.go
+++ b/internal/certs/pair_test.go
@@ -113,16 +113,16 @@
 	theirs.write(t, g, 3)
 	store, err := Open(f)
 	assert.NilError(t, err)
-	stranger, err := Open(g)
+	otherStore, err := Open(g)
 	assert.NilError(t, err)
 
 	serial, err := handshake(t, store.Server(), store.Client())
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(2))
 
-	trusting := stranger.Client()
-	trusting.RootCAs = store.Client().RootCAs
-	_, err = handshake(t, store.Server(), trusting)
+	otherClient := otherStore.Client()
+	otherClient.RootCAs = store.Client().RootCAs
+	_, err = handshake(t, store.Server(), otherClient)
 	assert.ErrorContains(t, err, "unknown certificate authority")
 	_, err = handshake(t, store.Server(), &tls.Config{RootCAs: store.Client().RootCAs})
 	assert.ErrorContains(t, err, "certificate required")
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -87,7 +87,7 @@
 	return out
 }
 
-// format formats a line for people: its message, then its other fields sorted by key.
+// format returns a line for people: its message, then its other fields sorted by key.
 func (l *Line) format(indent string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s%s %s %s: %s", indent, l.Time.Format("15:04:05.000"), l.Source, l.Part, l.Message)
