--- a/internal/capacity/action.go
+++ b/internal/capacity/action.go
@@ -12,10 +12,10 @@
 type Result struct {
 	Launches  []cloudapi.Launch
 	GiveBacks []GiveBack
-	Again     time.Time // latest time to call Plan again
+	NextPlan  time.Time // latest time to call Plan again
 	Record    Record
 	Changed   bool
-	Short     float64 // tokens a second that the available offers can't cover
+	Shortfall float64 // tokens a second that the available offers can't cover
 }
 
 // GiveBack asks for an instance to be drained and then terminated.
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -21,14 +21,14 @@
 	Closings []Closing
 }
 
-// leastWindow is the shortest time over which a closing's remaining work is spread.
+// minWindow is the shortest time over which a closing's remaining work is spread.
 // Without it, the rate would grow without bound near the deadline.
-const leastWindow = 5 * time.Minute
+const minWindow = 5 * time.Minute
 
-// closingPart is the fraction of the time to the deadline over which a closing's
+// closingShare is the fraction of the time to the deadline over which a closing's
 // work is spread, so that a reclaim wave in its last hour doesn't delay it beyond
 // the deadline.
-const closingPart = 0.8
+const closingShare = 0.8
 
 // At returns the rate to provide at t, as forecast at now, in generated tokens a
 // second.
@@ -67,6 +67,6 @@
 	if now.After(from) {
 		from = now
 	}
-	window := time.Duration(closingPart * float64(c.Deadline.Sub(from)))
-	return c.Work / max(leastWindow, window).Seconds()
+	window := time.Duration(closingShare * float64(c.Deadline.Sub(from)))
+	return c.Work / max(minWindow, window).Seconds()
 }
--- a/internal/capacity/giveback.go
+++ b/internal/capacity/giveback.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// giveBack gives back the instances that the demand and its reserve don't need, the
+// giveBackSurplus gives back the instances that the demand and its reserve don't need, the
 // most expensive first, once there has been a surplus for KeepFor. Only ready
 // instances count, so none is given back before its replacement is ready.
-func (p *Planner) giveBack(now time.Time, in Input, s *survey, res *Result) {
+func (p *Planner) giveBackSurplus(now time.Time, in Input, s *inventory, res *Result) {
 	rate, _ := in.Demand.Peak(now, now.Add(p.cfg.KeepFor+p.cfg.StartTime))
-	keep := goal{need: rate * (1 + p.cfg.Headroom), part: p.cfg.Reserve}
-	extra := p.extra(now, in, s, keep)
+	keep := goal{need: rate * (1 + p.cfg.Headroom), loss: p.cfg.Reserve}
+	extra := p.surplusInstances(now, in, s, keep)
 	if len(extra) == 0 {
-		p.surplus = time.Time{}
+		p.surplusSince = time.Time{}
 		return
 	}
-	if p.surplus.IsZero() {
-		p.surplus = now
+	if p.surplusSince.IsZero() {
+		p.surplusSince = now
 	}
-	if now.Sub(p.surplus) < p.cfg.KeepFor {
+	if now.Sub(p.surplusSince) < p.cfg.KeepFor {
 		return
 	}
 	for _, h := range extra {
-		p.end(h.intent, Surplus, res)
+		p.giveBackInstance(h.intent, Surplus, res)
 	}
-	p.surplus = time.Time{}
+	p.surplusSince = time.Time{}
 }
 
-// extra returns the instances without which keep is still reached, the most
+// surplusInstances returns the instances without which keep is still met, the most
 // expensive for their throughput first.
-func (p *Planner) extra(now time.Time, in Input, s *survey, keep goal) []held {
+func (p *Planner) surplusInstances(now time.Time, in Input, s *inventory, keep goal) []readyInstance {
 	prices := p.market(now, in.Prices).prices
-	unit := func(h held) float64 { return prices[h.intent.choice()] / h.rate }
+	unit := func(h readyInstance) float64 { return prices[h.intent.kind()] / h.rate }
 	byPrice := slices.Clone(s.serving)
-	slices.SortStableFunc(byPrice, func(a, b held) int { return cmp.Compare(unit(b), unit(a)) })
+	slices.SortStableFunc(byPrice, func(a, b readyInstance) int { return cmp.Compare(unit(b), unit(a)) })
 	left := s.ready
-	var extra []held
+	var extra []readyInstance
 	for _, h := range byPrice {
-		if less := left.without(h.intent.DataCentre, h.rate); keep.reached(less) {
+		if less := left.without(h.intent.DataCentre, h.rate); keep.met(less) {
 			left = less
 			extra = append(extra, h)
 		}
--- a/internal/capacity/survey.go
+++ b/internal/capacity/inventory.go
@@ -6,66 +6,66 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// survey is the state of a shard's instances.
-type survey struct {
-	all      holding // without a notice, starting ones included
-	ready    holding // ready and without a notice
-	serving  []held  // the instances counted in ready
-	starting int     // instances not ready yet
+// inventory is the state of a shard's instances.
+type inventory struct {
+	all      dcRates         // without a notice, starting ones included
+	ready    dcRates         // ready and without a notice
+	serving  []readyInstance // the instances counted in ready
+	starting int             // instances not ready yet
 }
 
-// held is a ready instance.
-type held struct {
+// readyInstance is a serving instance and its throughput, in tokens a second.
+type readyInstance struct {
 	intent Intent
 	rate   float64
 }
 
-// survey matches the record with the cloud's list. It removes intents whose
+// takeInventory matches the record with the cloud's list. It removes intents whose
 // instance was refused or has ended, and gives back stuck and orphan instances.
-func (p *Planner) survey(now time.Time, in Input, res *Result) *survey {
-	s := &survey{all: holding{}, ready: holding{}}
+func (p *Planner) takeInventory(now time.Time, in Input, res *Result) *inventory {
+	s := &inventory{all: dcRates{}, ready: dcRates{}}
 	owned := make(map[string]*Owned, len(in.Owned))
 	for i := range in.Owned {
 		owned[in.Owned[i].ClientToken] = &in.Owned[i]
 	}
 	for _, intent := range in.Record.Intents {
-		p.surveyIntent(now, in, intent, owned[token(p.shard, intent.Number)], s, res)
+		p.countIntent(now, in, intent, owned[token(p.shard, intent.Number)], s, res)
 	}
-	p.endOrphans(in, res)
+	p.giveBackOrphans(in, res)
 	return s
 }
 
-func (p *Planner) surveyIntent(now time.Time, in Input, i Intent, o *Owned, s *survey, res *Result) {
+func (p *Planner) countIntent(now time.Time, in Input, i Intent, o *Owned, s *inventory, res *Result) {
 	t := token(p.shard, i.Number)
 	if p.calls[t].refused {
-		p.close(i, res)
+		p.dropIntent(i, res)
 		return
 	}
-	p.learn(&i, t, o, in, res)
+	p.recordInstance(&i, t, o, in, res)
 	rate := p.rate(i.Class)
 	switch {
-	case o == nil && i.gone(in.ListedAt, p.cfg.ListLag):
-		p.close(i, res)
+	case o == nil && i.ended(in.ListedAt, p.cfg.ListLag):
+		p.dropIntent(i, res)
 	case o != nil && !o.LeaveAt.IsZero():
 		// An instance under notice isn't counted. It stays in the record until it
 		// is missing from the list.
 	case o != nil && !o.Ready && now.Sub(time.UnixMilli(i.LaunchedMillis)) > p.cfg.StuckTime:
 		// An instance that never becomes ready would otherwise be counted as
 		// starting for ever and never be replaced.
-		p.end(i, Stuck, res)
+		p.giveBackInstance(i, Stuck, res)
 	case o != nil && o.Ready:
 		s.all[i.DataCentre] += rate
 		s.ready[i.DataCentre] += rate
-		s.serving = append(s.serving, held{intent: i, rate: rate})
+		s.serving = append(s.serving, readyInstance{intent: i, rate: rate})
 	default:
 		s.all[i.DataCentre] += rate
 		s.starting++
 	}
 }
 
-// learn adds an intent's instance to the record once its id is known, from the answer
+// recordInstance adds an intent's instance to the record once its id is known, from the answer
 // to the launch or from the list.
-func (p *Planner) learn(i *Intent, t string, o *Owned, in Input, res *Result) {
+func (p *Planner) recordInstance(i *Intent, t string, o *Owned, in Input, res *Result) {
 	if i.Instance != "" {
 		return
 	}
@@ -81,24 +81,24 @@
 	res.Changed = true
 }
 
-// close removes an intent from the record.
-func (p *Planner) close(i Intent, res *Result) {
+// dropIntent removes an intent from the record.
+func (p *Planner) dropIntent(i Intent, res *Result) {
 	res.Record.drop(i.Number)
 	res.Changed = true
 	delete(p.calls, token(p.shard, i.Number))
 }
 
-// end removes an intent and gives its instance back. If that call is lost, the
+// giveBackInstance removes an intent and gives its instance back. If that call is lost, the
 // instance shows up as an orphan in a later list.
-func (p *Planner) end(i Intent, why Reason, res *Result) {
-	p.close(i, res)
+func (p *Planner) giveBackInstance(i Intent, why Reason, res *Result) {
+	p.dropIntent(i, res)
 	res.GiveBacks = append(res.GiveBacks, GiveBack{Instance: i.Instance, Reason: why})
 }
 
-// endOrphans gives back instances with a client token of this shard that aren't in
+// giveBackOrphans gives back instances with a client token of this shard that aren't in
 // the record. It does nothing if the record is older than the list: an instance
 // that another holder recorded and bought in between would look like an orphan.
-func (p *Planner) endOrphans(in Input, res *Result) {
+func (p *Planner) giveBackOrphans(in Input, res *Result) {
 	if !in.RecordReadAt.After(in.ListedAt) {
 		return
 	}
@@ -107,14 +107,14 @@
 		known[token(p.shard, i.Number)] = true
 	}
 	for _, o := range in.Owned {
-		if ours(p.shard, o.ClientToken) && !known[o.ClientToken] && o.LeaveAt.IsZero() {
+		if isToken(p.shard, o.ClientToken) && !known[o.ClientToken] && o.LeaveAt.IsZero() {
 			res.GiveBacks = append(res.GiveBacks, GiveBack{Instance: o.ID, Reason: Orphan})
 		}
 	}
 }
 
 // without returns a copy of h with rate less in dc.
-func (h holding) without(dc fleet.DataCentre, rate float64) holding {
+func (h dcRates) without(dc fleet.DataCentre, rate float64) dcRates {
 	c := h.clone()
 	c[dc] -= rate
 	return c
--- a/internal/capacity/market.go
+++ b/internal/capacity/market.go
@@ -7,8 +7,8 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// choice is a kind of instance that can be bought.
-type choice struct {
+// kind identifies the instances that can be bought interchangeably.
+type kind struct {
 	dataCentre fleet.DataCentre
 	class      string
 	onDemand   bool
@@ -16,7 +16,7 @@
 
 // offer is a kind of instance with its price and throughput.
 type offer struct {
-	choice
+	kind
 	price float64 // currency units an hour
 	rate  float64 // generated tokens a second
 }
@@ -28,7 +28,7 @@
 // market is the set of instances that can be bought now.
 type market struct {
 	offers []offer
-	prices map[choice]float64
+	prices map[kind]float64
 	next   time.Time // earliest end of a back-off; zero when there is none
 }
 
@@ -36,15 +36,15 @@
 // out unless they cost no more than the reclaimable ones, or there is no price for
 // those.
 func (p *Planner) market(now time.Time, prices []cloudapi.Price) market {
-	m := market{prices: make(map[choice]float64, 2*len(prices))}
+	m := market{prices: make(map[kind]float64, 2*len(prices))}
 	for _, price := range prices {
-		c := choice{dataCentre: price.DataCentre, class: price.Class}
+		c := kind{dataCentre: price.DataCentre, class: price.Class}
 		m.prices[c] = price.Reclaimable
-		p.offer(now, &m, offer{choice: c, price: price.Reclaimable})
+		p.offer(now, &m, offer{kind: c, price: price.Reclaimable})
 		c.onDemand = true
 		m.prices[c] = price.OnDemand
 		if price.OnDemand <= price.Reclaimable || price.Reclaimable <= 0 {
-			p.offer(now, &m, offer{choice: c, price: price.OnDemand})
+			p.offer(now, &m, offer{kind: c, price: price.OnDemand})
 		}
 	}
 	return m
@@ -54,8 +54,8 @@
 func (p *Planner) onDemand(now time.Time, prices []cloudapi.Price) []offer {
 	var m market
 	for _, price := range prices {
-		c := choice{dataCentre: price.DataCentre, class: price.Class, onDemand: true}
-		p.offer(now, &m, offer{choice: c, price: price.OnDemand})
+		c := kind{dataCentre: price.DataCentre, class: price.Class, onDemand: true}
+		p.offer(now, &m, offer{kind: c, price: price.OnDemand})
 	}
 	return m.offers
 }
@@ -67,7 +67,7 @@
 	if o.rate <= 0 || o.price <= 0 {
 		return
 	}
-	b := p.backoffs[o.choice]
+	b := p.backoffs[o.kind]
 	if b == nil || !now.Before(b.until) {
 		m.offers = append(m.offers, o)
 		return
--- a/internal/capacity/mix.go
+++ b/internal/capacity/mix.go
@@ -8,10 +8,10 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
 )
 
-// holding is the throughput of the instances by data centre, in tokens a second.
-type holding map[fleet.DataCentre]float64
+// dcRates is the throughput of the instances by data centre, in tokens a second.
+type dcRates map[fleet.DataCentre]float64
 
-func (h holding) total() float64 {
+func (h dcRates) total() float64 {
 	sum := 0.0
 	for _, rate := range h {
 		sum += rate
@@ -19,7 +19,7 @@
 	return sum
 }
 
-func (h holding) largest() float64 {
+func (h dcRates) largest() float64 {
 	largest := 0.0
 	for _, rate := range h {
 		largest = max(largest, rate)
@@ -27,14 +27,14 @@
 	return largest
 }
 
-// surviving returns the throughput left after the loss of a fraction, part, of the
-// largest data centre.
-func (h holding) surviving(part float64) float64 {
-	return h.total() - part*h.largest()
+// surviving returns the throughput left after the largest data centre has lost the
+// fraction loss of its own.
+func (h dcRates) surviving(loss float64) float64 {
+	return h.total() - loss*h.largest()
 }
 
-func (h holding) clone() holding {
-	c := make(holding, len(h))
+func (h dcRates) clone() dcRates {
+	c := make(dcRates, len(h))
 	for dc, rate := range h {
 		c[dc] = rate
 	}
@@ -45,27 +45,27 @@
 // largest data centre.
 type goal struct {
 	need float64 // tokens a second
-	part float64 // fraction of the largest data centre that may be lost
+	loss float64 // fraction of the largest data centre that may be lost
 }
 
-func (g goal) reached(h holding) bool { return h.surviving(g.part) >= g.need }
+func (g goal) met(h dcRates) bool { return h.surviving(g.loss) >= g.need }
 
-// cheapest returns the cheapest purchases that reach g. If no data centre may hold
-// more than M, the cheapest solution fills the cheapest data centres up to M. The
-// cost is piecewise linear in M, with corners where m data centres are exactly
-// full, at need/(m-part) each. So only these values of M, and the present
+// cheapestMix returns the cheapest purchases with which g is met. If no data centre
+// may hold more than M, the cheapest solution fills the cheapest data centres up to
+// M. The cost is piecewise linear in M, with corners where m data centres are
+// exactly full, at need/(m-loss) each. So only these values of M, and the present
 // throughput of the largest data centre, are tried.
-func cheapest(g goal, have holding, offers []offer) (buy []offer, ok bool) {
-	sites := bySite(offers)
+func cheapestMix(g goal, have dcRates, offers []offer) (buy []offer, ok bool) {
+	groups := byDataCentre(offers)
 	levels := []float64{have.largest()}
-	for m := 1; m <= len(sites)+len(have); m++ {
-		if spread := float64(m) - g.part; spread > 0 {
+	for m := 1; m <= len(groups)+len(have); m++ {
+		if spread := float64(m) - g.loss; spread > 0 {
 			levels = append(levels, g.need/spread)
 		}
 	}
 	best := 0.0
 	for _, level := range levels {
-		plan, cost, reached := fill(g, level, have, sites)
+		plan, cost, reached := fill(g, level, have, groups)
 		if reached && (!ok || cost < best) {
 			buy, best, ok = plan, cost, true
 		}
@@ -73,46 +73,46 @@
 	return buy, ok
 }
 
-// site is the offers of a data centre, by rising unit price.
-type site struct {
+// dcOffers is the offers of a data centre, by rising unit price.
+type dcOffers struct {
 	dataCentre fleet.DataCentre
 	offers     []offer
 }
 
-// bySite groups offers by data centre, in order of each one's lowest unit price.
-func bySite(offers []offer) []site {
+// byDataCentre groups offers by data centre, in order of each one's lowest unit price.
+func byDataCentre(offers []offer) []dcOffers {
 	sorted := slices.Clone(offers)
 	slices.SortStableFunc(sorted, func(a, b offer) int { return cmp.Compare(a.unit(), b.unit()) })
-	var sites []site
+	var groups []dcOffers
 	for _, o := range sorted {
-		i := slices.IndexFunc(sites, func(s site) bool { return s.dataCentre == o.dataCentre })
+		i := slices.IndexFunc(groups, func(s dcOffers) bool { return s.dataCentre == o.dataCentre })
 		if i < 0 {
-			i = len(sites)
-			sites = append(sites, site{dataCentre: o.dataCentre})
+			i = len(groups)
+			groups = append(groups, dcOffers{dataCentre: o.dataCentre})
 		}
-		sites[i].offers = append(sites[i].offers, o)
+		groups[i].offers = append(groups[i].offers, o)
 	}
-	return sites
+	return groups
 }
 
-// fill buys in the cheapest data centres, up to level in each, until g is reached.
-func fill(g goal, level float64, have holding, sites []site) (buy []offer, cost float64, ok bool) {
+// fill buys in the cheapest data centres, up to level in each, until g is met.
+func fill(g goal, level float64, have dcRates, groups []dcOffers) (buy []offer, cost float64, ok bool) {
 	h := have.clone()
-	for _, s := range sites {
-		for !g.reached(h) && h[s.dataCentre] < level {
-			missing := min(level-h[s.dataCentre], g.need+g.part*level-h.total())
+	for _, s := range groups {
+		for !g.met(h) && h[s.dataCentre] < level {
+			missing := min(level-h[s.dataCentre], g.need+g.loss*level-h.total())
 			o := s.pick(missing)
 			buy = append(buy, o)
 			cost += o.price
 			h[s.dataCentre] += o.rate
 		}
 	}
-	return buy, cost, g.reached(h)
+	return buy, cost, g.met(h)
 }
 
 // pick returns the offer that covers missing at the lowest cost, in whole instances
 // of one class.
-func (s site) pick(missing float64) offer {
+func (s dcOffers) pick(missing float64) offer {
 	best, least := s.offers[0], 0.0
 	for i, o := range s.offers {
 		count := max(1, math.Ceil(missing/o.rate))
@@ -123,12 +123,12 @@
 	return best
 }
 
-// plain returns purchases that cover need without a reserve, at a low cost.
-func plain(need float64, have holding, offers []offer) []offer {
+// withoutReserve returns purchases that cover need without a reserve, at a low cost.
+func withoutReserve(need float64, have dcRates, offers []offer) []offer {
 	if len(offers) == 0 {
 		return nil
 	}
-	all := site{offers: offers}
+	all := dcOffers{offers: offers}
 	var buy []offer
 	for missing := need - have.total(); missing > 0; {
 		o := all.pick(missing)
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -12,13 +12,13 @@
 // isn't stored: a successor starts without it, and at worst repeats launches that
 // were just refused. Not safe for concurrent use.
 type Planner struct {
-	cfg      Config
-	shard    string
-	rng      *rand.Rand
-	backoffs map[choice]*backoff
-	calls    map[string]call // by client token
-	surplus  time.Time       // since when there is a surplus; zero if there is none
-	short    time.Time       // since when there is too little even for the demand; zero if there is enough
+	cfg          Config
+	shard        string
+	rng          *rand.Rand
+	backoffs     map[kind]*backoff
+	calls        map[string]call // by client token
+	surplusSince time.Time       // since when there is a surplus; zero if there is none
+	shortSince   time.Time       // since when there is too little even for the demand; zero if there is enough
 }
 
 // call is the outcome of a launch that this planner returned.
@@ -35,7 +35,7 @@
 		cfg:      cfg,
 		shard:    shard,
 		rng:      rng,
-		backoffs: make(map[choice]*backoff),
+		backoffs: make(map[kind]*backoff),
 		calls:    make(map[string]call),
 	}
 }
@@ -43,14 +43,14 @@
 // Launched records that a launch succeeded with an instance.
 func (p *Planner) Launched(now time.Time, l cloudapi.Launch, id fleet.InstanceID) {
 	p.calls[l.ClientToken] = call{instance: id, at: now}
-	delete(p.backoffs, choiceOf(l))
+	delete(p.backoffs, kindOf(l))
 }
 
 // Refused records that the market refused a launch, so that nothing was bought. The
 // next plan uses another kind of instance.
 func (p *Planner) Refused(now time.Time, l cloudapi.Launch) {
 	p.calls[l.ClientToken] = call{refused: true}
-	p.backOff(now, choiceOf(l))
+	p.backOff(now, kindOf(l))
 }
 
 // Lost records that the answer to a launch was lost, so that an instance may have
@@ -58,10 +58,10 @@
 // buys at most once.
 func (p *Planner) Lost(now time.Time, l cloudapi.Launch) {
 	delete(p.calls, l.ClientToken)
-	p.backOff(now, choiceOf(l))
+	p.backOff(now, kindOf(l))
 }
 
-func (p *Planner) backOff(now time.Time, c choice) {
+func (p *Planner) backOff(now time.Time, c kind) {
 	b := p.backoffs[c]
 	if b == nil {
 		b = &backoff{}
@@ -70,29 +70,29 @@
 	b.refused(now, &p.cfg, p.rng)
 }
 
-func choiceOf(l cloudapi.Launch) choice {
-	return choice{dataCentre: l.DataCentre, class: l.Class, onDemand: l.OnDemand}
+func kindOf(l cloudapi.Launch) kind {
+	return kind{dataCentre: l.DataCentre, class: l.Class, onDemand: l.OnDemand}
 }
 
-// Plan returns what to do now. Call it again by Result.Again, and when demand,
+// Plan returns what to do now. Call it again by Result.NextPlan, and when demand,
 // prices or notices change or a launch is answered. Report the outcome of every
 // launch with Launched, Refused or Lost.
 func (p *Planner) Plan(now time.Time, in Input) Result {
 	res := Result{Record: in.Record.clone()}
-	s := p.survey(now, in, &res)
-	p.launchAgain(now, &res)
+	s := p.takeInventory(now, in, &res)
+	p.retryLaunches(now, &res)
 	p.buy(now, in, s, &res)
-	p.giveBack(now, in, s, &res)
-	res.Again = p.again(now, in, &res)
+	p.giveBackSurplus(now, in, s, &res)
+	res.NextPlan = p.nextPlan(now, in, &res)
 	return res
 }
 
-// again returns when the next plan is due if nothing changes before.
-func (p *Planner) again(now time.Time, in Input, res *Result) time.Time {
+// nextPlan returns when the next plan is due if nothing changes before.
+func (p *Planner) nextPlan(now time.Time, in Input, res *Result) time.Time {
 	const regular = time.Minute // prices and demand change gradually
 	next := now.Add(regular)
 	m := p.market(now, in.Prices)
-	if res.Short > 0 && !m.next.IsZero() && m.next.Before(next) {
+	if res.Shortfall > 0 && !m.next.IsZero() && m.next.Before(next) {
 		next = m.next
 	}
 	return next
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -69,19 +69,19 @@
 
 // All of a data centre's instances may be lost at once. The others must be enough
 // for the demand, and the mix must cost no more than 0.1% above the cheapest one.
-func TestMixSurvivesAndIsNearTheCheapest(t *testing.T) {
+func TestMixSurvivesLossOfADataCentreAtNearMinimalCost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := float64(rapid.IntRange(1, 500).Draw(t, "need"))
 		price := [3]float64{}
 		var offers []offer
 		for i := range price {
 			price[i] = rapid.Float64Range(0.5, 3).Draw(t, "price")
-			c := choice{dataCentre: fleet.DataCentre(rune('a' + i)), class: "c"}
-			offers = append(offers, offer{choice: c, price: price[i], rate: 100})
+			c := kind{dataCentre: fleet.DataCentre(rune('a' + i)), class: "c"}
+			offers = append(offers, offer{kind: c, price: price[i], rate: 100})
 		}
-		buy, ok := cheapest(goal{need, 1}, holding{}, offers)
+		buy, ok := cheapestMix(goal{need, 1}, dcRates{}, offers)
 		assert.Assert(t, ok)
-		h, cost := holding{}, 0.0
+		h, cost := dcRates{}, 0.0
 		for _, o := range buy {
 			h[o.dataCentre] += o.rate
 			cost += o.price
@@ -91,7 +91,7 @@
 		for a := range 6 {
 			for b := range 6 {
 				for c := range 6 {
-					n := holding{"a": float64(100 * a), "b": float64(100 * b), "c": float64(100 * c)}
+					n := dcRates{"a": float64(100 * a), "b": float64(100 * b), "c": float64(100 * c)}
 					if n.surviving(1) >= need {
 						best = min(best, float64(a)*price[0]+float64(b)*price[1]+float64(c)*price[2])
 					}
@@ -121,7 +121,7 @@
 // An instance that isn't in the record would cost money for ever. But an instance
 // that another holder recorded and bought after this one read the record looks the
 // same and must be kept.
-func TestOrphanEndsOnlyByARecordNewerThanTheList(t *testing.T) {
+func TestOrphanIsGivenBackOnlyIfTheRecordIsNewerThanTheList(t *testing.T) {
 	o := bought(cloudapi.Launch{ClientToken: token("s", 77), Class: "c", DataCentre: "a"}, true)
 	other := bought(cloudapi.Launch{ClientToken: token("other", 1), Class: "c", DataCentre: "a"}, true)
 	in := input(start, 0, Record{Next: 78}, o, other)
@@ -133,7 +133,7 @@
 
 // After a refused launch the next plan must try another data centre rather than
 // repeat the launch, and buy on-demand only once the demand itself can't be served.
-func TestRefusedStartGoesToTheNextChoiceThenToOnDemand(t *testing.T) {
+func TestRefusedLaunchIsRetriedElsewhereThenOnDemand(t *testing.T) {
 	p := newPlanner()
 	res := p.Plan(start, input(start, 100, Record{}))
 	asked := map[fleet.DataCentre]bool{}
@@ -145,12 +145,12 @@
 	res = p.Plan(start, input(start, 100, res.Record))
 	assert.Equal(t, len(res.Launches), 1)
 	assert.Equal(t, res.Launches[0].DataCentre, fleet.DataCentre("c"))
-	assert.Assert(t, res.Short > 0 && res.Again.Before(after(time.Minute)))
+	assert.Assert(t, res.Shortfall > 0 && res.NextPlan.Before(after(time.Minute)))
 	p.Refused(start, res.Launches[0])
 	res = p.Plan(after(time.Second), input(after(time.Second), 100, res.Record))
 	assert.Equal(t, len(res.Launches), 0)
 	now := after(p.cfg.Patience + time.Second)
-	for _, c := range []choice{{"a", "c", false}, {"b", "c", false}, {"c", "c", false}} {
+	for _, c := range []kind{{"a", "c", false}, {"b", "c", false}, {"c", "c", false}} {
 		p.backOff(now, c)
 	}
 	res = p.Plan(now, input(now, 100, res.Record))
@@ -160,7 +160,7 @@
 
 // An instance under notice must no longer count, and its replacement must have a new
 // client token: a launch with the old one would buy nothing.
-func TestNoticedInstanceIsReplacedAtOnce(t *testing.T) {
+func TestInstanceUnderNoticeIsReplacedAtOnce(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 100)
 	owned[0].LeaveAt = after(2 * time.Minute)
@@ -193,7 +193,7 @@
 
 // No engine ever serves on an instance. If it were counted as starting for ever, it
 // would never be replaced.
-func TestStuckInstanceIsEndedAndReplaced(t *testing.T) {
+func TestStuckInstanceIsGivenBackAndReplaced(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 100)
 	owned[0].Ready = false
@@ -206,7 +206,7 @@
 
 // After two simulated days of reclaim waves, refusals, lost answers and successors,
 // every instance must be in the record, and the closings must have finished.
-func TestTraceLeavesNothingUnwanted(t *testing.T) {
+func TestTraceLeavesNoUnrecordedInstances(t *testing.T) {
 	tr := newTrace(1)
 	record := tr.run(DefaultConfig(traceClasses), 48*time.Hour, func(p []cloudapi.Price) []cloudapi.Price { return p })
 	wanted := map[string]bool{}
@@ -223,7 +223,7 @@
 
 // Some instances are ready and others still start. If the starting ones counted
 // towards a surplus, ready ones would be given back and callers left without engines.
-func TestNothingGoesBeforeItsReplacementServes(t *testing.T) {
+func TestInstanceIsKeptUntilItsReplacementServes(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 400)
 	for i := range owned {
@@ -237,7 +237,7 @@
 
 // Prices change, so that the owned instances cost nearly three times as much as
 // those in other data centres.
-func TestDearInstancesAreExchanged(t *testing.T) {
+func TestExpensiveInstancesAreExchanged(t *testing.T) {
 	p := newPlanner()
 	r, owned := buyAll(p, 100)
 	in := input(start, 100, r, owned...)
@@ -254,7 +254,7 @@
 
 // The rate of a closing with work left just before its deadline must stay finite,
 // and a plan from nothing must launch a bounded number of instances.
-func TestDemandsAreBounded(t *testing.T) {
+func TestDemandAndLaunchesAreBounded(t *testing.T) {
 	c := Closing{Start: start, Deadline: after(time.Hour), Work: 300}
 	d := Demand{Closings: []Closing{c}}
 	assert.Equal(t, d.At(after(time.Hour-1), after(time.Hour-1)), 1.0)
--- a/internal/capacity/record.go
+++ b/internal/capacity/record.go
@@ -33,7 +33,7 @@
 
 func tokenPrefix(shard string) string { return "capacity/" + shard + "/" }
 
-func ours(shard, clientToken string) bool {
+func isToken(shard, clientToken string) bool {
 	return strings.HasPrefix(clientToken, tokenPrefix(shard))
 }
 
@@ -43,7 +43,7 @@
 }
 
 // add records a new intent and returns it.
-func (r *Record) add(c choice) Intent {
+func (r *Record) add(c kind) Intent {
 	i := Intent{Number: r.Next, Class: c.class, DataCentre: c.dataCentre, OnDemand: c.onDemand}
 	r.Next++
 	r.Intents = append(r.Intents, i)
@@ -54,14 +54,14 @@
 	r.Intents = slices.DeleteFunc(r.Intents, func(i Intent) bool { return i.Number == number })
 }
 
-func (i Intent) choice() choice {
-	return choice{dataCentre: i.DataCentre, class: i.Class, onDemand: i.OnDemand}
+func (i Intent) kind() kind {
+	return kind{dataCentre: i.DataCentre, class: i.Class, onDemand: i.OnDemand}
 }
 
-// gone reports whether the instance has ended, given that it is missing from a list
+// ended reports whether the instance has ended, given that it is missing from a list
 // requested at listed. Before lag has passed since its launch, it may only be
 // missing from the list so far.
-func (i Intent) gone(listed time.Time, lag time.Duration) bool {
+func (i Intent) ended(listed time.Time, lag time.Duration) bool {
 	return i.Instance != "" && listed.Sub(time.UnixMilli(i.LaunchedMillis)) > lag
 }
 
--- a/internal/capacity/trace_test.go
+++ b/internal/capacity/trace_test.go
@@ -35,22 +35,22 @@
 }
 
 type trace struct {
-	rng        *rand.Rand
-	now        time.Time
-	prices     []cloudapi.Price
-	refusing   map[fleet.DataCentre]time.Time // until when
-	machines   []*machine
-	tokens     map[string]*machine
-	waves      []time.Time
-	tightUntil time.Time // until when most launches are refused everywhere
-	closings   []Closing
-	arrived    []float64 // of each closing's work
-	backlog    []float64
-	doneAt     []time.Time
+	rng         *rand.Rand
+	now         time.Time
+	prices      []cloudapi.Price
+	refusing    map[fleet.DataCentre]time.Time // until when
+	machines    []*machine
+	tokens      map[string]*machine
+	waves       []time.Time
+	scarceUntil time.Time // until when most launches are refused everywhere
+	closings    []Closing
+	arrived     []float64 // of each closing's work
+	backlog     []float64
+	doneAt      []time.Time
 
 	rate              float64 // demand now, closings included, in tokens a second
 	cost              float64
-	steps, missed     int // steps after the first hour; those with less capacity than demand
+	steps, shortSteps int // steps after the first hour; those with less capacity than demand
 	launches, refused int
 }
 
@@ -119,8 +119,8 @@
 			dc = m.DataCentre
 		}
 	}
-	t.tightUntil = t.now.Add(time.Duration(10+t.rng.IntN(40)) * time.Minute)
-	t.refusing[dc] = t.tightUntil
+	t.scarceUntil = t.now.Add(time.Duration(10+t.rng.IntN(40)) * time.Minute)
+	t.refusing[dc] = t.scarceUntil
 	for _, m := range t.machines {
 		if m.DataCentre == dc && !m.OnDemand && m.leaveAt.IsZero() && t.rng.Float64() < 0.9 {
 			m.leaveAt = t.now.Add(traceNotice)
@@ -173,7 +173,7 @@
 	if t.now.Sub(traceStart) > time.Hour {
 		t.steps++
 		if capacity < demand {
-			t.missed++
+			t.shortSteps++
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	switch {
 	case t.now.Before(t.refusing[l.DataCentre]):
 		chance = 0.95
-	case t.now.Before(t.tightUntil):
+	case t.now.Before(t.scarceUntil):
 		chance = 0.9
 	}
 	refuses := t.rng.Float64() < chance
--- a/internal/daemon/capacity.go
+++ b/internal/daemon/capacity.go
@@ -132,8 +132,8 @@
 	for _, g := range r.GiveBacks {
 		b.giveBack(ctx, permit, g)
 	}
-	if r.Short > 0 {
-		b.log.Warnf("no offer for %.0f tokens a second", r.Short)
+	if r.Shortfall > 0 {
+		b.log.Warnf("no offer for %.0f tokens a second", r.Shortfall)
 	}
 	return nil
 }
