--- a/internal/capacity/buy.go
+++ b/internal/capacity/buy.go
@@ -51,8 +51,8 @@
 	p.purchase(buy, s, res)
 }
 
-// needsOnDemand reports whether on-demand instances are to be bought: the instances that
-// serve or start have been too few for Patience, and no time is left for more
+// needsOnDemand reports whether on-demand instances are to be bought: the instances
+// that serve or start have been too few for Patience, and no time is left for more
 // refusals.
 func (p *Planner) needsOnDemand(now time.Time, rate float64, when time.Time, s *inventory) bool {
 	near := when.Sub(now) <= p.cfg.StartTime+p.cfg.RetryTime/2
--- a/internal/capacity/giveback.go
+++ b/internal/capacity/giveback.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// giveBackSurplus gives back the instances that the demand and its reserve don't need, the
-// most expensive first, once there has been a surplus for KeepFor. Only ready
-// instances count, so none is given back before its replacement is ready.
+// giveBackSurplus gives back the instances that the demand and its reserve don't
+// need, the most expensive first, once there has been a surplus for KeepFor. Only
+// ready instances count, so none is given back before its replacement is ready.
 func (p *Planner) giveBackSurplus(now time.Time, in Input, s *inventory, res *Result) {
 	rate, _ := in.Demand.Peak(now, now.Add(p.cfg.KeepFor+p.cfg.StartTime))
 	keep := goal{need: rate * (1 + p.cfg.Headroom), loss: p.cfg.Reserve}
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -35,6 +35,8 @@
 	return s
 }
 
+// countIntent updates s and the record with an intent; o is its instance in the
+// cloud's list, nil if it isn't there.
 func (p *Planner) countIntent(now time.Time, in Input, i Intent, o *Owned, s *inventory, res *Result) {
 	t := token(p.shard, i.Number)
 	if p.calls[t].refused {
@@ -63,8 +65,8 @@
 	}
 }
 
-// recordInstance adds an intent's instance to the record once its id is known, from the answer
-// to the launch or from the list.
+// recordInstance adds an intent's instance to the record once its id is known, from
+// the answer to the launch or from the list.
 func (p *Planner) recordInstance(i *Intent, t string, o *Owned, in Input, res *Result) {
 	if i.Instance != "" {
 		return
@@ -88,8 +90,8 @@
 	delete(p.calls, token(p.shard, i.Number))
 }
 
-// giveBackInstance removes an intent and gives its instance back. If that call is lost, the
-// instance shows up as an orphan in a later list.
+// giveBackInstance removes an intent and gives its instance back. If that call is
+// lost, the instance is an orphan in a later list.
 func (p *Planner) giveBackInstance(i Intent, why Reason, res *Result) {
 	p.dropIntent(i, res)
 	res.GiveBacks = append(res.GiveBacks, GiveBack{Instance: i.Instance, Reason: why})
