--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,9 +9,9 @@
 	"github.com/cyclamenbeam/cyclamenbeam/internal/objectapi"
 )
 
-// An operator drains an endpoint and takes it back. A daemon reads the two
-// versions in the wrong order: the endpoint must end up with work again.
-func TestOlderWishDoesNotComeBack(t *testing.T) {
+// An operator drains an endpoint and then reverts that. A daemon that reads the
+// two versions in the wrong order must not leave the endpoint drained.
+func TestOlderVersionIsIgnored(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	first, err := Record{Endpoint: "e"}.Next(now, true, "ana", "maintenance", "op-1")
 	assert.NilError(t, err)
