--- a/internal/cloudapi/cloudapi.go
+++ b/internal/cloudapi/cloudapi.go
@@ -1,5 +1,6 @@
 // Package cloudapi holds the wire types and paths of the cloud API, shared by
-// the client and the stand-in.
+// the client and by the stand-in that replaces the cloud in tests. Times are in
+// milliseconds.
 package cloudapi
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
@@ -13,7 +14,8 @@
 	ReclaimPath   = "/cloud/reclaim"   // POST Reclaim (stand-in only): gives notice
 )
 
-// Launch asks for one instance. The same ClientToken never buys twice.
+// Launch asks for one instance. It is idempotent: launches with the same
+// ClientToken buy one instance.
 type Launch struct {
 	ClientToken string           `json:"clientToken"`
 	Class       string           `json:"class"`
@@ -22,7 +24,7 @@
 	Purpose     string           `json:"purpose,omitempty"`
 }
 
-// Instance is a bought machine.
+// Instance is a machine that was bought.
 type Instance struct {
 	ID          fleet.InstanceID `json:"id"`
 	ClientToken string           `json:"clientToken"`
@@ -32,27 +34,28 @@
 	Address     string           `json:"address,omitempty"`
 }
 
-// Refusal answers a launch that the market refuses.
+// Refusal is the answer to a launch for which the cloud has no capacity to offer.
 type Refusal struct {
 	Error string `json:"error"`
 }
 
-// Price is what a class costs in a data centre.
+// Price holds the prices of an instance class in a data centre, in currency units
+// an hour.
 type Price struct {
 	Class       string           `json:"class"`
 	DataCentre  fleet.DataCentre `json:"dataCentre"`
-	Reclaimable float64          `json:"reclaimable"` // currency units an hour
+	Reclaimable float64          `json:"reclaimable"`
 	OnDemand    float64          `json:"onDemand"`
 }
 
-// Notice announces that an instance will be taken away.
+// Notice announces that the cloud will reclaim an instance.
 type Notice struct {
 	Seq      uint64           `json:"seq"`
 	Instance fleet.InstanceID `json:"instance"`
-	AtMillis int64            `json:"atMillis"` // Unix, when it vanishes
+	AtMillis int64            `json:"atMillis"` // Unix time at which the instance ends
 }
 
-// Notices is a page of notices.
+// Notices is a page of notices. Next is the since of the next request.
 type Notices struct {
 	Notices []Notice `json:"notices"`
 	Next    uint64   `json:"next"`
@@ -62,10 +65,10 @@
 type Reclaim struct {
 	Instances  []fleet.InstanceID `json:"instances,omitempty"`
 	DataCentre fleet.DataCentre   `json:"dataCentre,omitempty"`
-	Millis     int64              `json:"millis"` // from notice to end
+	Millis     int64              `json:"millis"` // from the notice until the instance ends
 }
 
-// Faults switches the stand-in's faults.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
 	RefuseStarts bool `json:"refuseStarts,omitempty"`
 	Unavailable  bool `json:"unavailable,omitempty"`
--- a/internal/listapi/listapi.go
+++ b/internal/listapi/listapi.go
@@ -1,5 +1,6 @@
 // Package listapi holds the wire types and paths of the instance list, shared
-// by the client and the stand-in. The list lags behind the truth.
+// by the client and by the stand-in that replaces it in tests. The list lags
+// behind the actual state of the instances.
 package listapi
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
@@ -20,14 +21,14 @@
 	State      fleet.State      `json:"state"`
 }
 
-// List is the live and leaving instances at a moment in the past.
+// List holds the instances that were live or leaving at TakenAtMillis, Unix time.
 type List struct {
 	TakenAtMillis int64            `json:"takenAtMillis"`
 	Entries       []Entry          `json:"entries"`
 	Endpoints     []fleet.Endpoint `json:"endpoints"`
 }
 
-// Faults switches the stand-in's faults.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
 	LagMillis   int  `json:"lagMillis"`
 	Unavailable bool `json:"unavailable,omitempty"`
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects is what daemons need of the platform's object store: typed
-// reads, watches and conditional writes. Implementations stand in platform/
-// and in this project's stand-ins.
+// Package objects defines the interface through which daemons use the platform's
+// object store: reads, watches and conditional writes. Implementations are in
+// platform/ and in the stand-ins that replace the platform in tests.
 package objects
 
 import (
@@ -14,19 +14,21 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("objects")
 
-// The refusals that callers act on. Any other error of a write leaves open
-// whether it took effect, unless its verdict is not-run.
+// Errors that callers handle. After any other error of a write it is unknown
+// whether the write took effect, unless the error's verdict is not-run.
 var (
-	// ErrGone says that a watch's revision is older than the kept history.
+	// ErrGone means that a watch's revision is older than the history that the
+	// store keeps.
 	ErrGone = Error.New("the history asked for is gone")
-	// ErrConflict says that a write lost its condition and had no effect.
+	// ErrConflict means that a write's condition didn't hold, so that it had no
+	// effect. Replace describes the exception.
 	ErrConflict = Error.New("another revision stands")
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = Error.New("no such object")
 )
 
-// Object is a stored value. Revision is the store's at its last change; RevisionIn
-// says what it is made of.
+// Object is a stored value. Revision is the store's revision at the object's last
+// change, as RevisionIn returns it.
 type Object struct {
 	Name     string
 	Revision uint64
@@ -34,38 +36,40 @@
 	Status   json.RawMessage
 }
 
-// Change is an object's new value or, where Deleted, its end.
+// Change is an object's new value or, if Deleted is set, its deletion.
 type Change struct {
 	Object  Object
 	Deleted bool
 }
 
 // WatchSlack is how much longer than its wait a watch may take until its answer
-// begins. One that takes longer isn't answered: its connection counts as silent.
+// begins. After that the watch fails and its connection counts as unresponsive.
 const WatchSlack = 600 * time.Millisecond
 
 // Store is the platform's object store. All methods are safe for concurrent
-// use and end by their context.
+// use and return when their context ends.
 type Store interface {
-	// List returns the objects of a kind and the revision of the list.
+	// List returns the objects of a kind and the store's revision at that time.
 	List(ctx context.Context, kind string) ([]Object, uint64, error)
-	// Watch returns the changes of a kind after a revision, and the revision
-	// to go on from, as soon as there is one or wait is over. An answer that
-	// hasn't begun WatchSlack later is an error. ErrGone as well
-	// where the store has come back from an older copy since that revision.
+	// Watch returns the changes of a kind after a revision, and the revision to
+	// pass to the next call. It returns as soon as there is a change, or without
+	// changes when wait is over. An answer that hasn't begun WatchSlack later is
+	// an error. Watch returns ErrGone also if the store was restored from an
+	// older copy since that revision.
 	Watch(ctx context.Context, kind string, after uint64, wait time.Duration) ([]Change, uint64, error)
 	// Get returns an object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Create makes an object. ErrConflict: there is one, which is returned
-	// where the store told it.
+	// Create creates an object. ErrConflict means that it exists already; the
+	// existing object is returned if the store's answer holds it.
 	Create(ctx context.Context, kind, name string, spec json.RawMessage) (Object, error)
-	// Replace writes an object's spec if it is at a revision; 0 is any.
-	// ErrConflict as in Create, and always where the store has come back from
-	// an older copy since that revision: the write may stand then.
+	// Replace writes an object's spec if the object is at the given revision; 0
+	// matches any. It returns ErrConflict as Create does, and always if the
+	// store was restored from an older copy since that revision; in that case
+	// the write may have taken effect.
 	Replace(ctx context.Context, kind, name string, revision uint64, spec json.RawMessage) (Object, error)
-	// SetStatus writes an object's status if the object is at a revision. Errors as
-	// of Replace.
+	// SetStatus writes an object's status if the object is at the given
+	// revision. It returns the errors of Replace.
 	SetStatus(ctx context.Context, kind, name string, revision uint64, status json.RawMessage) (Object, error)
-	// Delete ends an object.
+	// Delete deletes an object.
 	Delete(ctx context.Context, kind, name string) error
 }
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -16,7 +16,7 @@
 // ContentType is the media type of a problem.
 const ContentType = "application/problem+json"
 
-// Problem is a failure as a caller sees it. It is an error.
+// Problem is the body of a failed answer to a caller. It implements error.
 type Problem struct {
 	Type       string          `json:"type"`
 	Title      string          `json:"title"`
@@ -24,10 +24,11 @@
 	Detail     string          `json:"detail,omitempty"`
 	Instance   string          `json:"instance,omitempty"` // request id
 	Verdict    verdict.Verdict `json:"verdict"`
-	RetryAfter time.Duration   `json:"-"` // 0 is no hint
+	RetryAfter time.Duration   `json:"-"` // sent as the Retry-After header; 0 omits it
 }
 
-// New returns a problem of the given status. The detail is formatted.
+// New returns a problem with the given HTTP status and verdict. Its detail is
+// formatted as by fmt.Sprintf.
 func New(status int, v verdict.Verdict, format string, args ...any) *Problem {
 	return &Problem{
 		Type:    "about:blank",
@@ -38,13 +39,13 @@
 	}
 }
 
-// After adds a hint when to come back and returns p.
+// After sets the delay after which the caller may retry, and returns p.
 func (p *Problem) After(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// For names the request and returns p.
+// For sets the request id and returns p.
 func (p *Problem) For(request string) *Problem {
 	p.Instance = request
 	return p
@@ -54,7 +55,8 @@
 	return strconv.Itoa(p.Status) + " " + p.Verdict.String() + ": " + p.Detail
 }
 
-// Write sends p. The header of w must not have been sent.
+// Write sends p as the whole answer. The header of w must not have been written
+// yet.
 func Write(w http.ResponseWriter, p *Problem) {
 	h := w.Header()
 	h.Set("Content-Type", ContentType)
@@ -64,11 +66,12 @@
 		h.Set("Retry-After", strconv.Itoa(RetryAfterSeconds(p.RetryAfter)))
 	}
 	w.WriteHeader(p.Status)
-	// A failed write means that the caller is gone; there is nobody to tell.
+	// A write fails only when the caller has disconnected, so the error is dropped.
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// RetryAfterSeconds rounds a delay up to the whole seconds that Retry-After takes.
+// RetryAfterSeconds rounds a delay up to whole seconds, the unit of the
+// Retry-After header.
 func RetryAfterSeconds(d time.Duration) int {
 	return int(math.Ceil(d.Seconds()))
 }
--- a/internal/serviceapi/serviceapi.go
+++ b/internal/serviceapi/serviceapi.go
@@ -1,17 +1,17 @@
-// Package serviceapi holds the paths and wire types of the stand-in's plain
-// service, "parts".
+// Package serviceapi holds the paths and wire types of "parts", an ordinary HTTP
+// service (no model engine) that the stand-in runs for tests.
 package serviceapi
 
 // Paths of the service.
 const (
-	OrdersPath     = "/orders"     // POST OrderRequest: OrderAnswer; must not be repeated
+	OrdersPath     = "/orders"     // POST OrderRequest: OrderAnswer; not idempotent
 	StockPath      = "/stock/"     // GET {part}: Stock
-	ExecutionsPath = "/executions" // GET: map of idempotency key to times run
+	ExecutionsPath = "/executions" // GET: map of idempotency key to number of executions
 	FaultsPath     = "/faults"     // POST Faults
 	HealthPath     = "/healthz"
 )
 
-// KeyHeader carries the caller's idempotency key to the service.
+// KeyHeader is the header that carries the caller's idempotency key.
 const KeyHeader = "Idempotency-Key"
 
 // OrderRequest orders parts.
@@ -27,16 +27,16 @@
 	Quantity int    `json:"quantity"`
 }
 
-// Stock is how many of a part are there.
+// Stock is the quantity of a part in stock.
 type Stock struct {
 	Part     string `json:"part"`
 	Quantity int    `json:"quantity"`
 }
 
-// Faults switches the stand-in's faults.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
-	Unavailable    bool `json:"unavailable,omitempty"`    // 503 after running
-	LoseAnswers    bool `json:"loseAnswers,omitempty"`    // runs, then closes the connection
+	Unavailable    bool `json:"unavailable,omitempty"`    // executes the request, then answers 503
+	LoseAnswers    bool `json:"loseAnswers,omitempty"`    // executes the request, then closes the connection without an answer
 	CloseAfterRead bool `json:"closeAfterRead,omitempty"` // closes reused connections after reading the request
 	SlowMillis     int  `json:"slowMillis,omitempty"`
 }
