--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -13,34 +13,34 @@
 // link is one connection through the proxy.
 type link struct {
 	proxy     *Proxy
-	near, far net.Conn    // towards the caller and the target
-	silent    atomic.Bool // both ways
-	mute      atomic.Bool // towards the caller
+	caller, target net.Conn    // towards the caller and the target
+	blackHoled    atomic.Bool // both ways
+	answersDropped      atomic.Bool // towards the caller
 }
 
 // run passes bytes on until both directions have ended.
-func (l *link) run(limit int64) {
-	var both sync.WaitGroup
-	both.Go(func() { l.pass(l.near, l.far, 0, &l.silent) })
-	both.Go(func() { l.pass(l.far, l.near, limit, &l.mute) })
-	both.Wait()
-	_ = l.near.Close()
-	_ = l.far.Close()
+func (l *link) run(answerLimit int64) {
+	var directions sync.WaitGroup
+	directions.Go(func() { l.forward(l.caller, l.target, 0, &l.blackHoled) })
+	directions.Go(func() { l.forward(l.target, l.caller, answerLimit, &l.answersDropped) })
+	directions.Wait()
+	_ = l.caller.Close()
+	_ = l.target.Close()
 }
 
-// pass copies from one end to the other, and resets both once limit bytes were
+// forward copies from one end to the other, and resets both once limit bytes were
 // passed on, if it is above 0.
-func (l *link) pass(from, to net.Conn, limit int64, lost *atomic.Bool) {
+func (l *link) forward(from, to net.Conn, limit int64, dropped *atomic.Bool) {
 	buf := make([]byte, chunkBytes)
-	for passed := int64(0); ; {
+	for total := int64(0); ; {
 		n, err := from.Read(buf)
-		passed += int64(n)
-		over := limit > 0 && passed >= limit
+		total += int64(n)
+		over := limit > 0 && total >= limit
 		if over {
-			n -= int(passed - limit)
+			n -= int(total - limit)
 		}
 		time.Sleep(time.Duration(l.proxy.delay.Load()))
-		if !l.silent.Load() && !lost.Load() {
+		if !l.blackHoled.Load() && !dropped.Load() {
 			_, _ = to.Write(buf[:n])
 		}
 		switch {
@@ -48,23 +48,23 @@
 			l.reset()
 			return
 		case err != nil:
-			l.ended(to, lost)
+			l.forwardClose(to, dropped)
 			return
 		}
 	}
 }
 
-// ended tells one end that the other has closed. A silent link tells nothing:
+// forwardClose tells one end that the other has closed. A silent link tells nothing:
 // whoever waits on it waits until it gives up itself.
-func (l *link) ended(to net.Conn, lost *atomic.Bool) {
-	if !l.silent.Load() && !lost.Load() {
+func (l *link) forwardClose(to net.Conn, dropped *atomic.Bool) {
+	if !l.blackHoled.Load() && !dropped.Load() {
 		_ = to.(*net.TCPConn).CloseWrite()
 	}
 }
 
 // reset closes both ends without an orderly end.
 func (l *link) reset() {
-	for _, c := range []net.Conn{l.near, l.far} {
+	for _, c := range []net.Conn{l.caller, l.target} {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -15,7 +15,7 @@
 	target   string
 	listener net.Listener
 	delay    atomic.Int64 // of each chunk, ns
-	limit    atomic.Int64 // bytes of answers after which a new connection is reset
+	answerLimit    atomic.Int64 // bytes of answers after which a new connection is reset
 	mu       sync.Mutex
 	links    map[*link]struct{}
 }
@@ -45,24 +45,24 @@
 
 // ResetAfter resets each connection that is opened from now on once n bytes of
 // answers were passed on; 0 is never.
-func (p *Proxy) ResetAfter(n int64) { p.limit.Store(n) }
+func (p *Proxy) ResetAfter(n int64) { p.answerLimit.Store(n) }
 
 // Cut resets the open connections and returns how many there were.
-func (p *Proxy) Cut() int { return p.each((*link).reset) }
+func (p *Proxy) Cut() int { return p.forEachLink((*link).reset) }
 
 // BlackHole makes the open connections silent for good while new ones work,
 // as a middlebox does that has lost its table: bytes are acknowledged to their
 // sender and go nowhere. It returns how many connections there were.
 func (p *Proxy) BlackHole() int {
-	return p.each(func(l *link) { l.silent.Store(true) })
+	return p.forEachLink(func(l *link) { l.blackHoled.Store(true) })
 }
 
-// Mute lets what callers send on open connections through and loses the answers.
-func (p *Proxy) Mute() int {
-	return p.each(func(l *link) { l.mute.Store(true) })
+// DropAnswers lets what callers send on open connections through and loses the answers.
+func (p *Proxy) DropAnswers() int {
+	return p.forEachLink(func(l *link) { l.answersDropped.Store(true) })
 }
 
-func (p *Proxy) each(f func(*link)) int {
+func (p *Proxy) forEachLink(f func(*link)) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -73,26 +73,26 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		caller, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.handle(caller)
 	}
 }
 
-// serve joins a connection with one to the target until both have ended.
-func (p *Proxy) serve(near net.Conn) {
-	far, err := net.Dial("tcp", p.target)
+// handle joins a connection with one to the target until both have ended.
+func (p *Proxy) handle(caller net.Conn) {
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close()
+		_ = caller.Close()
 		return
 	}
-	l := &link{proxy: p, near: near, far: far}
+	l := &link{proxy: p, caller: caller, target: target}
 	p.mu.Lock()
 	p.links[l] = struct{}{}
 	p.mu.Unlock()
-	l.run(p.limit.Load())
+	l.run(p.answerLimit.Load())
 	p.mu.Lock()
 	delete(p.links, l)
 	p.mu.Unlock()
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// through returns a proxy before a server that echoes, and a connection.
-func through(t *testing.T) (*Proxy, net.Conn) {
+// dialEcho returns a proxy before a server that echoes, and a connection.
+func dialEcho(t *testing.T) (*Proxy, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -27,7 +27,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(p.Close)
 	c := dial(t, p)
-	say(t, c, "hello")
+	assertEcho(t, c, "hello")
 	return p, c
 }
 
@@ -38,7 +38,7 @@
 	return c
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func assertEcho(t *testing.T, c net.Conn, text string) {
 	_, err := c.Write([]byte(text))
 	assert.NilError(t, err)
 	got := make([]byte, len(text))
@@ -47,37 +47,37 @@
 	assert.Equal(t, string(got), text)
 }
 
-func TestBlackHoleSilencesOpenConnectionsAlone(t *testing.T) {
-	p, c := through(t)
+func TestBlackHoleAffectsOnlyOpenConnections(t *testing.T) {
+	p, c := dialEcho(t)
 	assert.Equal(t, p.BlackHole(), 1)
 	_, err := c.Write([]byte("lost"))
 	assert.NilError(t, err)
-	say(t, dial(t, p), "new") // an echo of "lost" would have come before it
+	assertEcho(t, dial(t, p), "new") // an echo of "lost" would have come before it
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = c.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-func TestCutAndResetEndTheirConnectionsAlone(t *testing.T) {
-	p, c := through(t)
+func TestCutAndResetAfterAffectOnlyTheirConnections(t *testing.T) {
+	p, c := dialEcho(t)
 	p.ResetAfter(4)
 	limited := dial(t, p)
 	_, err := limited.Write([]byte("abcdefgh"))
 	assert.NilError(t, err)
 	got, _ := io.ReadAll(limited)
 	assert.Assert(t, len(got) <= 4, "%q", got) // a reset may overtake bytes
-	say(t, c, "opened before the switch")
+	assertEcho(t, c, "opened before the switch")
 	p.Cut()
 	_, err = c.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
-	say(t, dial(t, p), "new")
+	assertEcho(t, dial(t, p), "new")
 }
 
-func TestDelayHoldsBytesBackAndTheEndPasses(t *testing.T) {
-	p, c := through(t)
+func TestDelayAppliesBothWaysAndCloseIsForwarded(t *testing.T) {
+	p, c := dialEcho(t)
 	p.Delay(20 * time.Millisecond)
 	start := time.Now()
-	say(t, c, "slow")
+	assertEcho(t, c, "slow")
 	assert.Assert(t, time.Since(start) >= 40*time.Millisecond, "both ways are delayed")
 	assert.NilError(t, c.(*net.TCPConn).CloseWrite())
 	_, err := io.ReadAll(c)
--- a/internal/gateway/completions.go
+++ b/internal/gateway/completions.go
@@ -27,7 +27,7 @@
 	w.Header().Set(RequestIDHeader, string(s.ID))
 	answer, p := g.opts.Requests.Submit(r.Context(), s)
 	if p != nil {
-		g.fail(w, "completion", p.For(string(s.ID)))
+		g.fail(w, "completion", p.ForRequest(string(s.ID)))
 		return
 	}
 	defer answer.Close()
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if p := g.opts.Requests.Cancel(r.Context(), workspace, fleet.RequestID(id.String())); p != nil {
-		g.fail(w, "cancel", p.For(id.String()))
+		g.fail(w, "cancel", p.ForRequest(id.String()))
 		return
 	}
 	g.opts.Observer.Answered("cancel", http.StatusNoContent)
@@ -66,7 +66,7 @@
 	m := meta{id: fleet.RequestID(id.String()), created: now, start: now}
 	a, p := g.opts.Requests.Find(r.Context(), workspace, m.id)
 	if p != nil {
-		return m, nil, p.For(string(m.id))
+		return m, nil, p.ForRequest(string(m.id))
 	}
 	m.model = a.Model()
 	return m, a, nil
--- a/internal/gateway/services.go
+++ b/internal/gateway/services.go
@@ -24,7 +24,7 @@
 	}
 	a, p := g.opts.Services.Call(r.Context(), c)
 	if p != nil {
-		g.fail(w, "service", p.For(string(c.Key)))
+		g.fail(w, "service", p.ForRequest(string(c.Key)))
 		return
 	}
 	g.opts.Observer.Answered("service", a.Status)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -121,5 +121,5 @@
 }
 
 func (t *tokenStream) appendFailure(p *problem.Problem) error {
-	return t.sse.event(t.offset, eventError, p.For(string(t.meta.id)))
+	return t.sse.event(t.offset, eventError, p.ForRequest(string(t.meta.id)))
 }
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -43,7 +43,7 @@
 		n += len(part.Tokens)
 		switch {
 		case part.Failure != nil:
-			g.fail(w, operation, part.Failure.For(string(m.id)))
+			g.fail(w, operation, part.Failure.ForRequest(string(m.id)))
 			return
 		case part.MovedTo != "":
 			g.redirect(w, r, operation, part.MovedTo, m.id)
--- a/internal/importguard/importguard_test.go
+++ b/internal/importguard/importguard_test.go
@@ -11,17 +11,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// decisions are the packages whose types take now and events and return
+// decisionPackages are the packages whose types take now and events and return
 // actions. Sub-packages are checked as well.
-var decisions = []string{
+var decisionPackages = []string{
 	"admission", "balance", "directory", "ledger", "lease", "membership",
 	"outside/budget", "quota", "reclaim", "rendezvous", "request", "retry", "rollout",
 	"roster", "route", "routing", "scaling", "feed", "spread", "template", "usage",
 }
 
-// forbidden are imports that bring a clock, a goroutine's tools, a socket, a
+// forbiddenImports are imports that bring a clock, a goroutine's tools, a socket, a
 // log or a metric. A trailing slash forbids everything below.
-var forbidden = []string{
+var forbiddenImports = []string{
 	"context", "io/fs", "log", "log/", "math/rand", "net", "net/", "os", "os/",
 	"runtime", "sync", "sync/", "syscall", "testing",
 	"github.com/sirupsen/logrus", "github.com/VictoriaMetrics/metrics",
@@ -33,7 +33,7 @@
 
 func TestDecisionsDoNoIO(t *testing.T) {
 	files := 0
-	for _, name := range decisions {
+	for _, name := range decisionPackages {
 		root := filepath.Join("..", filepath.FromSlash(name))
 		err := filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
 			if err != nil {
@@ -48,7 +48,7 @@
 		})
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, files > len(decisions), "read only %d files", files)
+	assert.Assert(t, files > len(decisionPackages), "read only %d files", files)
 }
 
 func checkFile(t *testing.T, path string) {
@@ -59,9 +59,9 @@
 	assert.NilError(t, err)
 	for _, spec := range file.Imports {
 		imported := strings.Trim(spec.Path.Value, `"`)
-		for _, f := range forbidden {
-			below := strings.HasSuffix(f, "/") && strings.HasPrefix(imported, f)
-			if imported == f || below {
+		for _, pattern := range forbiddenImports {
+			underPattern := strings.HasSuffix(pattern, "/") && strings.HasPrefix(imported, pattern)
+			if imported == pattern || underPattern {
 				t.Errorf("%s imports %s", path, imported)
 			}
 		}
--- a/internal/listapi/listapi.go
+++ b/internal/listapi/listapi.go
@@ -8,7 +8,7 @@
 // Paths of the API.
 const (
 	ListPath = "/list"        // GET: List
-	LagPath  = "/list/faults" // POST Faults (stand-in only)
+	FaultsPath  = "/list/faults" // POST Faults (stand-in only)
 )
 
 // Entry is an entry instance, where a daemon runs.
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -45,8 +45,8 @@
 	return p
 }
 
-// For sets the request id and returns p.
-func (p *Problem) For(request string) *Problem {
+// ForRequest sets the request id and returns p.
+func (p *Problem) ForRequest(request string) *Problem {
 	p.Instance = request
 	return p
 }
--- a/internal/standin/instancelist/handler.go
+++ b/internal/standin/instancelist/handler.go
@@ -15,7 +15,7 @@
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+listapi.ListPath, l.serveList)
-	mux.HandleFunc("POST "+listapi.LagPath, l.serveFaults)
+	mux.HandleFunc("POST "+listapi.FaultsPath, l.serveFaults)
 	return mux
 }
 
