--- a/internal/cloudapi/cloudapi.go
+++ b/internal/cloudapi/cloudapi.go
@@ -34,7 +34,8 @@
 	Address     string           `json:"address,omitempty"`
 }
 
-// Refusal is the answer to a launch for which the cloud has no capacity to offer.
+// Refusal is the answer to a launch that the cloud refuses, such as for lack
+// of capacity.
 type Refusal struct {
 	Error string `json:"error"`
 }
@@ -70,7 +71,7 @@
 
 // Faults are the faults that the stand-in simulates.
 type Faults struct {
-	RefuseStarts bool `json:"refuseStarts,omitempty"`
+	RefuseStarts bool `json:"refuseStarts,omitempty"` // refuses launches of reclaimable instances
 	Unavailable  bool `json:"unavailable,omitempty"`
 	LoseAnswers  bool `json:"loseAnswers,omitempty"` // launches take effect, the answer is lost
 }
--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -1,6 +1,6 @@
 // Package engineapi holds the wire types and paths of a model engine's HTTP
-// API, shared by the client and the stand-in. Times are milliseconds, sizes
-// tokens unless a name says otherwise.
+// API, shared by the client and by the stand-in that replaces engines in tests.
+// Times are in milliseconds and sizes in tokens unless a name says otherwise.
 package engineapi
 
 import "github.com/cyclamenbeam/cyclamenbeam/internal/fleet"
@@ -21,12 +21,12 @@
 
 // Headers of the API.
 const (
-	StreamIDHeader  = "Engine-Stream-Id"   // on answers that stream
+	StreamIDHeader  = "Engine-Stream-Id"   // on streamed answers
 	RequestIDHeader = "X-Request-Id"       // on requests, for logs
-	PriorityHeader  = "X-Request-Priority" // integer, greater runs first
+	PriorityHeader  = "X-Request-Priority" // integer; requests with a greater value run first
 )
 
-// BlockTokens is the unit of the prefix cache.
+// BlockTokens is the number of tokens in a block, the unit of the prefix cache.
 const BlockTokens = 16
 
 // Message is one turn of a conversation.
@@ -35,77 +35,80 @@
 	Content string `json:"content"`
 }
 
-// CompletionRequest asks for a streamed answer. A token is a word of the
-// prompt with its leading white space.
+// CompletionRequest asks for a streamed answer. The stand-in counts a word with
+// its leading white space as one token.
 type CompletionRequest struct {
 	Model     string    `json:"model"`
 	Adapter   string    `json:"adapter,omitempty"`
 	Version   string    `json:"version,omitempty"`
 	Messages  []Message `json:"messages"`
 	MaxTokens int       `json:"max_tokens"`
-	// Continue is the text that was already generated elsewhere, one token an
-	// element. The engine prefills it and the answer starts after it.
+	// Continue holds the tokens that another engine has already generated. The
+	// engine prefills them and its answer starts after them.
 	Continue []string `json:"continue,omitempty"`
-	// KV names an imported blob that covers the prompt and Continue.
+	// KV is the ID of an imported KVBlob that covers the prompt and Continue.
 	KV string `json:"kv,omitempty"`
 }
 
-// Piece is one SSE event's data. The event's id is Offset in decimal.
+// Piece is the data of one SSE event of an answer. The event's id is Offset in
+// decimal.
 type Piece struct {
 	Offset int    `json:"offset"` // index of the token in the whole answer, from 0
 	Text   string `json:"text"`
-	Done   bool   `json:"done,omitempty"`  // the last event, without text; Offset is the answer's length
-	Usage  *Usage `json:"usage,omitempty"` // on the last event
+	Done   bool   `json:"done,omitempty"`  // set on the last event, which has no text; its Offset is the answer's length
+	Usage  *Usage `json:"usage,omitempty"` // set on the last event
 }
 
-// Usage is what an answer cost.
+// Usage counts the tokens of an answer and its prompt.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Load is an engine's report about itself. It lags.
+// Load is the load that an engine reports. It describes the engine at
+// TakenAtMillis, some time before the report arrives.
 type Load struct {
 	TakenAtMillis      int64   `json:"takenAtMillis"` // Unix
 	Running            int     `json:"running"`
 	Queued             int     `json:"queued"`
-	QueuedPromptTokens int     `json:"queuedPromptTokens"` // that wait to be computed, running requests included
-	Slots              int     `json:"slots"`              // requests that run at once
+	QueuedPromptTokens int     `json:"queuedPromptTokens"` // prompt tokens not yet prefilled, of queued and of running requests
+	Slots              int     `json:"slots"`              // largest number of requests that run at once
 	CacheBlocks        int     `json:"cacheBlocks"`
 	CacheBlocksUsed    int     `json:"cacheBlocksUsed"`
-	PrefillPerSecond   int     `json:"prefillPerSecond"` // tokens
-	TokenMillis        float64 `json:"tokenMillis"`      // time between tokens
+	PrefillPerSecond   int     `json:"prefillPerSecond"` // prefill rate, in tokens
+	TokenMillis        float64 `json:"tokenMillis"`      // time between generated tokens
 }
 
-// CacheEvent says that a prefix block was stored or evicted. Hash is the
-// chained hash of the prompt's leading blocks up to this one.
+// CacheEvent reports that a block was stored in the prefix cache, or evicted from
+// it. Hash is the chained hash of the prompt's blocks up to and including this one.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Stored bool   `json:"stored"`
 	Hash   uint64 `json:"hash,string"`
 }
 
-// CacheEvents is a page of events. A gap between sequence numbers means lost events.
+// CacheEvents is a page of events. A gap between sequence numbers
+// means that events were lost.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
-	Next   uint64       `json:"next"` // pass as since
+	Next   uint64       `json:"next"` // since of the next request
 }
 
-// KVExport asks for the KV cache of a stream; the stream stops generating.
+// KVExport asks for the KV cache of a stream. The export stops the stream.
 type KVExport struct {
 	StreamID string `json:"streamId"`
 }
 
-// KVBlob stands for exported KV cache. Generated holds the tokens that the
-// stream had generated when it stopped.
+// KVBlob describes an exported KV cache. Generated holds the tokens that the
+// stream had generated when the export stopped it.
 type KVBlob struct {
 	ID        string   `json:"id"`
 	Model     string   `json:"model"`
 	Adapter   string   `json:"adapter,omitempty"`
 	Version   string   `json:"version,omitempty"`
 	Prompt    string   `json:"prompt"` // rendered prompt, as the engine hashes it
-	Tokens    int      `json:"tokens"` // covered by the blob
+	Tokens    int      `json:"tokens"` // number of tokens that the blob covers
 	Bytes     int64    `json:"bytes"`
 	Generated []string `json:"generated"`
 }
@@ -120,26 +123,28 @@
 	SetRole     OrderKind = "role"
 )
 
-// Order changes what an engine holds. Repeating one is harmless.
+// Order is a command that changes an engine's loaded models or its role. Orders
+// are idempotent.
 type Order struct {
 	Fencing uint64         `json:"fencing"`
 	Kind    OrderKind      `json:"kind"`
 	Model   fleet.ModelRef `json:"model"`
 	Role    string         `json:"role,omitempty"`
-	Holder  string         `json:"holder,omitempty"` // who gives it, for logs
+	Holder  string         `json:"holder,omitempty"` // lease holder that sent the order, for logs
 }
 
-// Refusal answers an order with an old fencing number.
+// Refusal is the answer to an order whose fencing number is older than the highest
+// one that the engine has seen.
 type Refusal struct {
 	Error   string `json:"error"`
-	Fencing uint64 `json:"fencing"` // the highest seen
+	Fencing uint64 `json:"fencing"` // highest fencing number seen
 }
 
 // Counters are totals since the engine started.
 type Counters struct {
 	PromptTokens     int64 `json:"promptTokens"`
-	CachedTokens     int64 `json:"cachedTokens"`     // of the prompt, found in the prefix cache
-	RecomputedTokens int64 `json:"recomputedTokens"` // prefilled here though some engine of the deployment had computed them before
+	CachedTokens     int64 `json:"cachedTokens"`     // prompt tokens found in the prefix cache
+	RecomputedTokens int64 `json:"recomputedTokens"` // prefilled here although an engine of the deployment had computed them before
 	GeneratedTokens  int64 `json:"generatedTokens"`
 	Executions       int64 `json:"executions"`
 }
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// chunkBytes is the most that is passed on at once.
+// chunkBytes is the size of the buffer of each direction.
 const chunkBytes = 32 << 10
 
 // link is one connection through the proxy.
 type link struct {
-	proxy     *Proxy
-	caller, target net.Conn    // towards the caller and the target
-	blackHoled    atomic.Bool // both ways
-	answersDropped      atomic.Bool // towards the caller
+	proxy          *Proxy
+	caller, target net.Conn    // connections to the caller and to the target
+	blackHoled     atomic.Bool // drop the bytes of both directions
+	answersDropped atomic.Bool // drop the bytes from the target to the caller
 }
 
-// run passes bytes on until both directions have ended.
+// run forwards bytes in both directions until both have ended. answerLimit bounds
+// the bytes sent to the caller, as in forward.
 func (l *link) run(answerLimit int64) {
 	var directions sync.WaitGroup
 	directions.Go(func() { l.forward(l.caller, l.target, 0, &l.blackHoled) })
@@ -28,8 +29,9 @@
 	_ = l.target.Close()
 }
 
-// forward copies from one end to the other, and resets both once limit bytes were
-// passed on, if it is above 0.
+// forward copies bytes from one connection to the other. If limit is above 0, it
+// resets both once limit bytes were forwarded. While dropped is set, bytes are read
+// and discarded.
 func (l *link) forward(from, to net.Conn, limit int64, dropped *atomic.Bool) {
 	buf := make([]byte, chunkBytes)
 	for total := int64(0); ; {
@@ -54,15 +56,16 @@
 	}
 }
 
-// forwardClose tells one end that the other has closed. A silent link tells nothing:
-// whoever waits on it waits until it gives up itself.
+// forwardClose closes the write side of a connection after the other one has ended.
+// It does nothing while bytes of this direction are dropped, so that the receiver
+// waits until its own timeout.
 func (l *link) forwardClose(to net.Conn, dropped *atomic.Bool) {
 	if !l.blackHoled.Load() && !dropped.Load() {
 		_ = to.(*net.TCPConn).CloseWrite()
 	}
 }
 
-// reset closes both ends without an orderly end.
+// reset closes both connections with a TCP reset.
 func (l *link) reset() {
 	for _, c := range []net.Conn{l.caller, l.target} {
 		_ = c.(*net.TCPConn).SetLinger(0)
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a small TCP proxy for tests. It stands between two
-// processes and makes their connections slow, cut, reset or silent.
+// Package faultproxy is a small TCP proxy for tests. It forwards connections
+// between two processes, and can delay them, reset them or drop their bytes.
 package faultproxy
 
 import (
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// Proxy passes connections on to one target. Its faults may be switched at any
-// time. Make one with New.
+// Proxy forwards connections to one target. Its methods may be called at any time,
+// from several goroutines. Create one with New.
 type Proxy struct {
-	target   string
-	listener net.Listener
-	delay    atomic.Int64 // of each chunk, ns
-	answerLimit    atomic.Int64 // bytes of answers after which a new connection is reset
-	mu       sync.Mutex
-	links    map[*link]struct{}
+	target      string
+	listener    net.Listener
+	delay       atomic.Int64 // delay of each chunk, ns
+	answerLimit atomic.Int64 // bytes of answers after which a new connection is reset; 0 is no limit
+	mu          sync.Mutex
+	links       map[*link]struct{}
 }
 
-// New returns a proxy on a free port of the loopback interface.
+// New returns a proxy that listens on a free port of the loopback interface and
+// forwards to target, host:port.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,33 +32,34 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens, host:port.
+// Address returns the address on which the proxy listens, host:port.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and its connections.
+// Close stops listening and resets the open connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Cut()
 }
 
-// Delay holds each chunk of bytes back by d, on all connections.
+// Delay delays each chunk of bytes by d, in both directions and on all connections.
 func (p *Proxy) Delay(d time.Duration) { p.delay.Store(int64(d)) }
 
 // ResetAfter resets each connection that is opened from now on once n bytes of
-// answers were passed on; 0 is never.
+// answers were forwarded; 0 turns this off.
 func (p *Proxy) ResetAfter(n int64) { p.answerLimit.Store(n) }
 
 // Cut resets the open connections and returns how many there were.
 func (p *Proxy) Cut() int { return p.forEachLink((*link).reset) }
 
-// BlackHole makes the open connections silent for good while new ones work,
-// as a middlebox does that has lost its table: bytes are acknowledged to their
-// sender and go nowhere. It returns how many connections there were.
+// BlackHole permanently drops all bytes of the open connections, while new ones
+// work, like a middlebox that has lost its connection table. The sender's bytes are
+// still acknowledged. It returns how many connections were open.
 func (p *Proxy) BlackHole() int {
 	return p.forEachLink(func(l *link) { l.blackHoled.Store(true) })
 }
 
-// DropAnswers lets what callers send on open connections through and loses the answers.
+// DropAnswers permanently drops the target's bytes on the open connections, and
+// still forwards the caller's. It returns how many connections were open.
 func (p *Proxy) DropAnswers() int {
 	return p.forEachLink(func(l *link) { l.answersDropped.Store(true) })
 }
@@ -81,7 +83,8 @@
 	}
 }
 
-// handle joins a connection with one to the target until both have ended.
+// handle opens a connection to the target for a caller's connection, and forwards
+// between them until both have ended.
 func (p *Proxy) handle(caller net.Conn) {
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -38,6 +38,7 @@
 	return c
 }
 
+// assertEcho sends a text and expects the same text back.
 func assertEcho(t *testing.T, c net.Conn, text string) {
 	_, err := c.Write([]byte(text))
 	assert.NilError(t, err)
@@ -47,6 +48,8 @@
 	assert.Equal(t, string(got), text)
 }
 
+// A proxy that also dropped the bytes of new connections, or that closed a
+// connection instead of dropping its bytes, would simulate another fault.
 func TestBlackHoleAffectsOnlyOpenConnections(t *testing.T) {
 	p, c := dialEcho(t)
 	assert.Equal(t, p.BlackHole(), 1)
@@ -58,6 +61,8 @@
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
+// ResetAfter applies to connections opened after it, and Cut to those open at the
+// call. Otherwise tests would lose connections that they expect to keep.
 func TestCutAndResetAfterAffectOnlyTheirConnections(t *testing.T) {
 	p, c := dialEcho(t)
 	p.ResetAfter(4)
@@ -65,7 +70,7 @@
 	_, err := limited.Write([]byte("abcdefgh"))
 	assert.NilError(t, err)
 	got, _ := io.ReadAll(limited)
-	assert.Assert(t, len(got) <= 4, "%q", got) // a reset may overtake bytes
+	assert.Assert(t, len(got) <= 4, "%q", got) // a reset may discard bytes that weren't read yet
 	assertEcho(t, c, "opened before the switch")
 	p.Cut()
 	_, err = c.Read(make([]byte, 1))
@@ -73,6 +78,8 @@
 	assertEcho(t, dial(t, p), "new")
 }
 
+// Delay must apply to both directions, and the close of one side must reach the
+// other, or the last read would block for ever.
 func TestDelayAppliesBothWaysAndCloseIsForwarded(t *testing.T) {
 	p, c := dialEcho(t)
 	p.Delay(20 * time.Millisecond)
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,20 +1,19 @@
-// Package fixedseed makes randomised tests draw the same values on every run,
-// so that their verdict is the same, unless a seed is asked for on the command
-// line. Tests import it for its effect; fresh seeds are drawn with
-// -rapid.seed=0.
+// Package fixedseed makes property-based tests draw the same values on every run,
+// so that their results are reproducible. Tests import it for its side effect. The
+// flag -rapid.seed overrides the seed; -rapid.seed=0 draws a new one.
 package fixedseed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // registers its flags before init runs here
+	_ "pgregory.net/rapid" // registers its flags before this package's init runs
 )
 
-// seed has no meaning.
+// seed is arbitrary.
 const seed = "20261202"
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(err) // the flag is gone from the library: runs would differ unnoticed
+		panic(err) // the library has no such flag any more, so runs would differ unnoticed
 	}
 }
--- a/internal/importguard/importguard.go
+++ b/internal/importguard/importguard.go
@@ -1,3 +1,4 @@
-// Package importguard keeps decisions apart from I/O: its test reads the
-// imports of the decision packages.
+// Package importguard has no code but a test, which checks that the packages that
+// make decisions do no I/O: they import no I/O or concurrency package, don't read
+// the clock and start no goroutines.
 package importguard
--- a/internal/importguard/importguard_test.go
+++ b/internal/importguard/importguard_test.go
@@ -11,16 +11,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// decisionPackages are the packages whose types take now and events and return
-// actions. Sub-packages are checked as well.
+// decisionPackages are the packages below internal whose types take the current
+// time and events, and return actions for their caller to perform. Sub-packages are
+// checked as well.
 var decisionPackages = []string{
 	"admission", "balance", "directory", "ledger", "lease", "membership",
 	"outside/budget", "quota", "reclaim", "rendezvous", "request", "retry", "rollout",
 	"roster", "route", "routing", "scaling", "feed", "spread", "template", "usage",
 }
 
-// forbiddenImports are imports that bring a clock, a goroutine's tools, a socket, a
-// log or a metric. A trailing slash forbids everything below.
+// forbiddenImports are the import paths of I/O, concurrency, randomness, logging and
+// metrics. One with a trailing slash stands for all packages below it.
 var forbiddenImports = []string{
 	"context", "io/fs", "log", "log/", "math/rand", "net", "net/", "os", "os/",
 	"runtime", "sync", "sync/", "syscall", "testing",
@@ -28,9 +29,12 @@
 	"github.com/dghubble/sling", "storj.io/drpc",
 }
 
-// clockCalls are calls of package time that read or wait for the clock.
+// clockCalls are the beginnings of calls of package time that read the clock or wait.
 var clockCalls = []string{"time.Now(", "time.Since(", "time.Until(", "time.Sleep(", "time.After(", "time.AfterFunc(", "time.NewTimer(", "time.NewTicker(", "time.Tick("}
 
+// A decision that reads the clock or does I/O depends on more than its arguments,
+// and tests can't replay it. The check reads imports and, for calls and goroutines,
+// the source text.
 func TestDecisionsDoNoIO(t *testing.T) {
 	files := 0
 	for _, name := range decisionPackages {
--- a/internal/listapi/listapi.go
+++ b/internal/listapi/listapi.go
@@ -7,8 +7,8 @@
 
 // Paths of the API.
 const (
-	ListPath = "/list"        // GET: List
-	FaultsPath  = "/list/faults" // POST Faults (stand-in only)
+	ListPath   = "/list"        // GET: List
+	FaultsPath = "/list/faults" // POST Faults (stand-in only)
 )
 
 // Entry is an entry instance, where a daemon runs.
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -19,12 +19,12 @@
 var (
 	// ErrGone means that a watch's revision is older than the history that the
 	// store keeps.
-	ErrGone = Error.New("the history asked for is gone")
+	ErrGone = Error.New("the revision is older than the kept history")
 	// ErrConflict means that a write's condition didn't hold, so that it had no
 	// effect. Replace describes the exception.
-	ErrConflict = Error.New("another revision stands")
+	ErrConflict = Error.New("the object is at another revision")
 	// ErrNotFound means that the object does not exist.
-	ErrNotFound = Error.New("no such object")
+	ErrNotFound = Error.New("the object does not exist")
 )
 
 // Object is a stored value. Revision is the store's revision at the object's last
