--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// dialEcho returns a proxy before a server that echoes, and a connection.
+// dialEcho starts an echo server behind a proxy, and returns the proxy and a
+// connection through it that has already carried bytes.
 func dialEcho(t *testing.T) (*Proxy, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
