--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -30,8 +30,8 @@
 }
 
 // forward copies bytes from one connection to the other. If limit is above 0, it
-// resets both once limit bytes were forwarded. While dropped is set, bytes are read
-// and discarded.
+// resets both once limit bytes were forwarded. While dropped or l.blackHoled is
+// set, bytes are read and discarded.
 func (l *link) forward(from, to net.Conn, limit int64, dropped *atomic.Bool) {
 	buf := make([]byte, chunkBytes)
 	for total := int64(0); ; {
--- a/internal/serviceapi/serviceapi.go
+++ b/internal/serviceapi/serviceapi.go
@@ -37,6 +37,6 @@
 type Faults struct {
 	Unavailable    bool `json:"unavailable,omitempty"`    // executes the request, then answers 503
 	LoseAnswers    bool `json:"loseAnswers,omitempty"`    // executes the request, then closes the connection without an answer
-	CloseAfterRead bool `json:"closeAfterRead,omitempty"` // closes reused connections after reading the request
+	CloseAfterRead bool `json:"closeAfterRead,omitempty"` // executes the request, then closes its connection if it was reused
 	SlowMillis     int  `json:"slowMillis,omitempty"`
 }
