--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -112,7 +112,7 @@
 	})
 	switch {
 	case !asked:
-		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry is overloaded").After(time.Second)
+		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry is overloaded").WithRetryAfter(time.Second)
 	case decision.Outcome == admission.Admit:
 		return nil
 	case decision.Outcome == admission.Refuse:
@@ -128,7 +128,7 @@
 		d.abandon(a.ID)
 		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "the caller left while the request was queued")
 	case <-d.done:
-		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry stops").After(time.Second)
+		return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry stops").WithRetryAfter(time.Second)
 	}
 }
 
@@ -164,5 +164,5 @@
 	case admission.TooLarge:
 		status = http.StatusBadRequest
 	}
-	return problem.New(status, verdict.NotRun, "refused by the limit: %s", r).After(after)
+	return problem.New(status, verdict.NotRun, "refused by the limit: %s", r).WithRetryAfter(after)
 }
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -113,7 +113,7 @@
 		return gateway.Part{}, ctx.Err()
 	}
 	p := problem.New(http.StatusBadGateway, verdict.MayHaveRun, "the entry that holds the request does not answer")
-	return gateway.Part{Failure: p.After(time.Second)}, nil
+	return gateway.Part{Failure: p.WithRetryAfter(time.Second)}, nil
 }
 
 func (f *follower) part(p *peerpb.Piece) gateway.Part {
--- a/internal/daemon/intending.go
+++ b/internal/daemon/intending.go
@@ -178,7 +178,7 @@
 	if r == ledger.KeyReused {
 		return problem.New(http.StatusConflict, verdict.NotRun, "%s", r)
 	}
-	return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "not dispatched: %s", r).After(time.Second)
+	return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "not dispatched: %s", r).WithRetryAfter(time.Second)
 }
 
 func refusedIntent(p *problem.Problem) dispatch.Intent { return dispatch.Intent{Refused: p} }
--- a/internal/daemon/services.go
+++ b/internal/daemon/services.go
@@ -124,7 +124,7 @@
 func storedAnswer(f *dispatch.ExistingIntent) (*gateway.ServiceAnswer, *problem.Problem) {
 	o := f.Outcome
 	if o == nil {
-		return nil, problem.New(http.StatusConflict, verdict.MayHaveRun, "a request with this Idempotency-Key was dispatched before; its outcome is not known yet").After(time.Second)
+		return nil, problem.New(http.StatusConflict, verdict.MayHaveRun, "a request with this Idempotency-Key was dispatched before; its outcome is not known yet").WithRetryAfter(time.Second)
 	}
 	if o.BodyOmitted {
 		return nil, problem.New(http.StatusConflict, verdict.Ran, "a request with this Idempotency-Key was answered with status %d; the answer was too long to keep", o.Status)
@@ -151,12 +151,12 @@
 func (s *services) attempt(ctx context.Context, id fleet.RequestID, c *gateway.ServiceCall, tried []fleet.EndpointID) (*gateway.ServiceAnswer, fleet.EndpointID, *problem.Problem) {
 	key := keyOfCall(c)
 	if left := s.crashes.Held(key); left > 0 {
-		return nil, "", problem.New(http.StatusServiceUnavailable, verdict.NotRun, "the call crashes the endpoints that run it").After(left)
+		return nil, "", problem.New(http.StatusServiceUnavailable, verdict.NotRun, "the call crashes the endpoints that run it").WithRetryAfter(left)
 	}
 	q := routing.Request{ID: id, Workspace: c.Workspace, Service: c.Service, Exclude: tried}
 	choice, err := s.router.Pick(&q)
 	if err != nil {
-		return nil, "", problem.New(http.StatusServiceUnavailable, verdict.NotRun, "%s", err).After(time.Second)
+		return nil, "", problem.New(http.StatusServiceUnavailable, verdict.NotRun, "%s", err).WithRetryAfter(time.Second)
 	}
 	s.router.Dispatched(choice.Endpoint, &q, choice)
 	sent := time.Now()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -172,7 +172,7 @@
 	case request.Conflict:
 		return nil, attach, keyConflict()
 	case request.Full:
-		return nil, attach, problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry holds as many requests as it may").After(time.Second)
+		return nil, attach, problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry holds as many requests as it may").WithRetryAfter(time.Second)
 	case request.Attached:
 		return d.runs[ref], attach, nil
 	}
@@ -218,7 +218,7 @@
 	}
 	a, err := d.opts.Locator.Follow(ctx, h, request.Digest{})
 	if err != nil {
-		return nil, problem.New(http.StatusServiceUnavailable, verdict.MayHaveRun, "the entry that holds the request does not answer").After(time.Second)
+		return nil, problem.New(http.StatusServiceUnavailable, verdict.MayHaveRun, "the entry that holds the request does not answer").WithRetryAfter(time.Second)
 	}
 	return a, nil
 }
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -224,5 +224,5 @@
 	case request.Cancelled:
 		status = http.StatusConflict
 	}
-	return problem.New(status, f.Verdict, "%s (last attempt: %s)", f.Reason, f.Cause).After(f.RetryAfter)
+	return problem.New(status, f.Verdict, "%s (last attempt: %s)", f.Reason, f.Cause).WithRetryAfter(f.RetryAfter)
 }
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -24,7 +24,7 @@
 func (g *Gateway) authenticated(operation string, next authHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if reason := g.opts.Readiness.NotReady(); reason != "" {
-			g.fail(w, operation, problem.New(http.StatusServiceUnavailable, verdict.NotRun, "not ready: %s", reason).After(shutdownRetryAfter))
+			g.fail(w, operation, problem.New(http.StatusServiceUnavailable, verdict.NotRun, "not ready: %s", reason).WithRetryAfter(shutdownRetryAfter))
 			return
 		}
 		workspace, ok := g.opts.Identities.Identify(bearer(r))
@@ -53,5 +53,5 @@
 	if !g.opts.Readiness.Refusing() {
 		return nil
 	}
-	return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry is leaving; ask for the entries again").After(shutdownRetryAfter)
+	return problem.New(http.StatusServiceUnavailable, verdict.NotRun, "this entry is leaving; ask for the entries again").WithRetryAfter(shutdownRetryAfter)
 }
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// After sets the delay after which the caller may retry, and returns p.
-func (p *Problem) After(d time.Duration) *Problem {
+// WithRetryAfter sets the delay after which the caller may retry, and returns p.
+func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
