--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -126,7 +126,7 @@
 // Order is a command that changes an engine's loaded models or its role. Orders
 // are idempotent.
 type Order struct {
-	Fencing uint64         `json:"fencing"`
+	Fencing uint64         `json:"fencing"` // fencing number of the sender's lease
 	Kind    OrderKind      `json:"kind"`
 	Model   fleet.ModelRef `json:"model"`
 	Role    string         `json:"role,omitempty"`
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -1,6 +1,6 @@
 // Package objects defines the interface through which daemons use the platform's
-// object store: reads, watches and conditional writes. Implementations are in
-// platform/ and in the stand-ins that replace the platform in tests.
+// object store: reads, watches and conditional writes. Package
+// platform/store implements it; tests also have an implementation in memory.
 package objects
 
 import (
@@ -19,7 +19,7 @@
 var (
 	// ErrGone means that a watch's revision is older than the history that the
 	// store keeps.
-	ErrGone = Error.New("the revision is older than the kept history")
+	ErrGone = Error.New("the history after the revision is no longer available")
 	// ErrConflict means that a write's condition didn't hold, so that it had no
 	// effect. Replace describes the exception.
 	ErrConflict = Error.New("the object is at another revision")
